--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,7 +5,6 @@
 
 import msgspec
 
-from elmthread.agents.messages import HEARTBEAT_PATH, names_leader
 from elmthread.budgets import (
     LEADERS_PART,
     LEASE,
@@ -34,6 +33,7 @@
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform, split_address
+from elmthread.workers.messages import HEARTBEAT_PATH, names_leader
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/intake/api.py
+++ b/src/elmthread/intake/api.py
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from elmthread.agents.messages import HEARTBEAT_PATH
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.http import UNSURE, MalformedBodyError, Request, Response, again, decode
 from elmthread.common.load import Kind, Load
@@ -16,6 +15,7 @@
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
 from elmthread.rollout.gate import CompatibilityGate
+from elmthread.workers.messages import HEARTBEAT_PATH
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.agents.service import Agents
 from elmthread.budgets import (
     LEADERS_PART,
     users_at_once,
@@ -33,6 +32,7 @@
 from elmthread.settings.platform import Platform
 from elmthread.sizing.service import Sizing
 from elmthread.sizing.work import WorkModel
+from elmthread.workers.service import Agents
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from elmthread.agents.messages import Sender, elsewhere
 from elmthread.common.clock import Clock
 from elmthread.common.http import MalformedBodyError, Request, Response, decode
+from elmthread.workers.messages import Sender, elsewhere
 
 # How many machines are named, the last that came.
 SOME = 16
--- a/src/elmthread/agents/service.py
+++ b/src/elmthread/workers/service.py
@@ -14,9 +14,6 @@
 
 import msgspec
 
-from elmthread.agents import messages
-from elmthread.agents.health import Health
-from elmthread.agents.messages import Report, Task
 from elmthread.common.clock import Clock, at_least, seconds
 from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.leadership.election import Term
@@ -36,6 +33,9 @@
 from elmthread.reachability.strays import Stray
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.sizing.work import WorkModel
+from elmthread.workers import messages
+from elmthread.workers.health import Health
+from elmthread.workers.messages import Report, Task
 
 log = logging.getLogger(__name__)
 
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from elmthread.agents.service import Agents
 from elmthread.common.http import Server
 from elmthread.placement import decide
+from elmthread.workers.service import Agents
 from tests.test_world import day
 from tests.world.counting import count_calls, count_changes
 from tests.world.world import ZONES, World, job
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from elmthread.agents import messages
-from elmthread.agents.service import Agents
 from elmthread.intake.service import Intake
 from elmthread.leader import Leader
 from elmthread.placement import decide
 from elmthread.placement.service import Placement
 from elmthread.sizing.service import Sizing
+from elmthread.workers import messages
+from elmthread.workers.service import Agents
 from tests.test_world import day, set_apart
 from tests.world.counting import count_calls, count_changes
 from tests.world.world import World, job, start
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -8,10 +8,10 @@
 from datetime import timedelta
 from typing import Any
 
-from elmthread.agents.messages import HEARTBEAT_PATH
 from elmthread.budgets import LEASE
 from elmthread.common.http import Answer, Request, Response
 from elmthread.controller import Controller
+from elmthread.workers.messages import HEARTBEAT_PATH
 from tests.world.services import Port
 from tests.world.world import World
 
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -39,7 +39,7 @@
     ("httptools", "requests and answers"),
     ("h11", "calls of our own"),
     ("cbor2", "CBOR"),
-    ("agents/", "reports and commands"),
+    ("workers/", "reports and commands"),
     ("msgspec", "decoding of messages"),
     ("placement/", "placement and cluster state"),
     ("sizing/", "sizing"),
