--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -17,13 +17,13 @@
 from elmthread.common.clock import Clock, seconds, steady
 from elmthread.common.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.common.load import Load
-from elmthread.fleet.service import QUIET
 from elmthread.intake.api import NO_LATER_TERM, WHICH_PROCESS, Api
 from elmthread.intake.service import Intake
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
 from elmthread.ledger.client import StateClient
 from elmthread.ledger.pacing import TokenBucket
+from elmthread.machines.service import QUIET
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.bounds import ReachabilityBounds
--- a/src/elmthread/intake/jobs.py
+++ b/src/elmthread/intake/jobs.py
@@ -5,11 +5,11 @@
 from typing import Any
 
 from elmthread.common.clock import ZERO
-from elmthread.fleet.messages import Type
 from elmthread.intake.messages import DAEMON, Submission
 from elmthread.ledger.done_marks import bitmap_chunk_tasks, chunk_tasks
 from elmthread.ledger.log import slot_bytes, text_of, weight
 from elmthread.ledger.records import job_key, job_record
+from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -12,8 +12,6 @@
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.http import Caller
 from elmthread.common.load import Kind, Load
-from elmthread.fleet.client import CloudClient
-from elmthread.fleet.service import Fleet
 from elmthread.intake.jobs import Jobs
 from elmthread.intake.service import Intake
 from elmthread.leadership.election import Election, Term
@@ -23,6 +21,8 @@
 from elmthread.ledger.log import Slots, slot_bytes
 from elmthread.ledger.pacing import TokenBucket
 from elmthread.ledger.writer import Writer
+from elmthread.machines.client import CloudClient
+from elmthread.machines.service import Fleet
 from elmthread.placement.cluster import ClusterState, Job
 from elmthread.placement.service import Placement
 from elmthread.reachability.census import Census
--- a/src/elmthread/ledger/loading.py
+++ b/src/elmthread/ledger/loading.py
@@ -10,7 +10,6 @@
 import msgspec
 
 from elmthread.common.clock import Clock, seconds
-from elmthread.fleet.messages import Type
 from elmthread.intake.jobs import Jobs
 from elmthread.intake.messages import BATCH, Submission
 from elmthread.ledger import messages, records
@@ -20,6 +19,7 @@
 from elmthread.ledger.log import SLOTS, Slots, UnreadableRecordError
 from elmthread.ledger.records import LAYOUT
 from elmthread.ledger.writer import Rank, Writer
+from elmthread.machines.messages import Type
 from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.features import SupportedLevels
--- a/src/elmthread/ledger/records.py
+++ b/src/elmthread/ledger/records.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from elmthread.fleet.messages import Type
 from elmthread.intake.messages import Submission
 from elmthread.ledger.log import text_of, weight
+from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job, JobState
 
 LEADER = "leader"
--- a/src/elmthread/fleet/service.py
+++ b/src/elmthread/machines/service.py
@@ -15,8 +15,6 @@
 from typing import Any
 
 from elmthread.common.clock import ZERO, Clock, at_least, seconds
-from elmthread.fleet import messages
-from elmthread.fleet.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
 from elmthread.ledger.records import (
     RentalRecord,
     machine_key,
@@ -24,6 +22,8 @@
     types_records,
 )
 from elmthread.ledger.writer import Rank, Writer
+from elmthread.machines import messages
+from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
 from elmthread.placement.cluster import ClusterState, Machine, MachineState
 from elmthread.reachability.census import Census
 
--- a/src/elmthread/fleet/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,11 +7,11 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.http import Answer
-from elmthread.fleet.client import CloudClient
-from elmthread.fleet.messages import Listed, Type
-from elmthread.fleet.service import MISSING, Fleet, Kind
 from elmthread.ledger.pacing import TokenBucket
 from elmthread.ledger.writer import Rank
+from elmthread.machines.client import CloudClient
+from elmthread.machines.messages import Listed, Type
+from elmthread.machines.service import MISSING, Fleet, Kind
 from elmthread.placement.cluster import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.reachability.census import Census
 from tests.world.loop import SimLoop, play
--- a/src/elmthread/sizing/service.py
+++ b/src/elmthread/sizing/service.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from elmthread.common.clock import Clock, seconds
-from elmthread.fleet.service import Fleet, Kind
+from elmthread.machines.service import Fleet, Kind
 from elmthread.placement.cluster import Allocation, ClusterState, Job, Machine, MachineState, Stop
 from elmthread.placement.decide import FreeCapacity, TaskRequest, TeamAllowance, allowed
 from elmthread.placement.service import Placement
--- a/src/elmthread/sizing/tests/test_round.py
+++ b/src/elmthread/sizing/tests/test_round.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from elmthread.fleet.service import Fleet
+from elmthread.machines.service import Fleet
 from elmthread.placement.cluster import Job, Machine, MachineState
 from elmthread.placement.decide import allowed
 from elmthread.sizing.service import Sizing
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -43,7 +43,7 @@
     ("msgspec", "decoding of messages"),
     ("placement/", "placement and cluster state"),
     ("sizing/", "sizing"),
-    ("fleet/", "machines and cloud"),
+    ("machines/", "machines and cloud"),
     ("ledger/", "records"),
     ("intake/", "users"),
     ("leadership/", "lease"),
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from elmthread.fleet.messages import Type
 from elmthread.leadership.election import LeaderRecord
 from elmthread.ledger.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.ledger.done_marks import DoneBitmapRecord, DoneRecord
 from elmthread.ledger.log import SlotRecord
 from elmthread.ledger.records import JobRecord, RentalRecord
+from elmthread.machines.messages import Type
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.features import SUPPORTED
