--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -21,8 +21,6 @@
 from elmthread.intake.service import Intake
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
-from elmthread.ledger.client import StateClient
-from elmthread.ledger.pacing import TokenBucket
 from elmthread.machines.service import QUIET
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
@@ -33,6 +31,8 @@
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform, split_address
+from elmthread.store.client import StateClient
+from elmthread.store.pacing import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH, names_leader
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/intake/jobs.py
+++ b/src/elmthread/intake/jobs.py
@@ -6,9 +6,6 @@
 
 from elmthread.common.clock import ZERO
 from elmthread.intake.messages import DAEMON, Submission
-from elmthread.ledger.done_marks import bitmap_chunk_tasks, chunk_tasks
-from elmthread.ledger.log import slot_bytes, text_of, weight
-from elmthread.ledger.records import job_key, job_record
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
@@ -16,6 +13,9 @@
 from elmthread.rollout.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts
+from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.log import slot_bytes, text_of, weight
+from elmthread.store.records import job_key, job_record
 
 
 class Jobs:
--- a/src/elmthread/intake/service.py
+++ b/src/elmthread/intake/service.py
@@ -11,11 +11,11 @@
 from elmthread.intake import messages
 from elmthread.intake.messages import Submission
 from elmthread.leadership.election import Term
-from elmthread.ledger.done_marks import done_record
-from elmthread.ledger.records import done_key, job_key, job_record
-from elmthread.ledger.writer import Rank, Writer, WriterStoppedError
 from elmthread.placement.cluster import ClusterState, Job, JobState, Machine
 from elmthread.rollout.features import ActiveFeatures
+from elmthread.store.done_marks import done_record
+from elmthread.store.records import done_key, job_key, job_record
+from elmthread.store.writer import Rank, Writer, WriterStoppedError
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/intake/tests/test_service.py
+++ b/src/elmthread/intake/tests/test_service.py
@@ -9,9 +9,9 @@
 from elmthread.common.http import Response
 from elmthread.intake.messages import Submission, read_submission
 from elmthread.intake.service import DURABLE_TIME, Intake
-from elmthread.ledger.writer import Rank
 from elmthread.placement.cluster import ClusterState, Job, JobState
 from elmthread.rollout.features import ActiveFeatures
+from elmthread.store.writer import Rank
 from tests.world.loop import SimLoop, play
 from tests.world.world import job as wire
 
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -15,12 +15,6 @@
 from elmthread.intake.jobs import Jobs
 from elmthread.intake.service import Intake
 from elmthread.leadership.election import Election, Term
-from elmthread.ledger.assignments import machine_frame
-from elmthread.ledger.client import StateClient
-from elmthread.ledger.loading import Loader
-from elmthread.ledger.log import Slots, slot_bytes
-from elmthread.ledger.pacing import TokenBucket
-from elmthread.ledger.writer import Writer
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import Fleet
 from elmthread.placement.cluster import ClusterState, Job
@@ -32,6 +26,12 @@
 from elmthread.settings.platform import Platform
 from elmthread.sizing.service import Sizing
 from elmthread.sizing.work import WorkModel
+from elmthread.store.assignments import machine_frame
+from elmthread.store.client import StateClient
+from elmthread.store.loading import Loader
+from elmthread.store.log import Slots, slot_bytes
+from elmthread.store.pacing import TokenBucket
+from elmthread.store.writer import Writer
 from elmthread.workers.service import Agents
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -20,8 +20,8 @@
 
 from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
 from elmthread.common.states import step
-from elmthread.ledger import messages
-from elmthread.ledger.client import (
+from elmthread.store import messages
+from elmthread.store.client import (
     ConflictError,
     ExpiredError,
     StateClient,
@@ -29,7 +29,7 @@
     StoreUnavailableError,
     UnknownOutcomeError,
 )
-from elmthread.ledger.records import LEADER
+from elmthread.store.records import LEADER
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -11,8 +11,8 @@
 from elmthread.common.clock import seconds
 from elmthread.common.http import Answer, NoResponseError
 from elmthread.leadership.election import Election, Role, Term
-from elmthread.ledger.client import StateClient
-from elmthread.ledger.pacing import TokenBucket
+from elmthread.store.client import StateClient
+from elmthread.store.pacing import TokenBucket
 from tests.world.loop import SimLoop, play
 
 TTL, HOLDING, TOKEN = seconds(3), seconds(10), 20
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -8,8 +8,8 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.http import Answer, Caller, NoResponseError
-from elmthread.ledger.pacing import TokenBucket
 from elmthread.machines import messages
+from elmthread.store.pacing import TokenBucket
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -15,17 +15,17 @@
 from typing import Any
 
 from elmthread.common.clock import ZERO, Clock, at_least, seconds
-from elmthread.ledger.records import (
+from elmthread.machines import messages
+from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
+from elmthread.placement.cluster import ClusterState, Machine, MachineState
+from elmthread.reachability.census import Census
+from elmthread.store.records import (
     RentalRecord,
     machine_key,
     rental_key,
     types_records,
 )
-from elmthread.ledger.writer import Rank, Writer
-from elmthread.machines import messages
-from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
-from elmthread.placement.cluster import ClusterState, Machine, MachineState
-from elmthread.reachability.census import Census
+from elmthread.store.writer import Rank, Writer
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,13 +7,13 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.http import Answer
-from elmthread.ledger.pacing import TokenBucket
-from elmthread.ledger.writer import Rank
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed, Type
 from elmthread.machines.service import MISSING, Fleet, Kind
 from elmthread.placement.cluster import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.reachability.census import Census
+from elmthread.store.pacing import TokenBucket
+from elmthread.store.writer import Rank
 from tests.world.loop import SimLoop, play
 
 KIND = Kind("small", "east", True)
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -6,8 +6,6 @@
 
 from elmthread.common.clock import steady
 from elmthread.common.http import Client
-from elmthread.ledger.client import StateClient, StoreError
-from elmthread.ledger.pacing import TokenBucket
 from elmthread.rollout.decide import Activate, plan_activation
 from elmthread.rollout.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.rollout.messages import UnreadableLevelError, read_view
@@ -15,6 +13,8 @@
 from elmthread.rollout.store import RolloutRecords, read_records
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.settings.platform import Platform
+from elmthread.store.client import StateClient, StoreError
+from elmthread.store.pacing import TokenBucket
 
 OK, FAILED = 0, 1
 REQUESTS_PER_SECOND = 10.0
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -18,13 +18,13 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.states import step
-from elmthread.ledger import messages as store
-from elmthread.ledger.client import RejectedTransactionError, StateClient, StoreError
 from elmthread.rollout import messages
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
 from elmthread.rollout.view import Announcement, RolloutView
+from elmthread.store import messages as store
+from elmthread.store.client import RejectedTransactionError, StateClient, StoreError
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from elmthread.ledger.messages import Item
 from elmthread.rollout.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
+from elmthread.store.messages import Item
 
 PREFIX = "rollout/"
 LEVEL_KEY = f"{PREFIX}level"
--- a/src/elmthread/rollout/store.py
+++ b/src/elmthread/rollout/store.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from elmthread.ledger.client import StateClient, read_all
-from elmthread.ledger.messages import Item
 from elmthread.rollout import messages
+from elmthread.store.client import StateClient, read_all
+from elmthread.store.messages import Item
 
 PAGE = 200
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -14,10 +14,6 @@
 import msgspec
 
 from elmthread.common.clock import Clock, seconds
-from elmthread.ledger import messages as store
-from elmthread.ledger.client import ConflictError, StateClient, StoreError
-from elmthread.ledger.records import LEADER
-from elmthread.ledger.writer import Rank, Writer
 from elmthread.peers.link import PeerUnreachableError
 from elmthread.rollout import messages
 from elmthread.rollout.decide import Activate, Obstacle, ObstacleKind, plan_activation
@@ -25,6 +21,10 @@
 from elmthread.rollout.gate import CompatibilityGate
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
+from elmthread.store import messages as store
+from elmthread.store.client import ConflictError, StateClient, StoreError
+from elmthread.store.records import LEADER
+from elmthread.store.writer import Rank, Writer
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from elmthread.ledger.messages import Page
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError, Membership
 from elmthread.rollout.settings import RolloutSettings
+from elmthread.store.messages import Page
 
 
 class SlowStore:
--- a/src/elmthread/ledger/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from elmthread.ledger.log import text_of, weight
-from elmthread.ledger.records import machine_key
 from elmthread.placement.cluster import Machine
 from elmthread.rollout.features import ActiveFeatures, Feature, SupportedLevels
+from elmthread.store.log import text_of, weight
+from elmthread.store.records import machine_key
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
--- a/src/elmthread/ledger/client.py
+++ b/src/elmthread/store/client.py
@@ -11,8 +11,8 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.http import Answer, Caller, NoResponseError
-from elmthread.ledger import messages
-from elmthread.ledger.pacing import TokenBucket
+from elmthread.store import messages
+from elmthread.store.pacing import TokenBucket
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/ledger/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -46,7 +46,7 @@
     marks = bytes(job.done[low : low + job.chunk // 8])
     if not features.is_active(Feature.DONE_BITMAPS):
         return DoneRecord(marks.hex())
-    from elmthread.ledger import bitmaps  # its library is loaded only where it is used
+    from elmthread.store import bitmaps  # its library is loaded only where it is used
 
     tasks = min(job.chunk, job.total - chunk * job.chunk)
     bitmap = bitmaps.compress(marks, tasks)
@@ -70,7 +70,7 @@
 def done_tasks(record: DoneRecord | DoneBitmapRecord, most: int) -> Iterator[int]:
     """Numbers of the done tasks within a chunk of at most `most` tasks."""
     if isinstance(record, DoneBitmapRecord):
-        from elmthread.ledger import bitmaps  # its library is loaded only where it is used
+        from elmthread.store import bitmaps  # its library is loaded only where it is used
 
         yield from bitmaps.expand(bitmaps.Bitmap(record.bits, record.inverted), most)
         return
--- a/src/elmthread/ledger/loading.py
+++ b/src/elmthread/store/loading.py
@@ -12,18 +12,18 @@
 from elmthread.common.clock import Clock, seconds
 from elmthread.intake.jobs import Jobs
 from elmthread.intake.messages import BATCH, Submission
-from elmthread.ledger import messages, records
-from elmthread.ledger.assignments import read_machine
-from elmthread.ledger.client import StateClient, StoreUnavailableError, UnknownOutcomeError, read_all
-from elmthread.ledger.done_marks import MOST_MARKS, mark_done, read_done
-from elmthread.ledger.log import SLOTS, Slots, UnreadableRecordError
-from elmthread.ledger.records import LAYOUT
-from elmthread.ledger.writer import Rank, Writer
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.term import TermRollout
+from elmthread.store import messages, records
+from elmthread.store.assignments import read_machine
+from elmthread.store.client import StateClient, StoreUnavailableError, UnknownOutcomeError, read_all
+from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
+from elmthread.store.log import SLOTS, Slots, UnreadableRecordError
+from elmthread.store.records import LAYOUT
+from elmthread.store.writer import Rank, Writer
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/ledger/records.py
+++ b/src/elmthread/store/records.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from elmthread.intake.messages import Submission
-from elmthread.ledger.log import text_of, weight
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job, JobState
+from elmthread.store.log import text_of, weight
 
 LEADER = "leader"
 TYPES = "t/types"
--- a/src/elmthread/ledger/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 
 from elmthread.common.clock import ZERO
-from elmthread.ledger.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
-from elmthread.ledger.log import text_of
 from elmthread.placement.cluster import Machine, MachineState
 from elmthread.rollout.features import SUPPORTED, ActiveFeatures, SupportedLevels
+from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
+from elmthread.store.log import text_of
 
 BEFORE = SupportedLevels(1, 1)
 
--- a/src/elmthread/ledger/tests/test_bitmaps.py
+++ b/src/elmthread/store/tests/test_bitmaps.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.ledger.bitmaps import Bitmap, compress, expand
-from elmthread.ledger.done_marks import MOST_MARKS, bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.bitmaps import Bitmap, compress, expand
+from elmthread.store.done_marks import MOST_MARKS, bitmap_chunk_tasks, chunk_tasks
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
--- a/src/elmthread/ledger/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -10,13 +10,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.ledger import messages
-from elmthread.ledger.client import StateClient
-from elmthread.ledger.done_marks import chunk_tasks
-from elmthread.ledger.log import FRAME, SLOTS, Slots, UnreadableRecordError, pack, slot_bytes, text_of, weight
-from elmthread.ledger.pacing import TokenBucket
-from elmthread.ledger.records import LEADER
-from elmthread.ledger.writer import Rank, Writer
+from elmthread.store import messages
+from elmthread.store.client import StateClient
+from elmthread.store.done_marks import chunk_tasks
+from elmthread.store.log import FRAME, SLOTS, Slots, UnreadableRecordError, pack, slot_bytes, text_of, weight
+from elmthread.store.pacing import TokenBucket
+from elmthread.store.records import LEADER
+from elmthread.store.writer import Rank, Writer
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
--- a/src/elmthread/ledger/writer.py
+++ b/src/elmthread/store/writer.py
@@ -17,8 +17,8 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.ledger import messages
-from elmthread.ledger.client import (
+from elmthread.store import messages
+from elmthread.store.client import (
     ConflictError,
     RateLimitedError,
     RejectedTransactionError,
@@ -26,9 +26,9 @@
     StoreUnavailableError,
     UnknownOutcomeError,
 )
-from elmthread.ledger.log import Slot, SlotRecord, Slots, pack, text_of, weight
-from elmthread.ledger.pacing import TokenBucket
-from elmthread.ledger.records import LEADER
+from elmthread.store.log import Slot, SlotRecord, Slots, pack, text_of, weight
+from elmthread.store.pacing import TokenBucket
+from elmthread.store.records import LEADER
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -17,9 +17,6 @@
 from elmthread.common.clock import Clock, at_least, seconds
 from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.leadership.election import Term
-from elmthread.ledger.assignments import machine_record
-from elmthread.ledger.records import machine_key
-from elmthread.ledger.writer import Rank, Writer
 from elmthread.placement.cluster import (
     SEEN,
     Allocation,
@@ -33,6 +30,9 @@
 from elmthread.reachability.strays import Stray
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.sizing.work import WorkModel
+from elmthread.store.assignments import machine_record
+from elmthread.store.records import machine_key
+from elmthread.store.writer import Rank, Writer
 from elmthread.workers import messages
 from elmthread.workers.health import Health
 from elmthread.workers.messages import Report, Task
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.ledger.log import SLOTS, Slots, slot_bytes
+from elmthread.store.log import SLOTS, Slots, slot_bytes
 from tests.test_world import HISTORIES, TROUBLES, befall, day, restore
 from tests.world.world import NEXT, NODES, ZONES, World, daemon, job, start
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -15,12 +15,12 @@
 import msgspec
 import pytest
 
-from elmthread.ledger.assignments import read_machine
-from elmthread.ledger.done_marks import MOST_MARKS, done_tasks, read_done
 from elmthread.peers import messages as peers
 from elmthread.reachability.messages import read_view
 from elmthread.rollout.features import FIRST_LEVEL, SUPPORTED
 from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
+from elmthread.store.assignments import read_machine
+from elmthread.store.done_marks import MOST_MARKS, done_tasks, read_done
 from tests.test_world import day
 from tests.world.earlier import newest
 from tests.world.rollouts import begin_before, replace, until_level
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -11,7 +11,6 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from elmthread.ledger import messages as store
 from elmthread.rollout import gate as gate_module
 from elmthread.rollout import term as term_module
 from elmthread.rollout.decide import Activate, Wait, plan_activation
@@ -20,6 +19,7 @@
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.term import TermRollout
 from elmthread.rollout.view import Announcement, RolloutView
+from elmthread.store import messages as store
 from tests.test_rollout import fall
 from tests.test_world import HISTORIES, TROUBLES, befall, day, restore
 from tests.world import earlier
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from elmthread.ledger.log import SLOTS, Slots
+from elmthread.store.log import SLOTS, Slots
 from tests.test_world import day
 from tests.world.faults import errors_logged
 from tests.world.loop import play
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -13,8 +13,8 @@
 import pytest
 
 from elmthread.intake.messages import read_submission
-from elmthread.ledger.log import SLOTS, Slots, slot_bytes
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
+from elmthread.store.log import SLOTS, Slots, slot_bytes
 from tests.test_rollout import begin_old, fall, upgrade
 from tests.test_world import befall, day, restore
 from tests.world import earlier
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -16,10 +16,10 @@
 
 from bitarray.util import sc_decode
 
-from elmthread.ledger.loading import Loader
 from elmthread.placement.cluster import JobState
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
+from elmthread.store.loading import Loader
 from tests.world.earlier import newest
 from tests.world.world import World, start
 
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -17,9 +17,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elmthread.ledger.loading import Loader
 from elmthread.rollout.features import SUPPORTED
 from elmthread.rollout.settings import RolloutSettings
+from elmthread.store.loading import Loader
 from tests.world.loop import play
 from tests.world.rollouts import BEFORE, until_level
 from tests.world.world import ZONES, World, job
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -44,7 +44,7 @@
     ("placement/", "placement and cluster state"),
     ("sizing/", "sizing"),
     ("machines/", "machines and cloud"),
-    ("ledger/", "records"),
+    ("store/", "records"),
     ("intake/", "users"),
     ("leadership/", "lease"),
     ("peers/", "other controllers"),
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -14,15 +14,15 @@
 import msgspec
 
 from elmthread.leadership.election import LeaderRecord
-from elmthread.ledger.assignments import AssignmentRunsRecord, MachineRecord
-from elmthread.ledger.done_marks import DoneBitmapRecord, DoneRecord
-from elmthread.ledger.log import SlotRecord
-from elmthread.ledger.records import JobRecord, RentalRecord
 from elmthread.machines.messages import Type
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.features import SUPPORTED
 from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
+from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
+from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
+from elmthread.store.log import SlotRecord
+from elmthread.store.records import JobRecord, RentalRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
 # What msgspec takes from the classes.
