--- a/src/elmthread/sizing/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -11,9 +11,9 @@
 from dataclasses import replace
 from datetime import timedelta
 
+from elmthread.autoscaling.decide import Offer
 from elmthread.common.clock import seconds
 from elmthread.placement.decide import TINY, FreeCapacity, TaskRequest, TeamAllowance, allowed, place
-from elmthread.sizing.decide import Offer
 
 # How far back the growth of the demand of services is looked for, and the shortest rise judged.
 TREND = seconds(60)
--- a/src/elmthread/sizing/tests/test_decide.py
+++ b/src/elmthread/autoscaling/tests/test_decide.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.sizing.decide import (
+from elmthread.autoscaling.decide import (
     Band,
     Group,
     Line,
--- a/src/elmthread/sizing/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from elmthread.autoscaling.service import Sizing
 from elmthread.machines.service import Fleet
 from elmthread.placement.cluster import Job, Machine, MachineState
 from elmthread.placement.decide import allowed
-from elmthread.sizing.service import Sizing
 from tests.test_world import day
 from tests.world.world import World, job
 
--- a/src/elmthread/sizing/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_services.py
@@ -5,10 +5,10 @@
 import math
 import random
 
+from elmthread.autoscaling.decide import Offer
+from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
 from elmthread.common.clock import seconds
 from elmthread.placement.decide import FreeCapacity, TaskRequest, TeamAllowance, allowed
-from elmthread.sizing.decide import Offer
-from elmthread.sizing.services import Trend, machines_for, reserve, unplaced
 
 
 def request(count: int, most: float = math.inf, **changes: object) -> TaskRequest:
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from elmthread.autoscaling.service import Sizing
+from elmthread.autoscaling.work import WorkModel
 from elmthread.budgets import (
     LEADERS_PART,
     users_at_once,
@@ -24,8 +26,6 @@
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
-from elmthread.sizing.service import Sizing
-from elmthread.sizing.work import WorkModel
 from elmthread.store.assignments import machine_frame
 from elmthread.store.client import StateClient
 from elmthread.store.loading import Loader
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -7,6 +7,7 @@
 from dataclasses import replace
 from datetime import timedelta
 
+from elmthread.autoscaling.decide import Line, jobs_to_put_off
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.placement.cluster import (
     Allocation,
@@ -29,7 +30,6 @@
     preempt,
 )
 from elmthread.settings.platform import Team
-from elmthread.sizing.decide import Line, jobs_to_put_off
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -14,6 +14,7 @@
 
 import msgspec
 
+from elmthread.autoscaling.work import WorkModel
 from elmthread.common.clock import Clock, at_least, seconds
 from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.leadership.election import Term
@@ -29,7 +30,6 @@
 )
 from elmthread.reachability.strays import Stray
 from elmthread.rollout.features import ActiveFeatures
-from elmthread.sizing.work import WorkModel
 from elmthread.store.assignments import machine_record
 from elmthread.store.records import machine_key
 from elmthread.store.writer import Rank, Writer
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from elmthread.autoscaling.service import Sizing
 from elmthread.intake.service import Intake
 from elmthread.leader import Leader
 from elmthread.placement import decide
 from elmthread.placement.service import Placement
-from elmthread.sizing.service import Sizing
 from elmthread.workers import messages
 from elmthread.workers.service import Agents
 from tests.test_world import day, set_apart
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -42,7 +42,7 @@
     ("workers/", "reports and commands"),
     ("msgspec", "decoding of messages"),
     ("placement/", "placement and cluster state"),
-    ("sizing/", "sizing"),
+    ("autoscaling/", "sizing"),
     ("machines/", "machines and cloud"),
     ("store/", "records"),
     ("intake/", "users"),
