--- a/src/elmthread/intake/api.py
+++ b/src/elmthread/api/api.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
+from elmthread.api.service import Intake
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.http import UNSURE, MalformedBodyError, Request, Response, again, decode
 from elmthread.common.load import Kind, Load
-from elmthread.intake.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
-from elmthread.intake.service import Intake
 from elmthread.leadership.election import Election
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
--- a/src/elmthread/intake/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -4,8 +4,8 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
+from elmthread.api.messages import DAEMON, Submission
 from elmthread.common.clock import ZERO
-from elmthread.intake.messages import DAEMON, Submission
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
--- a/src/elmthread/intake/service.py
+++ b/src/elmthread/api/service.py
@@ -6,10 +6,10 @@
 from datetime import timedelta
 from typing import Any
 
+from elmthread.api import messages
+from elmthread.api.messages import Submission
 from elmthread.common.clock import ZERO, Clock, at_most, seconds
 from elmthread.common.http import Response, again
-from elmthread.intake import messages
-from elmthread.intake.messages import Submission
 from elmthread.leadership.election import Term
 from elmthread.placement.cluster import ClusterState, Job, JobState, Machine
 from elmthread.rollout.features import ActiveFeatures
--- a/src/elmthread/intake/tests/test_command.py
+++ b/src/elmthread/api/tests/test_command.py
@@ -6,7 +6,7 @@
 import pytest
 
 from elmthread import cli
-from elmthread.intake import command
+from elmthread.api import command
 
 
 def test_a_job_is_cancelled_by_either_spelling() -> None:
--- a/src/elmthread/intake/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -5,10 +5,10 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
+from elmthread.api.messages import Submission, read_submission
+from elmthread.api.service import DURABLE_TIME, Intake
 from elmthread.common.clock import seconds
 from elmthread.common.http import Response
-from elmthread.intake.messages import Submission, read_submission
-from elmthread.intake.service import DURABLE_TIME, Intake
 from elmthread.placement.cluster import ClusterState, Job, JobState
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.writer import Rank
--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -93,7 +93,7 @@
         except KeyboardInterrupt:
             pass
         return OK
-    from elmthread.intake import command
+    from elmthread.api import command
 
     return command.run(args)
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,6 +5,8 @@
 
 import msgspec
 
+from elmthread.api.api import NO_LATER_TERM, WHICH_PROCESS, Api
+from elmthread.api.service import Intake
 from elmthread.budgets import (
     LEADERS_PART,
     LEASE,
@@ -17,8 +19,6 @@
 from elmthread.common.clock import Clock, seconds, steady
 from elmthread.common.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.common.load import Load
-from elmthread.intake.api import NO_LATER_TERM, WHICH_PROCESS, Api
-from elmthread.intake.service import Intake
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
 from elmthread.machines.service import QUIET
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from elmthread.api.jobs import Jobs
+from elmthread.api.service import Intake
 from elmthread.autoscaling.service import Sizing
 from elmthread.autoscaling.work import WorkModel
 from elmthread.budgets import (
@@ -14,8 +16,6 @@
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.http import Caller
 from elmthread.common.load import Kind, Load
-from elmthread.intake.jobs import Jobs
-from elmthread.intake.service import Intake
 from elmthread.leadership.election import Election, Term
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import Fleet
--- a/src/elmthread/placement/cluster.py
+++ b/src/elmthread/placement/cluster.py
@@ -10,9 +10,9 @@
 from datetime import datetime, timedelta
 from enum import Enum, auto
 
+from elmthread.api.messages import DAEMON, Submission
 from elmthread.common.clock import ZERO, seconds
 from elmthread.common.states import step
-from elmthread.intake.messages import DAEMON, Submission
 
 
 class JobState(Enum):
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -4,8 +4,8 @@
 from collections import Counter
 from datetime import UTC, datetime
 
+from elmthread.api.messages import read_submission
 from elmthread.common.clock import ZERO, seconds
-from elmthread.intake.messages import read_submission
 from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.placement.service import BEGIN, PART, Placement
 from elmthread.settings.platform import Team
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
+from elmthread.api.jobs import Jobs
+from elmthread.api.messages import BATCH, Submission
 from elmthread.common.clock import Clock, seconds
-from elmthread.intake.jobs import Jobs
-from elmthread.intake.messages import BATCH, Submission
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.rollout import messages as rollout_messages
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from elmthread.intake.messages import Submission
+from elmthread.api.messages import Submission
 from elmthread.machines.messages import Type
 from elmthread.placement.cluster import Job, JobState
 from elmthread.store.log import text_of, weight
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from elmthread.api.jobs import Jobs
+from elmthread.api.messages import read_submission
 from elmthread.common.clock import seconds
-from elmthread.intake.jobs import Jobs
-from elmthread.intake.messages import read_submission
 from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from elmthread.api.service import Intake
 from elmthread.autoscaling.service import Sizing
-from elmthread.intake.service import Intake
 from elmthread.leader import Leader
 from elmthread.placement import decide
 from elmthread.placement.service import Placement
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from elmthread.intake.messages import read_submission
+from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
 from elmthread.store.log import SLOTS, Slots, slot_bytes
 from tests.test_rollout import begin_old, fall, upgrade
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -45,7 +45,7 @@
     ("autoscaling/", "sizing"),
     ("machines/", "machines and cloud"),
     ("store/", "records"),
-    ("intake/", "users"),
+    ("api/", "users"),
     ("leadership/", "lease"),
     ("peers/", "other controllers"),
     ("elmthread/common", "clock, load, states"),
