--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from elmthread.api.api import NO_LATER_TERM, WHICH_PROCESS, Api
+from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, Api
 from elmthread.api.service import Intake
 from elmthread.budgets import (
     LEADERS_PART,
