--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -7,7 +7,12 @@
 
 from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, Api
 from elmthread.api.service import Intake
-from elmthread.budgets import (
+from elmthread.common.clock import Clock, seconds, steady
+from elmthread.common.http import Caller, Client, ConnectionLimit, Request, Response, Server
+from elmthread.common.load import Load
+from elmthread.leader import Leader, NodeServices
+from elmthread.leadership.election import Election, Role
+from elmthread.limits import (
     LEADERS_PART,
     LEASE,
     OTHERS_PART,
@@ -16,11 +21,6 @@
     holding_time,
     users_at_once,
 )
-from elmthread.common.clock import Clock, seconds, steady
-from elmthread.common.http import Caller, Client, ConnectionLimit, Request, Response, Server
-from elmthread.common.load import Load
-from elmthread.leader import Leader, NodeServices
-from elmthread.leadership.election import Election, Role
 from elmthread.machines.service import QUIET
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -9,14 +9,14 @@
 from elmthread.api.service import Intake
 from elmthread.autoscaling.service import Sizing
 from elmthread.autoscaling.work import WorkModel
-from elmthread.budgets import (
-    LEADERS_PART,
-    users_at_once,
-)
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.http import Caller
 from elmthread.common.load import Kind, Load
 from elmthread.leadership.election import Election, Term
+from elmthread.limits import (
+    LEADERS_PART,
+    users_at_once,
+)
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import Fleet
 from elmthread.placement.cluster import ClusterState, Job
