--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from elmthread.api.messages import DAEMON, Submission
+from elmthread.cluster.state import Job
 from elmthread.common.clock import ZERO
 from elmthread.machines.messages import Type
-from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.rollout.features import ActiveFeatures, Feature
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -10,9 +10,9 @@
 
 from elmthread.autoscaling.decide import Band, Group, Offer, Supply, band, dear, fewest, refill
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
+from elmthread.cluster.state import Allocation, ClusterState, Job, Machine, MachineState, Stop
 from elmthread.common.clock import Clock, seconds
 from elmthread.machines.service import Fleet, Kind
-from elmthread.placement.cluster import Allocation, ClusterState, Job, Machine, MachineState, Stop
 from elmthread.placement.decide import FreeCapacity, TaskRequest, TeamAllowance, allowed
 from elmthread.placement.service import Placement
 from elmthread.settings.operators import Operators
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -8,8 +8,8 @@
 import pytest
 
 from elmthread.autoscaling.service import Sizing
+from elmthread.cluster.state import Job, Machine, MachineState
 from elmthread.machines.service import Fleet
-from elmthread.placement.cluster import Job, Machine, MachineState
 from elmthread.placement.decide import allowed
 from tests.test_world import day
 from tests.world.world import World, job
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -9,6 +9,7 @@
 from elmthread.api.service import Intake
 from elmthread.autoscaling.service import Sizing
 from elmthread.autoscaling.work import WorkModel
+from elmthread.cluster.state import ClusterState, Job
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.http import Caller
 from elmthread.common.load import Kind, Load
@@ -19,7 +20,6 @@
 )
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import Fleet
-from elmthread.placement.cluster import ClusterState, Job
 from elmthread.placement.service import Placement
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -14,10 +14,10 @@
 from functools import partial
 from typing import Any
 
+from elmthread.cluster.state import ClusterState, Machine, MachineState
 from elmthread.common.clock import ZERO, Clock, at_least, seconds
 from elmthread.machines import messages
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
-from elmthread.placement.cluster import ClusterState, Machine, MachineState
 from elmthread.reachability.census import Census
 from elmthread.store.records import (
     RentalRecord,
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -8,8 +8,7 @@
 from datetime import timedelta
 
 from elmthread.autoscaling.decide import Line, jobs_to_put_off
-from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.placement.cluster import (
+from elmthread.cluster.state import (
     Allocation,
     AllocationState,
     ClusterState,
@@ -20,6 +19,7 @@
     entry_size,
     task_size,
 )
+from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.placement.decide import (
     FreeCapacity,
     PreemptionCandidate,
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -5,8 +5,8 @@
 from datetime import UTC, datetime
 
 from elmthread.api.messages import read_submission
+from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
-from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.placement.service import BEGIN, PART, Placement
 from elmthread.settings.platform import Team
 from tests.world.world import job as wire
--- a/src/elmthread/reachability/census.py
+++ b/src/elmthread/reachability/census.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from elmthread.cluster.state import Machine, MachineState
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.placement.cluster import Machine, MachineState
 
 # Counts this old are good enough for all who judge by them.
 LIFETIME = seconds(0.4)
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from elmthread.placement.cluster import Machine
+from elmthread.cluster.state import Machine
 from elmthread.rollout.features import ActiveFeatures, Feature, SupportedLevels
 from elmthread.store.log import text_of, weight
 from elmthread.store.records import machine_key
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -11,9 +11,9 @@
 
 from elmthread.api.jobs import Jobs
 from elmthread.api.messages import BATCH, Submission
+from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import Clock, seconds
 from elmthread.machines.messages import Type
-from elmthread.placement.cluster import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.term import TermRollout
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from elmthread.api.messages import Submission
+from elmthread.cluster.state import Job, JobState
 from elmthread.machines.messages import Type
-from elmthread.placement.cluster import Job, JobState
 from elmthread.store.log import text_of, weight
 
 LEADER = "leader"
--- a/src/elmthread/workers/health.py
+++ b/src/elmthread/workers/health.py
@@ -9,8 +9,8 @@
 
 from datetime import timedelta
 
+from elmthread.cluster.state import Allocation, AllocationState, Job, Machine
 from elmthread.common.clock import ZERO, seconds
-from elmthread.placement.cluster import Allocation, AllocationState, Job, Machine
 
 FIRST_PAUSE = seconds(2)
 LONGEST_PAUSE = seconds(120)
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -15,10 +15,7 @@
 import msgspec
 
 from elmthread.autoscaling.work import WorkModel
-from elmthread.common.clock import Clock, at_least, seconds
-from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
-from elmthread.leadership.election import Term
-from elmthread.placement.cluster import (
+from elmthread.cluster.state import (
     SEEN,
     Allocation,
     AllocationState,
@@ -28,6 +25,9 @@
     MachineState,
     Stop,
 )
+from elmthread.common.clock import Clock, at_least, seconds
+from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
+from elmthread.leadership.election import Term
 from elmthread.reachability.strays import Stray
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.assignments import machine_record
--- a/src/elmthread/workers/tests/test_health.py
+++ b/src/elmthread/workers/tests/test_health.py
@@ -3,8 +3,8 @@
 from datetime import UTC, datetime
 
 from elmthread.api.messages import read_submission
+from elmthread.cluster.state import AllocationState, ClusterState, Job, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
-from elmthread.placement.cluster import AllocationState, ClusterState, Job, Machine, MachineState
 from elmthread.workers.health import FIRST_PAUSE, STEADY, Health
 from tests.world.world import job as wire
 
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -9,8 +9,8 @@
 
 from elmthread.api.jobs import Jobs
 from elmthread.api.messages import read_submission
+from elmthread.cluster.state import Job
 from elmthread.common.clock import seconds
-from elmthread.placement.cluster import Job
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.rollout.features import ActiveFeatures
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from elmthread.cluster.state import Machine
 from elmthread.common.clock import seconds
 from elmthread.peers.messages import ForwardedRequest
-from elmthread.placement.cluster import Machine
 from tests.test_world import day, restore, set_apart
 from tests.world.world import World, job, start
 
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -16,7 +16,7 @@
 
 from bitarray.util import sc_decode
 
-from elmthread.placement.cluster import JobState
+from elmthread.cluster.state import JobState
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.store.loading import Loader
