--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from elmthread.common.clock import seconds
-from elmthread.common.http import Answer, Client, NoResponseError
+from elmthread.net.http import Answer, Client, NoResponseError
 
 CALL_TIME = seconds(5)
 
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -9,9 +9,9 @@
 from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
 from elmthread.api.service import Intake
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.common.http import UNSURE, MalformedBodyError, Request, Response, again, decode
 from elmthread.common.load import Kind, Load
 from elmthread.leadership.election import Election
+from elmthread.net.http import UNSURE, MalformedBodyError, Request, Response, again, decode
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
 from elmthread.rollout.gate import CompatibilityGate
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -10,8 +10,8 @@
 from elmthread.api.messages import Submission
 from elmthread.cluster.state import ClusterState, Job, JobState, Machine
 from elmthread.common.clock import ZERO, Clock, at_most, seconds
-from elmthread.common.http import Response, again
 from elmthread.leadership.election import Term
+from elmthread.net.http import Response, again
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.done_marks import done_record
 from elmthread.store.records import done_key, job_key, job_record
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -9,7 +9,7 @@
 from elmthread.api.service import DURABLE_TIME, Intake
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
-from elmthread.common.http import Response
+from elmthread.net.http import Response
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.writer import Rank
 from tests.world.loop import SimLoop, play
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -8,7 +8,6 @@
 from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, Api
 from elmthread.api.service import Intake
 from elmthread.common.clock import Clock, seconds, steady
-from elmthread.common.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.common.load import Load
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
@@ -22,6 +21,7 @@
     users_at_once,
 )
 from elmthread.machines.service import QUIET
+from elmthread.net.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.bounds import ReachabilityBounds
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -11,7 +11,6 @@
 from elmthread.autoscaling.work import WorkModel
 from elmthread.cluster.state import ClusterState, Job
 from elmthread.common.clock import Clock, seconds
-from elmthread.common.http import Caller
 from elmthread.common.load import Kind, Load
 from elmthread.leadership.election import Election, Term
 from elmthread.limits import (
@@ -20,6 +19,7 @@
 )
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import Fleet
+from elmthread.net.http import Caller
 from elmthread.placement.service import Placement
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -9,8 +9,8 @@
 import pytest
 
 from elmthread.common.clock import seconds
-from elmthread.common.http import Answer, NoResponseError
 from elmthread.leadership.election import Election, Role, Term
+from elmthread.net.http import Answer, NoResponseError
 from elmthread.store.client import StateClient
 from elmthread.store.pacing import TokenBucket
 from tests.world.loop import SimLoop, play
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from elmthread.common.clock import seconds
-from elmthread.common.http import Answer, Caller, NoResponseError
 from elmthread.machines import messages
+from elmthread.net.http import Answer, Caller, NoResponseError
 from elmthread.store.pacing import TokenBucket
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,10 +7,10 @@
 
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
-from elmthread.common.http import Answer
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed, Type
 from elmthread.machines.service import MISSING, Fleet, Kind
+from elmthread.net.http import Answer
 from elmthread.reachability.census import Census
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import Rank
--- a/src/elmthread/common/tests/test_http.py
+++ b/src/elmthread/net/tests/test_http.py
@@ -8,9 +8,9 @@
 import h11
 import pytest
 
-from elmthread.common import http
 from elmthread.common.clock import seconds
-from elmthread.common.http import Client, ConnectionLimit, NoResponseError, NotSentError, Request, Response, Server
+from elmthread.net import http
+from elmthread.net.http import Client, ConnectionLimit, NoResponseError, NotSentError, Request, Response, Server
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.common.http import Request, Response
+from elmthread.net.http import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import ReachabilityBounds
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from elmthread.common.clock import Clock
-from elmthread.common.http import MalformedBodyError, Request, Response, decode
+from elmthread.net.http import MalformedBodyError, Request, Response, decode
 from elmthread.workers.messages import Sender, elsewhere
 
 # How many machines are named, the last that came.
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -5,7 +5,7 @@
 import time
 
 from elmthread.common.clock import steady
-from elmthread.common.http import Client
+from elmthread.net.http import Client
 from elmthread.rollout.decide import Activate, plan_activation
 from elmthread.rollout.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.rollout.messages import UnreadableLevelError, read_view
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
-from elmthread.common.http import Answer, Caller, NoResponseError
+from elmthread.net.http import Answer, Caller, NoResponseError
 from elmthread.store import messages
 from elmthread.store.pacing import TokenBucket
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -26,8 +26,8 @@
     Stop,
 )
 from elmthread.common.clock import Clock, at_least, seconds
-from elmthread.common.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.leadership.election import Term
+from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.reachability.strays import Stray
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.assignments import machine_record
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from elmthread.common.http import Server
+from elmthread.net.http import Server
 from elmthread.placement import decide
 from elmthread.workers.service import Agents
 from tests.test_world import day
--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from elmthread.common.http import Response
+from elmthread.net.http import Response
 from tests.world.world import NODES, World
 
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -8,9 +8,9 @@
 from datetime import timedelta
 from typing import Any
 
-from elmthread.common.http import Answer, Request, Response
 from elmthread.controller import Controller
 from elmthread.limits import LEASE
+from elmthread.net.http import Answer, Request, Response
 from elmthread.workers.messages import HEARTBEAT_PATH
 from tests.world.services import Port
 from tests.world.world import World
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -7,7 +7,7 @@
 
 import cbor2
 
-from elmthread.common.http import Request
+from elmthread.net.http import Request
 from tests.world.world import ZONES, World, job
 
 Trouble = Callable[["Stage"], Coroutine[Any, Any, None]]
--- a/tests/world/services.py
+++ b/tests/world/services.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from elmthread.common.http import Answer, NoResponseError, NotSentError
+from elmthread.net.http import Answer, NoResponseError, NotSentError
 from tests.world.loop import SimLoop
 
 
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -12,8 +12,8 @@
 
 import cbor2
 
-from elmthread.common.http import UNSURE, Request, Response
 from elmthread.controller import Controller
+from elmthread.net.http import UNSURE, Request, Response
 from elmthread.peers.link import Peers
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
 from elmthread.rollout.features import SUPPORTED, SupportedLevels
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -16,7 +16,7 @@
 
 import cbor2
 
-from elmthread.common.http import Client, NoResponseError, Request, Response, Server, decode
+from elmthread.net.http import Client, NoResponseError, Request, Response, Server, decode
 from tests.world.rules import Rules
 from tests.world.services import CloudStand, Rented, Service, StateStore
 from tests.world.workers import Worker
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from elmthread.common.http import Client, NoResponseError
+from elmthread.net.http import Client, NoResponseError
 from tests.world.world import job, sent
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
 
@@ -35,7 +35,7 @@
 OUTAGE_S = 8.0
 
 DUTIES = (
-    ("common/http.py", "requests and answers"),
+    ("net/http.py", "requests and answers"),
     ("httptools", "requests and answers"),
     ("h11", "calls of our own"),
     ("cbor2", "CBOR"),
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from elmthread.common.http import Client, NoResponseError
+from elmthread.net.http import Client, NoResponseError
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns, free_ports, real_loop
 from tools.processes import Node
 from tools.users import Users, Waits
--- a/tools/users.py
+++ b/tools/users.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elmthread.common.http import Answer, Client, NoResponseError
+from elmthread.net.http import Answer, Client, NoResponseError
 from tests.world.world import job, sent
 from tools.loopback import CALL_TIME, StandIns
 
