--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -54,7 +54,7 @@
             "priority": spec.priority,
             "tasks": spec.tasks,
             "cpus": spec.cpus,
-            "cards": spec.cards,
+            "cards": spec.gpus,
             "ram_gb": spec.ram_gb,
             "expected_s": spec.expected_s,
             "due_s": spec.due_s or 0.0,
@@ -85,7 +85,7 @@
             # A batch's tasks may take turns, replicas can't.
             count=spec.tasks if spec.form == DAEMON else 1,
             cpus=spec.cpus,
-            cards=spec.cards,
+            gpus=spec.gpus,
             ram=spec.ram_gb,
             types=None if spec.types is None else frozenset(spec.types),
             zone=spec.zone,
@@ -93,5 +93,5 @@
         record = job_record(self.new(spec, ZERO))
         if weight(job_key(spec.id), text_of(record)) > self._most_record:
             return "its record is larger than the state service takes"
-        types = [(t.name, t.cpus, t.cards, t.memory_gb, t.zones) for t in kinds]
+        types = [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in kinds]
         return may_ever_run(request, team, types)
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -29,6 +29,7 @@
         "team": "crew",
         "priority": "urgency",
         "tasks": "pieces",
+        "gpus": "cards",
         "image": "kit",
         "image_gb": "size_gb",
         "types": "builds",
@@ -47,7 +48,7 @@
     priority: Literal["production", "high", "normal", "best_effort"]
     tasks: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)]
     cpus: Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
-    cards: Amount
+    gpus: Amount
     ram_gb: Amount
     image: Name
     image_gb: Amount
@@ -66,7 +67,17 @@
         return self.checkpoint_s > 0
 
 
-_AMOUNTS = ("cpus", "cards", "ram_gb", "image_gb", "expected_s", "checkpoint_s", "save_s", "due_s")
+# Amounts that must be finite, by the name that an error gives them.
+_AMOUNTS = {
+    "cpus": "cpus",
+    "cards": "gpus",
+    "ram_gb": "ram_gb",
+    "image_gb": "image_gb",
+    "expected_s": "expected_s",
+    "checkpoint_s": "checkpoint_s",
+    "save_s": "save_s",
+    "due_s": "due_s",
+}
 
 
 def job_id_of(body: Any) -> str:
@@ -85,10 +96,10 @@
         job = msgspec.convert(body, Submission)
     except (msgspec.ValidationError, TypeError, ValueError, OverflowError) as error:
         raise InvalidSubmissionError(str(error)) from error
-    for field in _AMOUNTS:
+    for name, field in _AMOUNTS.items():
         value = getattr(job, field)
         if value is not None and not math.isfinite(value):
-            raise InvalidSubmissionError(f"{field}: not a finite number")
+            raise InvalidSubmissionError(f"{name}: not a finite number")
     if job.types is not None and len(job.types) > 100:
         raise InvalidSubmissionError("builds: too many")
     return job
--- a/src/elmthread/autoscaling/decide.py
+++ b/src/elmthread/autoscaling/decide.py
@@ -65,7 +65,7 @@
     price: float  # an hour
     boot: float
     most: int = 50
-    cards: float = 0.0
+    gpus: float = 0.0
     ram: float = math.inf
 
 
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -154,7 +154,7 @@
                     m.zone,
                     m.spot,
                     m.cpus - m.urgent_cpus,
-                    m.cards - m.cards_used * firm_part,
+                    m.gpus - m.gpus_used * firm_part,
                     m.ram - m.ram_used * firm_part,
                 )
             )
@@ -163,7 +163,7 @@
             if kind is not None:
                 where = (order.kind.build, order.kind.zone, order.kind.spot)
                 slots += [
-                    FreeCapacity(f"{order.name}+{number}", *where, kind.cpus, kind.cards, kind.memory_gb)
+                    FreeCapacity(f"{order.name}+{number}", *where, kind.cpus, kind.gpus, kind.memory_gb)
                     for number in range(order.count)
                 ]
         return slots
@@ -177,7 +177,7 @@
         # small for a task, would make a group look on time that can't start at all.
         kinds: dict[tuple[Any, ...], list[TaskRequest]] = {}
         for request in requests:
-            kinds.setdefault((request.types, request.zone, request.spot, request.cpus, request.cards), []).append(
+            kinds.setdefault((request.types, request.zone, request.spot, request.cpus, request.gpus), []).append(
                 request
             )
         alike: dict[tuple[Any, ...], list[TaskRequest]] = {}
@@ -208,7 +208,7 @@
             for kind, machines in self._serving.items()
             if allowed(request, *kind)
             and request.cpus <= machines[0].cpus
-            and request.cards <= machines[0].cards
+            and request.gpus <= machines[0].gpus
             and request.ram <= machines[0].ram
             for machine in machines
         )
@@ -348,7 +348,7 @@
                     if any(
                         allowed(request, kind.name, zone, spot)
                         and request.cpus <= kind.cpus
-                        and request.cards <= kind.cards
+                        and request.gpus <= kind.gpus
                         and request.ram <= kind.memory_gb
                         for request in waiting
                     ):
@@ -361,7 +361,7 @@
                                 kind.cpus,
                                 price,
                                 kind.boot_s * BOOT,
-                                cards=kind.cards,
+                                gpus=kind.gpus,
                                 ram=kind.memory_gb,
                             )
                         )
--- a/src/elmthread/autoscaling/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -65,7 +65,7 @@
                 fit,
                 key=lambda offer: (request.zones.get(offer.zone, 0), round(offer.price / offer.cores, 3), -offer.cores),
             )
-            slot = FreeCapacity(f"+{len(slots)}", best.build, best.zone, best.spot, best.cores, best.cards, best.ram)
+            slot = FreeCapacity(f"+{len(slots)}", best.build, best.zone, best.spot, best.cores, best.gpus, best.ram)
             before = request.count
             place([request], [slot], allowances)
             if request.count == before:
@@ -80,7 +80,7 @@
         allowed(request, offer.build, offer.zone, offer.spot)
         and request.zones.get(offer.zone, 0) < request.zone_most
         and request.cpus <= offer.cores
-        and request.cards <= offer.cards
+        and request.gpus <= offer.gpus
         and request.ram <= offer.ram
     )
 
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -55,7 +55,7 @@
                 if machine.serves(now)
                 and allowed(request, machine.build, machine.zone, machine.spot)
                 and request.cpus <= machine.cpus
-                and request.cards <= machine.cards
+                and request.gpus <= machine.gpus
                 and request.ram <= machine.ram
             }
             assert set(found) == plain and len(found) == len(plain)
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -211,8 +211,8 @@
         "answered_at",
         "answers_arrive",
         "build",
-        "cards",
-        "cards_used",
+        "gpus",
+        "gpus_used",
         "cpus",
         "cpus_used",
         "cut",
@@ -256,14 +256,14 @@
         self.zone = zone
         self.spot = spot
         self.state = state
-        self.cpus = self.cards = self.ram = 0.0
+        self.cpus = self.gpus = self.ram = 0.0
         # Cores held by urgent work, and of these by replicas, which have no end; for sizing.
         self.urgent_cpus = 0.0
         self.standing_cpus = 0.0
         # Tasks held, by job, and the bytes that the machine's record takes at most.
         self.tasks_of: dict[str, int] = {}
         self.record_size = 0
-        self.cpus_used = self.cards_used = self.ram_used = 0.0
+        self.cpus_used = self.gpus_used = self.ram_used = 0.0
         self.fetch_rate = 1.0
         self.price = 0.0
         self.allocations: dict[int, Allocation] = {}
@@ -359,7 +359,7 @@
         # Machines whose deletion was answered, and when: late lists and reports still name them.
         self.gone: dict[str, timedelta] = {}
         self.cpus_of: dict[str, float] = {}
-        self.cards_of: dict[str, float] = {}
+        self.gpus_by_team: dict[str, float] = {}
         self.most_record = most_record
         self._frame = frame
 
@@ -402,10 +402,10 @@
             machine.record_size += entry_size(job.id)
         machine.tasks_of[job.id] = machine.tasks_of.get(job.id, 0) + 1
         machine.record_size += task_size(task, attempt)
-        machine.cards_used += spec.cards
+        machine.gpus_used += spec.gpus
         machine.ram_used += spec.ram_gb
         self.cpus_of[spec.team] = self.cpus_of.get(spec.team, 0.0) + spec.cpus
-        self.cards_of[spec.team] = self.cards_of.get(spec.team, 0.0) + spec.cards
+        self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + spec.gpus
         job.held[task] = job.held.get(task, 0) + 1
         job.live[attempt] = allocation
         job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
@@ -427,14 +427,14 @@
             machine.record_size -= entry_size(job.id)
         if allocation.state is AllocationState.RUNNING:
             job.running -= 1
-        machine.cards_used -= spec.cards
+        machine.gpus_used -= spec.gpus
         machine.ram_used -= spec.ram_gb
         if not machine.allocations:
-            machine.cpus_used = machine.cards_used = machine.ram_used = 0.0
+            machine.cpus_used = machine.gpus_used = machine.ram_used = 0.0
             machine.urgent_cpus = machine.standing_cpus = 0.0
             machine.empty_since = now
         self.cpus_of[spec.team] -= spec.cpus
-        self.cards_of[spec.team] -= spec.cards
+        self.gpus_by_team[spec.team] -= spec.gpus
         del job.live[allocation.attempt]
         job.zones[machine.zone] -= 1
         if not job.zones[machine.zone]:
--- a/src/elmthread/machines/messages.py
+++ b/src/elmthread/machines/messages.py
@@ -7,13 +7,13 @@
 
 class Type(
     msgspec.Struct,
-    rename={"memory_gb": "ram_gb", "price": "rate", "boot_s": "ready_s", "zones": "yards"},
+    rename={"gpus": "cards", "memory_gb": "ram_gb", "price": "rate", "boot_s": "ready_s", "zones": "yards"},
 ):
     """A type of machine, as the cloud describes it."""
 
     name: str
     cpus: float
-    cards: float
+    gpus: float
     memory_gb: float
     cache_gb: float
     fetch_gb_per_s: float
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -138,7 +138,7 @@
     def describe(self, machine: Machine) -> None:
         kind = self.types.get(machine.build)
         if kind is not None:
-            machine.cpus, machine.cards, machine.ram = kind.cpus, kind.cards, kind.memory_gb
+            machine.cpus, machine.gpus, machine.ram = kind.cpus, kind.gpus, kind.memory_gb
             machine.fetch_rate = max(kind.fetch_gb_per_s, 0.001)
             machine.price = kind.spot_price if machine.spot else kind.price
 
--- a/src/elmthread/placement/decide.py
+++ b/src/elmthread/placement/decide.py
@@ -19,7 +19,7 @@
     zone: str
     spot: bool
     cpus: float
-    cards: float
+    gpus: float
     ram: float
     price: float = 0.0  # an hour and core
     fetch_rate: float = 1.0
@@ -39,7 +39,7 @@
     order: tuple[float, ...]
     count: int
     cpus: float
-    cards: float
+    gpus: float
     ram: float
     image: str = ""
     image_gb: float = 0.0
@@ -69,7 +69,7 @@
     """What a team may still use."""
 
     cpus: float = math.inf
-    cards: float = math.inf
+    gpus: float = math.inf
 
 
 TINY = 1e-6
@@ -100,8 +100,8 @@
     cpus = min(slot.cpus, allowance.cpus)
     if request.cpus > 0:
         count = min(count, int(cpus / request.cpus + TINY))
-    if request.cards > 0:
-        count = min(count, int(min(slot.cards, allowance.cards) / request.cards + TINY))
+    if request.gpus > 0:
+        count = min(count, int(min(slot.gpus, allowance.gpus) / request.gpus + TINY))
     if request.ram > 0:
         count = min(count, int(slot.ram / request.ram + TINY))
     if request.zone_most < math.inf:
@@ -239,7 +239,7 @@
     request.count -= count
     request.zones[slot.zone] = request.zones.get(slot.zone, 0) + count
     slot.cpus -= count * request.cpus
-    slot.cards -= count * request.cards
+    slot.gpus -= count * request.gpus
     slot.ram -= count * request.ram
     slot.record_left -= request.entry + count * request.each
     if request.machine_most < math.inf:
@@ -247,7 +247,7 @@
     if request.image not in slot.images:
         slot.coming.add(request.image)
     allowance.cpus -= count * request.cpus
-    allowance.cards -= count * request.cards
+    allowance.gpus -= count * request.gpus
 
 
 @dataclass(slots=True)
@@ -258,7 +258,7 @@
     machine: str
     team: str
     cpus: float
-    cards: float
+    gpus: float
     ram: float
     loss: timedelta = ZERO
     rank: int = 9
@@ -282,7 +282,7 @@
         slot = slots.get(candidate.machine)
         if slot is not None:
             slot.cpus += candidate.cpus
-            slot.cards += candidate.cards
+            slot.gpus += candidate.gpus
             slot.ram += candidate.ram
         chosen.append(candidate)
 
@@ -296,7 +296,7 @@
             if allowance.cpus + TINY >= request.count * request.cpus:
                 break
             allowance.cpus += candidate.cpus
-            allowance.cards += candidate.cards
+            allowance.gpus += candidate.gpus
             stop(candidate)
         if chosen:
             place([request], slots.values(), {request.team: allowance})
@@ -337,15 +337,15 @@
     request: TaskRequest, slot: FreeCapacity, held: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
     """The cheapest candidates on one machine whose room, with what is free, takes one task."""
-    cpus, cards, ram = slot.cpus, slot.cards, slot.ram
+    cpus, gpus, ram = slot.cpus, slot.gpus, slot.ram
     some: list[PreemptionCandidate] = []
     for candidate in sorted((one for one in held if one.rank > request.rank), key=lambda candidate: candidate.loss):
-        if cpus + TINY >= request.cpus and cards + TINY >= request.cards and ram + TINY >= request.ram:
+        if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.ram:
             break
         some.append(candidate)
         cpus += candidate.cpus
-        cards += candidate.cards
+        gpus += candidate.gpus
         ram += candidate.ram
-    if cpus + TINY >= request.cpus and cards + TINY >= request.cards and ram + TINY >= request.ram:
+    if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.ram:
         return some
     return None
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -117,13 +117,13 @@
                 self._make_room(urgent, allowances, now)
 
     def limit(self, team: str) -> float:
-        return self._teams[team].cpu_limit if team in self._teams else math.inf
+        return self._teams[team].cpu_quota if team in self._teams else math.inf
 
     def allowances(self) -> dict[str, TeamAllowance]:
         return {
             name: TeamAllowance(
-                team.cpu_limit - self._cluster.cpus_of.get(name, 0.0),
-                team.card_limit - self._cluster.cards_of.get(name, 0.0),
+                team.cpu_quota - self._cluster.cpus_of.get(name, 0.0),
+                team.gpu_quota - self._cluster.gpus_by_team.get(name, 0.0),
             )
             for name, team in self._teams.items()
         }
@@ -213,7 +213,7 @@
             each = self._expected(job).total_seconds()
             # Of what runs, about half is still to do.
             work = (len(job.pending) + len(job.live) / 2) * job.spec.cpus * each
-            own = max(each, work / team.cpu_limit) if job.pending else 0.0
+            own = max(each, work / team.cpu_quota) if job.pending else 0.0
             if (job.since + job.deadline - now).total_seconds() < own:
                 job.aim = job.latest
             if job.urgent:
@@ -223,7 +223,7 @@
             lines.setdefault(team.name, []).append(Line(job.id, due, work, own))
         last: set[str] = set()
         for name, line in lines.items():
-            own_cores = self._teams[name].cpu_limit - standing.get(name, 0.0)
+            own_cores = self._teams[name].cpu_quota - standing.get(name, 0.0)
             if own_cores > 0:
                 last |= jobs_to_put_off(line, own_cores, urgent.get(name, 0.0))
         cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.serves(now))
@@ -241,7 +241,7 @@
             order=order,
             count=count,
             cpus=spec.cpus,
-            cards=spec.cards,
+            gpus=spec.gpus,
             ram=spec.ram_gb,
             image=spec.image,
             image_gb=spec.image_gb,
@@ -272,10 +272,10 @@
                 if allocation.stop is not None:
                     # Already on its way out: its room is not asked for twice.
                     slot.cpus += spec.cpus
-                    slot.cards += spec.cards
+                    slot.gpus += spec.gpus
                     slot.ram += spec.ram_gb
                     allowances[spec.team].cpus += spec.cpus
-                    allowances[spec.team].cards += spec.cards
+                    allowances[spec.team].gpus += spec.gpus
                 elif (
                     not allocation.job.urgent
                     and allocation.state is not AllocationState.SAVING
@@ -287,7 +287,7 @@
                             machine.name,
                             spec.team,
                             spec.cpus,
-                            spec.cards,
+                            spec.gpus,
                             spec.ram_gb,
                             self._loss(allocation, now),
                             allocation.job.rank,
@@ -376,7 +376,7 @@
         zone=machine.zone,
         spot=machine.spot,
         cpus=machine.free,
-        cards=machine.cards - machine.cards_used,
+        gpus=machine.gpus - machine.gpus_used,
         ram=machine.ram - machine.ram_used,
         price=machine.core_price,
         fetch_rate=machine.fetch_rate,
@@ -396,14 +396,14 @@
 
     `types`: name, cpus, cards, memory, zones.
     """
-    if job.cpus * job.count > limit.cpu_limit or job.cards * job.count > limit.card_limit:
+    if job.cpus * job.count > limit.cpu_quota or job.gpus * job.count > limit.gpu_quota:
         who = "one task needs" if job.count == 1 else "its replicas together need"
         return f"{who} more than the team's limit"
-    for name, cpus, cards, ram, zones in types:
+    for name, cpus, gpus, ram, zones in types:
         if job.types is not None and name not in job.types:
             continue
         if job.zone is not None and job.zone not in zones:
             continue
-        if job.cpus <= cpus and job.cards <= cards and job.ram <= ram:
+        if job.cpus <= cpus and job.gpus <= gpus and job.ram <= ram:
             return None
     return "a task fits no allowed machine type"
--- a/src/elmthread/placement/tests/plain.py
+++ b/src/elmthread/placement/tests/plain.py
@@ -81,11 +81,11 @@
         candidate = own.pop(0)
         by_machine[candidate.machine].remove(candidate)
         allowance.cpus += candidate.cpus
-        allowance.cards += candidate.cards
+        allowance.gpus += candidate.gpus
         slot = slots.get(candidate.machine)
         if slot is not None:
             slot.cpus += candidate.cpus
-            slot.cards += candidate.cards
+            slot.gpus += candidate.gpus
             slot.ram += candidate.ram
         chosen.append(candidate)
     if chosen:
@@ -110,7 +110,7 @@
         for candidate in some:
             by_machine[slot.name].remove(candidate)
             slot.cpus += candidate.cpus
-            slot.cards += candidate.cards
+            slot.gpus += candidate.gpus
             slot.ram += candidate.ram
         chosen += some
         take(request, slot, allowance, 1)
--- a/src/elmthread/placement/tests/test_decide.py
+++ b/src/elmthread/placement/tests/test_decide.py
@@ -29,7 +29,7 @@
         zone=st.sampled_from(["x", "y"]),
         spot=st.booleans(),
         cpus=st.integers(0, 8).map(float),
-        cards=st.just(0.0),
+        gpus=st.just(0.0),
         ram=st.integers(1, 8).map(float),
     ),
     max_size=5,
@@ -43,7 +43,7 @@
         order=st.tuples(st.integers(0, 3).map(float)),
         count=st.integers(1, 6),
         cpus=st.sampled_from([1.0, 1.5, 2.0]),
-        cards=st.just(0.0),
+        gpus=st.just(0.0),
         ram=st.sampled_from([0.5, 1.0]),
         types=st.none() | st.just(frozenset({"l"})),
         zone=st.none() | st.just("x"),
@@ -104,19 +104,19 @@
 
 
 def request(job: str, count: int, cpus: float, team: str = "t", urgent: bool = False) -> TaskRequest:
-    return TaskRequest(job=job, team=team, order=(0.0,), count=count, cpus=cpus, cards=0.0, ram=0.1, urgent=urgent)
+    return TaskRequest(job=job, team=team, order=(0.0,), count=count, cpus=cpus, gpus=0.0, ram=0.1, urgent=urgent)
 
 
 def test_room_under_a_limit_gathers_for_urgent_work() -> None:
     """One core at a time came free and went to one-core tasks, so the two-core urgent one starved."""
-    slot = FreeCapacity("m", "s", "x", False, cpus=8.0, cards=0.0, ram=8.0)
+    slot = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, ram=8.0)
     allowances = {"t": TeamAllowance(1.0)}
     urgent, other = request("u", 1, 2.0, urgent=True), request("o", 5, 1.0)
     assert place([urgent, other], [slot], allowances) == []
 
 
 def test_team_at_its_limit_makes_room_itself() -> None:
-    slots = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, cards=0.0, ram=8.0)}
+    slots = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, ram=8.0)}
     candidates = [PreemptionCandidate(n, "m", team, 1.0, 0.0, 0.1) for n, team in enumerate(["t", "v", "t", "t"])]
     chosen = preempt(request("u", 1, 2.0, urgent=True), slots, {"m": candidates}, TeamAllowance(0.0))
     assert [candidate.team for candidate in chosen] == ["t", "t"]
@@ -129,7 +129,7 @@
         PreemptionCandidate(n, "m", "other", float(cpus), 0.0, 0.0, timedelta(seconds=loss))
         for n, (cpus, loss) in enumerate(held)
     ]
-    slot = FreeCapacity("m", "s", "x", False, cpus=float(free), cards=0.0, ram=9.0)
+    slot = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, ram=9.0)
     chosen = preempt(request("u", 1, float(need)), {"m": slot}, {"m": list(candidates)}, TeamAllowance())
     if free + sum(cpus for cpus, _ in held) < need or free >= need:
         assert chosen == []
@@ -156,7 +156,7 @@
                 zone=rng.choice("xyz"),
                 spot=spot,
                 cpus=float(rng.randint(0, int(cores))),
-                cards=0.0,
+                gpus=0.0,
                 ram=cores * 2,
                 price=price if spot else price * 2.5,
                 fetch_rate=rate,
@@ -176,7 +176,7 @@
                 order=(0.0 if urgent else 1.0, float(number)),
                 count=rng.randint(1, 60),
                 cpus=rng.choice([1.0, 2.0, 3.0]),
-                cards=0.0,
+                gpus=0.0,
                 ram=rng.choice([1.0, 3.0]),
                 image=f"i{rng.randint(0, 7)}",
                 image_gb=rng.uniform(0.5, 3.0),
@@ -262,7 +262,7 @@
     """A service of a low priority is urgent, but takes no room from what is as important."""
     for rank, others in ((0, [1, 2, 3]), (2, [3]), (3, [])):
         held = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
-        slot = FreeCapacity("m", "s", "x", False, cpus=0.0, cards=0.0, ram=9.0)
+        slot = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, ram=9.0)
         need = request("u", 3, 2.0, urgent=True)
         need.rank = rank
         chosen = preempt(need, {"m": slot}, {"m": held}, TeamAllowance())
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -29,24 +29,24 @@
     state: str
 
 
-class Team(msgspec.Struct, rename={"cards": "gpus", "cards_max": "gpus_max"}):
+class Team(msgspec.Struct):
     """Guarantee and limit of a team; 0 means that there is none."""
 
     name: str
     cpus: float = 0.0
     cpus_max: float = 0.0
-    cards: float = 0.0
-    cards_max: float = 0.0
+    gpus: float = 0.0
+    gpus_max: float = 0.0
 
     @property
-    def cpu_limit(self) -> float:
+    def cpu_quota(self) -> float:
         """The most cores that the team may use."""
         return self.cpus_max or math.inf
 
     @property
-    def card_limit(self) -> float:
+    def gpu_quota(self) -> float:
         """The most GPUs that the team may use."""
-        return self.cards_max or math.inf
+        return self.gpus_max or math.inf
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
@@ -237,7 +237,7 @@
         if not (math.isfinite(value) and value > 0):
             raise SettingsError(f"{name}: must be above 0, is {value}")
     for team in facts.teams:
-        for field in ("cpus", "cpus_max", "cards", "cards_max"):
+        for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
             value = getattr(team, field)
             if not (math.isfinite(value) and value >= 0):
                 raise SettingsError(f"facts.teams.{team.name}.{field}: must be 0 or more, is {value}")
--- a/src/elmthread/settings/tests/test_settings.py
+++ b/src/elmthread/settings/tests/test_settings.py
@@ -14,8 +14,8 @@
 
 def test_platform_file_with_unknown_fields() -> None:
     parsed = platform.parse("colour = 1\n" + GOOD)
-    assert parsed.node == "loom-0" and parsed.facts.teams[0].cpu_limit == 12.0
-    assert parsed.facts.teams[1].cpu_limit == float("inf")  # 0: no limit
+    assert parsed.node == "loom-0" and parsed.facts.teams[0].cpu_quota == 12.0
+    assert parsed.facts.teams[1].cpu_quota == float("inf")  # 0: no limit
 
 
 @pytest.mark.parametrize(
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -189,7 +189,7 @@
         priority="normal",
         tasks=tasks,
         cpus=1.0,
-        cards=0.0,
+        gpus=0.0,
         ram_gb=0.0,
         image="-",
         image_gb=0.0,
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -238,7 +238,7 @@
 
 def test_cards_of_all_replicas_count_against_the_limit() -> None:
     types = [("g8", 96.0, 8.0, 768.0, ["east"])]
-    limit = platform.Team("red", cards_max=8.0)
+    limit = platform.Team("red", gpus_max=8.0)
     assert may_ever_run(TaskRequest("u", "red", (), 2, 1.0, 4.0, 1.0), limit, types) is None
     assert may_ever_run(TaskRequest("u", "red", (), 3, 1.0, 4.0, 1.0), limit, types) is not None
 
