--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -7,7 +7,7 @@
 from elmthread.api.messages import DAEMON, Submission
 from elmthread.cluster.state import Job
 from elmthread.common.clock import ZERO
-from elmthread.machines.messages import Type
+from elmthread.machines.messages import MachineType
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.rollout.features import ActiveFeatures, Feature
@@ -73,7 +73,7 @@
             self._bitmap_chunk if self._features.is_active(Feature.DONE_BITMAPS) else self._chunk,
         )
 
-    def can_run(self, spec: Submission, kinds: Iterable[Type]) -> str | None:
+    def can_run(self, spec: Submission, kinds: Iterable[MachineType]) -> str | None:
         """Why the job can never run, or None."""
         team = self._teams.get(spec.team)
         if team is None:
--- a/src/elmthread/autoscaling/decide.py
+++ b/src/elmthread/autoscaling/decide.py
@@ -58,7 +58,7 @@
 class Offer:
     """A kind of machine that can be rented, as far as is known."""
 
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     cores: float
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -77,7 +77,7 @@
         self._serving.clear()
         for machine in self._cluster.machines.values():
             if machine.serves(now):
-                self._serving.setdefault((machine.build, machine.zone, machine.spot), []).append(machine)
+                self._serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
         requests = self._placement.requests(now)
         allowances = self._placement.allowances()
         self._for_services(requests, now)
@@ -122,7 +122,7 @@
         for_replicas += sum(
             kind.cpus * order.count
             for order in self._fleet.orders.values()
-            if not order.kind.spot and (kind := self._fleet.types.get(order.kind.build)) is not None
+            if not order.kind.spot and (kind := self._fleet.types.get(order.kind.machine_type)) is not None
         )
         booked = sum(m.standing_cpus for m in firm)
         booked += _usable([request for request in waiting if not request.spot], self._placement.allowances())
@@ -144,13 +144,13 @@
         """Room that replicas have, or get once deferrable work has given way or machines are up."""
         slots = []
         for m in self._cluster.machines.values():
-            if not m.serves(now) or not any(allowed(request, m.build, m.zone, m.spot) for request in waiting):
+            if not m.serves(now) or not any(allowed(request, m.machine_type, m.zone, m.spot) for request in waiting):
                 continue
             firm_part = m.urgent_cpus / m.cpus_used if m.cpus_used else 0.0
             slots.append(
                 FreeCapacity(
                     m.name,
-                    m.build,
+                    m.machine_type,
                     m.zone,
                     m.spot,
                     m.cpus - m.urgent_cpus,
@@ -159,9 +159,9 @@
                 )
             )
         for order in self._fleet.orders.values():
-            kind = self._fleet.types.get(order.kind.build)
+            kind = self._fleet.types.get(order.kind.machine_type)
             if kind is not None:
-                where = (order.kind.build, order.kind.zone, order.kind.spot)
+                where = (order.kind.machine_type, order.kind.zone, order.kind.spot)
                 slots += [
                     FreeCapacity(f"{order.name}+{number}", *where, kind.cpus, kind.gpus, kind.memory_gb)
                     for number in range(order.count)
@@ -253,7 +253,7 @@
         self._order(chosen, pool=True)
 
     def _order(self, chosen: list[Offer], pool: bool) -> None:
-        for kind, count in Counter(Kind(offer.build, offer.zone, offer.spot) for offer in chosen).items():
+        for kind, count in Counter(Kind(offer.machine_type, offer.zone, offer.spot) for offer in chosen).items():
             self._fleet.order(kind, count, pool)
 
     def _groups(
@@ -294,14 +294,14 @@
                 # What replicas hold serves nobody else again.
                 supplies.append(Supply(0.0, machine.cpus - machine.standing_cpus))
                 continue
-            kind = self._fleet.types[machine.build]
+            kind = self._fleet.types[machine.machine_type]
             age = (now - machine.known_since).total_seconds()
             if age < kind.boot_s * 2:
                 # In whole seconds: what comes at about the same time is judged as one.
                 supplies.append(Supply(float(max(1, round(kind.boot_s * BOOT - age))), machine.cpus))
         for order in self._fleet.orders.values():
-            coming = self._fleet.types.get(order.kind.build)
-            if coming is not None and allowed(request, order.kind.build, order.kind.zone, order.kind.spot):
+            coming = self._fleet.types.get(order.kind.machine_type)
+            if coming is not None and allowed(request, order.kind.machine_type, order.kind.zone, order.kind.spot):
                 supplies.append(Supply(coming.boot_s * BOOT, coming.cpus * order.count))
         return supplies
 
@@ -455,7 +455,7 @@
 
     def _patience(self, machine: Machine) -> timedelta:
         """How long an empty machine is kept: about as long as its like would take to boot."""
-        kind = self._fleet.types.get(machine.build)
+        kind = self._fleet.types.get(machine.machine_type)
         return max(IDLE, seconds(kind.boot_s)) if kind is not None else IDLE
 
     # Urgent pressure
@@ -474,7 +474,7 @@
         ]
         cores = sum(m.cpus for m in outside)
         for order in self._fleet.orders.values():
-            kind = self._fleet.types.get(order.kind.build)
+            kind = self._fleet.types.get(order.kind.machine_type)
             if not order.pool and kind is not None:
                 cores += kind.cpus * order.count
         match band(urgent, cores, self.theta, self._operators.delta):
--- a/src/elmthread/autoscaling/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -65,7 +65,9 @@
                 fit,
                 key=lambda offer: (request.zones.get(offer.zone, 0), round(offer.price / offer.cores, 3), -offer.cores),
             )
-            slot = FreeCapacity(f"+{len(slots)}", best.build, best.zone, best.spot, best.cores, best.gpus, best.ram)
+            slot = FreeCapacity(
+                f"+{len(slots)}", best.machine_type, best.zone, best.spot, best.cores, best.gpus, best.ram
+            )
             before = request.count
             place([request], [slot], allowances)
             if request.count == before:
@@ -77,7 +79,7 @@
 
 def _takes(request: TaskRequest, offer: Offer) -> bool:
     return (
-        allowed(request, offer.build, offer.zone, offer.spot)
+        allowed(request, offer.machine_type, offer.zone, offer.spot)
         and request.zones.get(offer.zone, 0) < request.zone_most
         and request.cpus <= offer.cores
         and request.gpus <= offer.gpus
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -53,7 +53,7 @@
                 machine.name
                 for machine in cluster.machines.values()
                 if machine.serves(now)
-                and allowed(request, machine.build, machine.zone, machine.spot)
+                and allowed(request, machine.machine_type, machine.zone, machine.spot)
                 and request.cpus <= machine.cpus
                 and request.gpus <= machine.gpus
                 and request.ram <= machine.ram
--- a/src/elmthread/autoscaling/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_services.py
@@ -63,7 +63,9 @@
         left = unplaced([one], copy.deepcopy(slots), {"t": TeamAllowance()})
         # By brute force: the most replicas that any way of giving them out can place.
         best = 0
-        each = [range(int(s.cpus // 2) + 1) if allowed(one, s.build, s.zone, s.spot) else range(1) for s in slots]
+        each = [
+            range(int(s.cpus // 2) + 1) if allowed(one, s.machine_type, s.zone, s.spot) else range(1) for s in slots
+        ]
         for counts in itertools.product(*each):
             by_zone = {z: sum(c for c, s in zip(counts, slots, strict=True) if s.zone == z) for z in "xy"}
             if max(by_zone.values()) <= one.zone_most:
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -210,7 +210,7 @@
     __slots__ = (
         "answered_at",
         "answers_arrive",
-        "build",
+        "machine_type",
         "gpus",
         "gpus_used",
         "cpus",
@@ -250,9 +250,11 @@
         "zone",
     )
 
-    def __init__(self, name: str, build: str, zone: str, spot: bool, state: MachineState, now: timedelta) -> None:
+    def __init__(
+        self, name: str, machine_type: str, zone: str, spot: bool, state: MachineState, now: timedelta
+    ) -> None:
         self.name = name
-        self.build = build
+        self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         self.state = state
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -35,11 +35,11 @@
         # The cloud knows no leaders: what changes something is judged right before it leaves.
         self._sure = sure
 
-    async def types(self) -> list[messages.Type]:
+    async def types(self) -> list[messages.MachineType]:
         return _read(await self._call("GET", "/flavors"), messages.Types).types
 
-    async def rent(self, name: str, build: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = messages.rental(name, build, zone, spot, min(count, MOST_RENTED))
+    async def rent(self, name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
+        body = messages.rental(name, machine_type, zone, spot, min(count, MOST_RENTED))
         return _read(await self._call("POST", "/hosts", body, self._sure), messages.Rented).machines
 
     async def delete(self, names: list[str]) -> None:
--- a/src/elmthread/machines/messages.py
+++ b/src/elmthread/machines/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Type(
+class MachineType(
     msgspec.Struct,
     rename={"gpus": "cards", "memory_gb": "ram_gb", "price": "rate", "boot_s": "ready_s", "zones": "yards"},
 ):
@@ -24,7 +24,7 @@
 
 
 class Types(msgspec.Struct, rename={"types": "builds"}):
-    types: list[Type]
+    types: list[MachineType]
 
 
 class Rented(msgspec.Struct, rename={"machines": "looms"}):
@@ -35,7 +35,7 @@
     msgspec.Struct,
     rename={
         "name": "name_id",
-        "type": "build",
+        "machine_type": "build",
         "zone": "yard",
         "spot": "loaners",
         "state": "status",
@@ -43,7 +43,7 @@
     },
 ):
     name: str
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     state: str
@@ -55,8 +55,8 @@
     more: bool = False
 
 
-def rental(name: str, build: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    return {"hire": name, "build": build, "yard": zone, "loaners": spot, "how_many": count}
+def rental(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    return {"hire": name, "build": machine_type, "yard": zone, "loaners": spot, "how_many": count}
 
 
 def deletion(names: list[str]) -> dict[str, Any]:
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class Kind:
-    build: str
+    machine_type: str
     zone: str
     spot: bool
 
@@ -113,7 +113,7 @@
         self._next_name = next_name
         self._changed = changed
         self._lacking = lacking
-        self.types: dict[str, messages.Type] = {}
+        self.types: dict[str, messages.MachineType] = {}
         self.orders: dict[str, Order] = {}
         self._ready: deque[Order] = deque()
         self._refused: dict[Kind, tuple[timedelta, timedelta]] = {}
@@ -129,14 +129,14 @@
 
     # Machine types
 
-    def set_types(self, types: list[messages.Type]) -> None:
+    def set_types(self, types: list[messages.MachineType]) -> None:
         self.types = {kind.name: kind for kind in types}
         for machine in self._cluster.machines.values():
             self.describe(machine)
         self._changed()
 
     def describe(self, machine: Machine) -> None:
-        kind = self.types.get(machine.build)
+        kind = self.types.get(machine.machine_type)
         if kind is not None:
             machine.cpus, machine.gpus, machine.ram = kind.cpus, kind.gpus, kind.memory_gb
             machine.fetch_rate = max(kind.fetch_gb_per_s, 0.001)
@@ -255,7 +255,7 @@
 
     def _adopt(self, listed: messages.Listed, now: timedelta) -> Machine:
         state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNSURE
-        machine = Machine(listed.name, listed.type, listed.zone, listed.spot, state, now)
+        machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
         machine.known_since = now - seconds(listed.age_s)
         self.describe(machine)
         self._cluster.add_machine(machine)
@@ -279,7 +279,7 @@
             return
         order = Order(self._next_name(), kind, count, pool, self._clock())
         self.orders[order.name] = order
-        record = RentalRecord(kind.build, kind.zone, kind.spot, pool)
+        record = RentalRecord(kind.machine_type, kind.zone, kind.spot, pool)
         log.info("renting %s %s", count, kind)
         self._writer.write(rental_key(order.name), Rank.ASSIGN, lambda: record, lambda: self._ready.append(order))
 
@@ -295,7 +295,7 @@
         kind = order.kind
         order.sent = True
         try:
-            names = await self._cloud.rent(order.name, kind.build, kind.zone, kind.spot, order.count)
+            names = await self._cloud.rent(order.name, kind.machine_type, kind.zone, kind.spot, order.count)
         except NoCapacityError:
             self._over(order)
             self._refuse(kind)
@@ -314,7 +314,7 @@
                 continue
             machine = self._cluster.machines.get(name)
             if machine is None:
-                machine = Machine(name, kind.build, kind.zone, kind.spot, MachineState.BOOTING, now)
+                machine = Machine(name, kind.machine_type, kind.zone, kind.spot, MachineState.BOOTING, now)
                 self.describe(machine)
                 self._cluster.add_machine(machine)
             machine.pool = order.pool
@@ -364,7 +364,7 @@
                 continue
             machine.move(MachineState.GONE)
             self._cluster.remove_machine(machine, now)
-            self._refused.pop(Kind(machine.build, machine.zone, machine.spot), None)
+            self._refused.pop(Kind(machine.machine_type, machine.zone, machine.spot), None)
             self._missing.pop(name, None)
             self._writer.delete(machine_key(name))
         self._changed()
@@ -392,7 +392,7 @@
                 continue
             kept = CUT_KEPT if machine.cut or self._in_doubt(machine.zone) else ZERO
             if machine.state is MachineState.BOOTING:
-                kind = self.types.get(machine.build)
+                kind = self.types.get(machine.machine_type)
                 bound = seconds(kind.boot_s) * BOOTS + BOOT_SLACK if kind else seconds(300)
                 if now - machine.known_since > bound + kept:
                     self.give_up(machine, "has not come up")
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -8,7 +8,7 @@
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
-from elmthread.machines.messages import Listed, Type
+from elmthread.machines.messages import Listed, MachineType
 from elmthread.machines.service import MISSING, Fleet, Kind
 from elmthread.net.http import Answer
 from elmthread.reachability.census import Census
@@ -71,7 +71,7 @@
         Census(cluster.machines, clock, seconds(4), clock()),
         lambda zone: False,
     )
-    one.set_types([Type("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
+    one.set_types([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
     return cloud, cluster, one
 
 
--- a/src/elmthread/placement/decide.py
+++ b/src/elmthread/placement/decide.py
@@ -15,7 +15,7 @@
     """A machine with room."""
 
     name: str
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     cpus: float
@@ -75,10 +75,10 @@
 TINY = 1e-6
 
 
-def allowed(request: TaskRequest, build: str, zone: str, spot: bool) -> bool:
+def allowed(request: TaskRequest, machine_type: str, zone: str, spot: bool) -> bool:
     """The job's own word on types, zones and spot machines."""
     return (
-        (request.types is None or build in request.types)
+        (request.types is None or machine_type in request.types)
         and (request.zone is None or zone == request.zone)
         and (request.spot or not spot)
         and not (request.one_zone and request.zones and zone not in request.zones)
@@ -90,7 +90,7 @@
 
     `apart`: no more of them on one machine than are to stand there if others have room.
     """
-    if slot.name in request.avoid or not allowed(request, slot.build, slot.zone, slot.spot):
+    if slot.name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
         return 0
     count = request.count
     if request.each > 0 and slot.record_left < request.entry + count * request.each:
@@ -172,7 +172,9 @@
     for slot in slots:
         cheapest = min(cheapest, slot.price)
         if slot.cpus > TINY:
-            by_kind.setdefault((slot.fading, slot.build, slot.spot, slot.price, slot.fetch_rate), []).append(slot)
+            by_kind.setdefault((slot.fading, slot.machine_type, slot.spot, slot.price, slot.fetch_rate), []).append(
+                slot
+            )
     groups = [_MachineGroup(some) for some in by_kind.values()]
     for request in requests:
         allowance = allowances.setdefault(request.team, TeamAllowance())
@@ -205,7 +207,7 @@
         if not group.in_order():
             continue
         one = group.slots[0]
-        if (request.types is not None and one.build not in request.types) or (one.spot and not request.spot):
+        if (request.types is not None and one.machine_type not in request.types) or (one.spot and not request.spot):
             continue
         if group.slots[-1].cpus + TINY < request.cpus:
             continue
@@ -307,7 +309,7 @@
 
     def offer(order: int, name: str) -> None:
         slot = slots.get(name)
-        if slot is None or name in request.avoid or not allowed(request, slot.build, slot.zone, slot.spot):
+        if slot is None or name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
             return
         some = enough(request, slot, candidates[name])
         if some is not None:
@@ -319,7 +321,7 @@
     while offers and request.count > 0 and allowance.cpus + TINY >= request.cpus:
         _, order, name = heapq.heappop(offers)
         slot = slots[name]
-        if not allowed(request, slot.build, slot.zone, slot.spot):
+        if not allowed(request, slot.machine_type, slot.zone, slot.spot):
             continue
         if request.zones.get(slot.zone, 0) >= request.zone_most:
             continue
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -372,7 +372,7 @@
 def _slot(machine: Machine, cluster: ClusterState) -> FreeCapacity:
     return FreeCapacity(
         name=machine.name,
-        build=machine.build,
+        machine_type=machine.machine_type,
         zone=machine.zone,
         spot=machine.spot,
         cpus=machine.free,
--- a/src/elmthread/placement/tests/plain.py
+++ b/src/elmthread/placement/tests/plain.py
@@ -94,7 +94,7 @@
         best: tuple[float, list[PreemptionCandidate], FreeCapacity] | None = None
         for name, held in by_machine.items():
             slot = slots.get(name)
-            if slot is None or name in request.avoid or not allowed(request, slot.build, slot.zone, slot.spot):
+            if slot is None or name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
                 continue
             if request.zone_most < math.inf and request.zones.get(slot.zone, 0) >= request.zone_most:
                 continue
--- a/src/elmthread/placement/tests/test_decide.py
+++ b/src/elmthread/placement/tests/test_decide.py
@@ -25,7 +25,7 @@
     st.builds(
         FreeCapacity,
         name=st.sampled_from("abcdefgh"),
-        build=st.sampled_from(["s", "l"]),
+        machine_type=st.sampled_from(["s", "l"]),
         zone=st.sampled_from(["x", "y"]),
         spot=st.booleans(),
         cpus=st.integers(0, 8).map(float),
@@ -76,7 +76,7 @@
         used[slot.name] = used.get(slot.name, 0.0) + count * request.cpus
         team += count * request.cpus if request.team == "t1" else 0.0
         where.setdefault(request.job, []).extend([slot.zone] * count)
-        assert (request.types is None or slot.build in request.types) and (request.zone in (None, slot.zone))
+        assert (request.types is None or slot.machine_type in request.types) and (request.zone in (None, slot.zone))
         assert request.spot or not slot.spot
     assert team <= limit
     for name, cpus in used.items():
@@ -97,7 +97,7 @@
                     slot.cpus >= request.cpus
                     and slot.ram >= request.ram
                     and allowances[request.team].cpus >= request.cpus
-                    and allowed(request, slot.build, slot.zone, slot.spot)
+                    and allowed(request, slot.machine_type, slot.zone, slot.spot)
                     and request.zones.get(slot.zone, 0) < request.zone_most
                 )
                 assert not fits
@@ -147,12 +147,12 @@
     kinds = [("s", 4.0, 0.025, 0.2), ("m", 8.0, 0.031, 0.5), ("l", 64.0, 0.04, 0.6)]
     slots = []
     for number in range(machines):
-        build, cores, price, rate = rng.choices(kinds, [6, 3, 1])[0]
+        machine_type, cores, price, rate = rng.choices(kinds, [6, 3, 1])[0]
         spot = rng.random() < 0.8
         slots.append(
             FreeCapacity(
                 name=f"m-{number}",
-                build=build,
+                machine_type=machine_type,
                 zone=rng.choice("xyz"),
                 spot=spot,
                 cpus=float(rng.randint(0, int(cores))),
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -2,7 +2,7 @@
 
 They are most of what a leader writes. The first form lists each task with its attempt. The second one
 (`Feature.ASSIGNMENT_RUNS`) lists runs: tasks that are placed together mostly have consecutive numbers and
-consecutive attempts. It has no field `build`, so a version that does not read it refuses it.
+consecutive attempts. It has no field `machine_type`, so a version that does not read it refuses it.
 """
 
 from collections.abc import Iterator
@@ -16,10 +16,10 @@
 from elmthread.store.records import machine_key
 
 
-class MachineRecord(msgspec.Struct, omit_defaults=True):
+class MachineRecord(msgspec.Struct, omit_defaults=True, rename={"machine_type": "build"}):
     """A machine and each task that may be on it."""
 
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     pool: bool = False
@@ -27,10 +27,10 @@
     holds: dict[str, list[int]] = {}
 
 
-class AssignmentRunsRecord(msgspec.Struct, omit_defaults=True):
+class AssignmentRunsRecord(msgspec.Struct, omit_defaults=True, rename={"machine_type": "type"}):
     """A machine and runs of tasks that may be on it."""
 
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     pool: bool = False
@@ -56,12 +56,12 @@
         return msgspec.convert(value, MachineRecord)
     record = msgspec.convert(value, AssignmentRunsRecord)
     holds = {job_id: list(_expanded(numbers, record.base)) for job_id, numbers in record.runs.items()}
-    return MachineRecord(record.type, record.zone, record.spot, record.pool, holds)
+    return MachineRecord(record.machine_type, record.zone, record.spot, record.pool, holds)
 
 
 def machine_frame(machine: Machine) -> int:
     """Bytes of a slot that a machine's record takes at most before anything is assigned to it."""
-    record = MachineRecord(machine.build, machine.zone, True, True, {"": []})
+    record = MachineRecord(machine.machine_type, machine.zone, True, True, {"": []})
     return weight(machine_key(machine.name), text_of(record))
 
 
@@ -69,13 +69,13 @@
     holds: dict[str, list[int]] = {}
     for allocation in machine.allocations.values():
         holds.setdefault(allocation.job.id, []).extend((allocation.task, allocation.attempt))
-    return MachineRecord(machine.build, machine.zone, machine.spot, machine.pool, holds)
+    return MachineRecord(machine.machine_type, machine.zone, machine.spot, machine.pool, holds)
 
 
 def _runs_record(pairs: MachineRecord) -> AssignmentRunsRecord:
     base = min(min(numbers[1::2]) for numbers in pairs.holds.values())
     runs = {job_id: _runs(numbers, base) for job_id, numbers in pairs.holds.items()}
-    return AssignmentRunsRecord(pairs.build, pairs.zone, pairs.spot, pairs.pool, base, runs)
+    return AssignmentRunsRecord(pairs.machine_type, pairs.zone, pairs.spot, pairs.pool, base, runs)
 
 
 def _runs(numbers: list[int], base: int) -> list[int]:
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -13,7 +13,7 @@
 from elmthread.api.messages import BATCH, Submission
 from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import Clock, seconds
-from elmthread.machines.messages import Type
+from elmthread.machines.messages import MachineType
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.term import TermRollout
@@ -42,7 +42,7 @@
         cluster: ClusterState,
         jobs: Jobs,
         clock: Clock,
-        set_types: Callable[[list[Type]], None],
+        set_types: Callable[[list[MachineType]], None],
         finished: Callable[[Job, int, Callable[[], None]], None],
         rollout: TermRollout,
         supported: SupportedLevels,
@@ -57,7 +57,7 @@
         self._clock = clock
         self._set_types = set_types
         self._finished = finished
-        self._types: dict[str, Type] = {}
+        self._types: dict[str, MachineType] = {}
 
     async def load(self) -> None:
         """Rebuilds the view: jobs, done tasks, assignments, rentals in doubt, machine types."""
@@ -162,12 +162,12 @@
         self._writer.delete(key)
 
     def _read_types(self, key: str, value: Any) -> None:
-        self._types.update((kind.name, kind) for kind in msgspec.convert(value, list[Type]))
+        self._types.update((kind.name, kind) for kind in msgspec.convert(value, list[MachineType]))
 
     def _read_machine(self, key: str, value: Any) -> None:
         record = read_machine(value, self._supported)
         name = key.removeprefix("m/")
-        machine = Machine(name, record.build, record.zone, record.spot, MachineState.UNSURE, self._clock())
+        machine = Machine(name, record.machine_type, record.zone, record.spot, MachineState.UNSURE, self._clock())
         machine.pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -12,7 +12,7 @@
 
 from elmthread.api.messages import Submission
 from elmthread.cluster.state import Job, JobState
-from elmthread.machines.messages import Type
+from elmthread.machines.messages import MachineType
 from elmthread.store.log import text_of, weight
 
 LEADER = "leader"
@@ -35,7 +35,7 @@
     return f"m/{name}"
 
 
-def types_records(types: list[Type], most: int) -> dict[str, list[Type]]:
+def types_records(types: list[MachineType], most: int) -> dict[str, list[MachineType]]:
     """The machine types as one record, or, where that is more than `most` bytes, as one for each."""
     if weight(TYPES, text_of(types)) <= most:
         return {TYPES: types}
@@ -54,8 +54,8 @@
     spec: Submission | None = None
 
 
-class RentalRecord(msgspec.Struct):
-    build: str
+class RentalRecord(msgspec.Struct, rename={"machine_type": "build"}):
+    machine_type: str
     zone: str
     spot: bool
     pool: bool = False
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -69,7 +69,7 @@
     for record, supported in ((old, BEFORE), (old, SUPPORTED), (new, SUPPORTED)):
         read = read_machine(msgspec.to_builtins(record), supported)
         assert plain(read) == set(assigned.values())
-        assert (read.build, read.zone, read.spot, read.pool) == ("small", "east", True, True)
+        assert (read.machine_type, read.zone, read.spot, read.pool) == ("small", "east", True, True)
 
 
 def test_tasks_placed_together_take_one_run() -> None:
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -28,7 +28,7 @@
     rename={
         "machine": "loom",
         "address": "endpoint",
-        "type": "build",
+        "machine_type": "build",
         "zone": "yard",
         "spot": "loaners",
         "session": "shift",
@@ -40,7 +40,7 @@
 ):
     machine: str
     address: str
-    type: str
+    machine_type: str
     zone: str
     spot: bool
     session: int
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -142,7 +142,9 @@
 
     def _adopt(self, report: Report) -> Machine:
         """A machine nobody told us of: rented by a late request or by an earlier leader."""
-        machine = Machine(report.machine, report.type, report.zone, report.spot, MachineState.UNSURE, self._clock())
+        machine = Machine(
+            report.machine, report.machine_type, report.zone, report.spot, MachineState.UNSURE, self._clock()
+        )
         self._describe(machine)
         self._cluster.add_machine(machine)
         return machine
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -462,7 +462,7 @@
         assert len(world.rules.finished) > done
         # Nothing is started twice but what a worker lost with its lease while nobody led.
         lost = [worker for worker in world.workers.values() if worker.session > 1]
-        assert sum(count > 1 for count in world.rules.starts.values()) <= sum(int(w.build["cpus"]) for w in lost)
+        assert sum(count > 1 for count in world.rules.starts.values()) <= sum(int(w.machine_type["cpus"]) for w in lost)
 
     day(script)
 
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -481,12 +481,12 @@
         used = sum(world.rules.specs[task.name.rpartition("/")[0]]["cpus"] for task in live)
         if (
             worker.recall_at is None
-            and (spec["builds"] is None or worker.build["name"] in spec["builds"])
+            and (spec["builds"] is None or worker.machine_type["name"] in spec["builds"])
             and spec["yard"] in (None, worker.zone)
             and (spec["loaners"] or not worker.spot)
             and not spec["one_zone"]
             and not spec["scatter"]
-            and worker.build["cpus"] - used >= spec["cpus"]
+            and worker.machine_type["cpus"] - used >= spec["cpus"]
         ):
             return True
     return False
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -44,7 +44,7 @@
     def submitted(self, spec: dict[str, Any]) -> None:
         self.specs[spec["name_id"]] = spec
 
-    def on(self, machine: str, task: str, build: str, zone: str, spot: bool) -> None:
+    def on(self, machine: str, task: str, machine_type: str, zone: str, spot: bool) -> None:
         job = task.rpartition("/")[0]
         spec = self.specs[job]
         self.starts[task] += 1
@@ -61,7 +61,7 @@
         mine = self.zones_of.setdefault(job, Counter())
         mine[zone] += 1
         if (
-            (spec["builds"] is not None and build not in spec["builds"])
+            (spec["builds"] is not None and machine_type not in spec["builds"])
             or (spec["yard"] is not None and zone != spec["yard"])
             or (spot and not spec["loaners"])
             or (spec["one_zone"] and len(+mine) > 1)
--- a/tests/world/services.py
+++ b/tests/world/services.py
@@ -266,7 +266,7 @@
 @dataclass
 class Rented:
     name: str
-    build: str
+    machine_type: str
     zone: str
     spot: bool
     since: float
@@ -295,10 +295,10 @@
     next_name: int = 1
     quick: bool = False  # machines are up within two seconds
 
-    def add(self, build: str, zone: str, spot: bool, boot: float) -> Rented:
+    def add(self, machine_type: str, zone: str, spot: bool, boot: float) -> Rented:
         name = f"m-{self.next_name:06d}"
         self.next_name += 1
-        machine = Rented(name, build, zone, spot, self.loop.now, self.loop.now + boot)
+        machine = Rented(name, machine_type, zone, spot, self.loop.now, self.loop.now + boot)
         machine.listed_at = self.loop.now + self.lag
         self.machines[name] = machine
         self.loop.call_later(boot, self._up, machine)
@@ -327,7 +327,7 @@
         if body["hire"] in self.requests:
             return Answer(200, {"looms": self.requests[body["hire"]]})
         kind = (body["build"], body["yard"], body["loaners"])
-        used = sum(1 for m in self.machines.values() if (m.build, m.zone, m.spot) == kind)
+        used = sum(1 for m in self.machines.values() if (m.machine_type, m.zone, m.spot) == kind)
         count = min(body["how_many"], self.capacity.get(kind, 0) - used)
         if count <= 0:
             return Answer(503, {"error": "no capacity"})
@@ -344,7 +344,7 @@
             {
                 "name_id": m.name,
                 "endpoint": f"10.1.0.{int(m.name[2:])}:9000",
-                "build": m.build,
+                "build": m.machine_type,
                 "yard": m.zone,
                 "loaners": m.spot,
                 "status": m.state,
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -41,7 +41,7 @@
         lease_s: float,
     ) -> None:
         self.loop, self.rng, self.rules, self.send, self.nodes = loop, rng, rules, send, nodes
-        self.name, self.build, self.zone, self.spot = name, build, zone, spot
+        self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
         self.report_s, self.lease_s = report_s, lease_s
         self.session, self.sequence, self.token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Running] = {}
@@ -97,7 +97,7 @@
                     each = spec.get("each_s")
                     takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
                     task.until = now + (0 if task.name in self.results else takes * self.rng.uniform(0.9, 1.1))
-                    self.rules.on(self.name, task.name, self.build["name"], self.zone, self.spot)
+                    self.rules.on(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
                     if self.sick:
                         self._exit(task, "error")
                 else:
@@ -124,7 +124,7 @@
         return {
             "loom": self.name,
             "endpoint": "10.1.0.1:9000",
-            "build": self.build["name"],
+            "build": self.machine_type["name"],
             "yard": self.zone,
             "loaners": self.spot,
             "shift": self.session,
@@ -206,7 +206,7 @@
             task.state, task.why = "exited", "in_use"
         else:
             used = sum(self.rules.specs[other.name.rpartition("/")[0]]["cpus"] for other in live)
-            if used + spec["cpus"] > self.build["cpus"] + 1e-6:
+            if used + spec["cpus"] > self.machine_type["cpus"] + 1e-6:
                 task.state, task.why = "exited", "no_room"
             else:
                 task.until = self.loop.now + (0.0 if spec["kit"] in self.images else 2.0)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -393,7 +393,7 @@
     # Workers
 
     def _born(self, machine: Rented) -> None:
-        build = next(kind for kind in TYPES if kind["name"] == machine.build)
+        build = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
         self.workers[machine.name] = Worker(
             self.loop,
             self.rng,
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -134,7 +134,7 @@
         return await Server(handle, MOST_CONNECTIONS).start(HOST, 0)
 
     def _machine_up(self, machine: Rented) -> None:
-        kind = next(kind for kind in TYPES if kind["name"] == machine.build)
+        kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
         self._workers[machine.name] = Worker(
             self._loop,
             self._rng,
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from elmthread.leadership.election import LeaderRecord
-from elmthread.machines.messages import Type
+from elmthread.machines.messages import MachineType
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.features import SUPPORTED
@@ -37,7 +37,7 @@
     "done": DoneRecord | DoneBitmapRecord,
     "machine": MachineRecord | AssignmentRunsRecord,
     "rental": RentalRecord,
-    "types": list[Type],
+    "types": list[MachineType],
     "layout": int,
     "fence": FenceRecord,
     "message lead": LeaderAnnouncement,
