--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -122,7 +122,7 @@
         if leader is None or leader == self._node:
             return self._elsewhere("no leader")
         asked = self._clock()
-        ask.token = self._election.seen_token
+        ask.fencing_token = self._election.highest_seen_token
         try:
             reply = await self._peers.ask(leader, ask, ASK_TIME[ask.verb])
         except PeerUnreachableError:
@@ -130,7 +130,9 @@
 
         def fresh() -> bool:
             # Neither has this node stood still with the answer, nor is a newer leader known.
-            return self._clock() - asked <= ASK_TIME[ask.verb] and reply.token >= self._election.seen_token
+            return (
+                self._clock() - asked <= ASK_TIME[ask.verb] and reply.fencing_token >= self._election.highest_seen_token
+            )
 
         after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
         return Response(reply.status, reply.body, after, sure=None if reply.status == 503 else fresh)
@@ -174,21 +176,23 @@
         """A question that came over the peer link, for the term that the asker knows."""
         if ask.verb == NO_LATER_TERM:
             return ForwardedResponse(
-                ask.number, 200 if self._election.has_won_no_later_term(ask.token) else 503, token=ask.token
+                ask.number,
+                200 if self._election.has_won_no_later_term(ask.fencing_token) else 503,
+                fencing_token=ask.fencing_token,
             )
         if ask.verb == WHICH_PROCESS:
-            return ForwardedResponse(ask.number, 200, {"process": self._gate.process}, token=ask.token)
+            return ForwardedResponse(ask.number, 200, {"process": self._gate.process}, fencing_token=ask.fencing_token)
         intake = self._intake()
         if ask.verb in KINDS and self._load.refuses(KINDS[ask.verb]):
             response = TOO_MUCH
-        elif intake is None or ask.token != intake.token:
+        elif intake is None or ask.fencing_token != intake.fencing_token:
             response = again(503, SOON, "not leading")
         else:
             response = await self._here(ask)
             if response.sure is not None and not response.sure():
                 response = UNSURE
         after = None if response.retry_after is None else response.retry_after.total_seconds()
-        return ForwardedResponse(ask.number, response.status, response.body, after, ask.token)
+        return ForwardedResponse(ask.number, response.status, response.body, after, ask.fencing_token)
 
 
 def _wrong_method() -> Response:
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -62,8 +62,8 @@
         self._storing: dict[str, asyncio.Future[None]] = {}
 
     @property
-    def token(self) -> int:
-        return self._term.token
+    def fencing_token(self) -> int:
+        return self._term.fencing_token
 
     def sure(self) -> bool:
         """Asked right before an answer leaves."""
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -37,7 +37,7 @@
 
 
 class Lease:
-    token = 7
+    fencing_token = 7
 
     def __init__(self) -> None:
         self.sure = True
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -129,7 +129,7 @@
         self.leader: Leader | None = None
         self._leading: asyncio.Task[None] | None = None
 
-    def _won(self, token: int) -> None:
+    def _won(self, fencing_token: int) -> None:
         self._requests.rate = self._requests.burst = self._store_rps * LEADERS_PART
         services = NodeServices(
             self._platform,
@@ -142,7 +142,7 @@
             self.reachability,
             self.rollout,
         )
-        self.leader = Leader(services, token)
+        self.leader = Leader(services, fencing_token)
         self.reachability.term = self.leader.reachability
         self._leading = asyncio.get_running_loop().create_task(self._lead(self.leader))
         self.peers.tell()
@@ -157,20 +157,20 @@
             await asyncio.sleep(CHECK_EVERY.total_seconds())
             if self.election.role is not Role.HOLDING:
                 continue
-            asked, token = self._clock(), self.election.token
-            asks = [self._confirms_no_later_term(other.node, token) for other in self._platform.others]
+            asked, fencing_token = self._clock(), self.election.fencing_token
+            asks = [self._confirms_no_later_term(other.node, fencing_token) for other in self._platform.others]
             if all(await asyncio.gather(*asks)):
-                self.election.note_no_later_term(token, asked)
+                self.election.note_no_later_term(fencing_token, asked)
 
     async def _process_of(self, node: str) -> str | None:
         """The process that a node runs; None where its version has no name for it. Raises PeerUnreachableError."""
         reply = await self.peers.ask(node, ForwardedRequest(0, WHICH_PROCESS, ""), PEER_ANSWER_TIME)
         return (reply.body or {}).get("process") if reply.status == 200 else None
 
-    async def _confirms_no_later_term(self, node: str, token: int) -> bool:
+    async def _confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
         try:
             return (
-                await self.peers.ask(node, ForwardedRequest(0, NO_LATER_TERM, "", token), PEER_ANSWER_TIME)
+                await self.peers.ask(node, ForwardedRequest(0, NO_LATER_TERM, "", fencing_token), PEER_ANSWER_TIME)
             ).status == 200
         except PeerUnreachableError:
             return False
@@ -212,7 +212,7 @@
         if leader is None or not leader.loaded:
             known = self.election.leader
             other = None if known == self._platform.node else known
-            response = self.reachability.redirect(request, other, self.election.seen_token)
+            response = self.reachability.redirect(request, other, self.election.highest_seen_token)
             if names_leader(response.body) or not await self.reachability.wait_to_lead():
                 return response
             leader = self.leader
@@ -222,7 +222,7 @@
 
     def hear(self, lead: LeaderAnnouncement) -> None:
         """What another node says about who leads and who comes to it."""
-        self.election.hear(lead.token, lead.leader)
+        self.election.hear(lead.fencing_token, lead.leader)
         if lead.level is not msgspec.UNSET:
             self._hear_level(lead.level)
         if lead.node:
@@ -239,10 +239,14 @@
         return await self.api.answer(ask)
 
     def _say(self) -> LeaderAnnouncement:
-        token = self.election.seen_token
+        fencing_token = self.election.highest_seen_token
         machines = len(self.leader.cluster.machines) if self.leader is not None else 0
         lead = LeaderAnnouncement(
-            self.election.leader, token, self._platform.node, *self.reachability.strays.strays(token), machines
+            self.election.leader,
+            fencing_token,
+            self._platform.node,
+            *self.reachability.strays.strays(fencing_token),
+            machines,
         )
         self.reachability.add_to(lead)
         if self.leader is not None and self.rollout.features.is_active(Feature.LEVEL_IN_ANNOUNCEMENTS):
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -67,7 +67,7 @@
 class Leader:
     """All that lives from winning the lease to losing it."""
 
-    def __init__(self, node: NodeServices, token: int) -> None:
+    def __init__(self, node: NodeServices, fencing_token: int) -> None:
         """Everything that one term has, on a view that is loaded by `run`."""
         platform, operators, clock = node.platform, node.operators, node.clock
         reachability, state, rollout = node.reachability, node.state, node.rollout
@@ -76,13 +76,13 @@
         self._reachability = reachability
         self._platform = platform
         self._operators = operators
-        self.term = Term(node.election, token)
+        self.term = Term(node.election, fencing_token)
         self._state = state
         self._clock = clock
-        self.token = token
+        self.fencing_token = fencing_token
         facts = platform.facts
         self._jobs = Jobs(facts, operators, rollout.features)
-        self._attempts = token * ATTEMPTS
+        self._attempts = fencing_token * ATTEMPTS
         self._rentals = 0
         store = facts.state.kept()
         self._slots = Slots(slot_bytes(store.value_kb))
@@ -92,7 +92,7 @@
         self.reachability = TermReachability(
             reachability,
             census,
-            token,
+            fencing_token,
             self.term.leads,
             lambda stray: self.agents.is_news(stray),
             clock,
@@ -100,7 +100,7 @@
         )
         self.writer = Writer(
             state,
-            token,
+            fencing_token,
             self._slots,
             TokenBucket(rate, rate, clock),
             store.txn_ops,
@@ -193,7 +193,7 @@
 
     def _next_rental(self) -> str:
         self._rentals += 1
-        return f"r-{self.token}-{self._rentals}"
+        return f"r-{self.fencing_token}-{self._rentals}"
 
     def _expected(self, job: Job) -> timedelta:
         return self.work.run_time(job.spec.job_class, job.spec.expected_s)
@@ -202,7 +202,7 @@
 
     async def run(self) -> None:
         """Loads the view, then serves until the term ends. Raises what the load raises."""
-        rollout = TermRollout(self._rollout, self._state, self.writer, self._clock, self.token)
+        rollout = TermRollout(self._rollout, self._state, self.writer, self._clock, self.fencing_token)
         loader = Loader(
             self._state,
             self._slots,
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -57,8 +57,8 @@
 class StandingPolicy(Protocol):
     """What keeps a node from standing for a while, though leadership is vacant."""
 
-    def wait_before_standing(self, vacant_for: timedelta, token: int) -> timedelta:
-        """How long to leave leading to others; `token` is that of the last term that is known."""
+    def wait_before_standing(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
+        """How long to leave leading to others; `fencing_token` is that of the last term that is known."""
 
     def term_ended(self) -> None:
         """A term of this node has ended before its process did."""
@@ -70,7 +70,7 @@
 class StandAtOnce:
     """Nothing keeps the node from standing."""
 
-    def wait_before_standing(self, vacant_for: timedelta, token: int) -> timedelta:
+    def wait_before_standing(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
         """No wait."""
         return ZERO
 
@@ -116,15 +116,15 @@
         self._won = won
         self._lost = lost
         self.role = Role.FOLLOWER
-        self.token = 0
+        self.fencing_token = 0
         # The newest leadership heard of, by the store, a peer or a worker.
-        self.seen_token = 0
+        self.highest_seen_token = 0
         self.leader: str | None = None
         self._sure_until = ZERO
         # The last moment at which, as far as the others confirm it, nobody else had won.
         self._no_later_term_at = ZERO
         # The last term that this very process has found in the store or won, and whether it stands.
-        self._found_token = 0
+        self._found_fencing_token = 0
         self._stands = False
         # Since when this node has seen that nobody leads.
         self._vacant_since: timedelta | None = None
@@ -150,37 +150,37 @@
 
     # Who else may have won
 
-    def has_won_no_later_term(self, token: int) -> bool:
+    def has_won_no_later_term(self, fencing_token: int) -> bool:
         """Neither this process, nor an earlier one of this node, has won a later term than that.
 
         Of its own wins a process knows. An earlier process won before this one began, and so no
         later term than the one that this process has found in the store, or has won, at any time:
         the key held the newest term then. One that has found none confirms nothing.
         """
-        return not self._stands and self._found_token > 0 and self.seen_token <= token
+        return not self._stands and self._found_fencing_token > 0 and self.highest_seen_token <= fencing_token
 
-    def note_no_later_term(self, token: int, asked: timedelta) -> None:
+    def note_no_later_term(self, fencing_token: int, asked: timedelta) -> None:
         """All other nodes, asked then, have confirmed that they have won no later term than that.
 
         So whoever wins does so later than that, and the time that a new leader waits for an
         earlier one, and that a confirmed cancellation leaves, counts from then on.
         """
-        if self.token == token:
+        if self.fencing_token == fencing_token:
             self._no_later_term_at = max(self._no_later_term_at, asked)
 
     def unaccounted_for(self, lease: timedelta) -> timedelta:
         """How long after winning a silent machine may still keep what an earlier leader gave it."""
         return at_least(self.holding + lease) + seconds(1)
 
-    def hear(self, token: int, leader: str | None) -> None:
+    def hear(self, fencing_token: int, leader: str | None) -> None:
         """A peer or a worker tells of a leadership."""
-        if token <= self.seen_token:
-            if token == self.seen_token and leader is not None:
+        if fencing_token <= self.highest_seen_token:
+            if fencing_token == self.highest_seen_token and leader is not None:
                 self.leader = leader
             return
-        self.seen_token = token
+        self.highest_seen_token = fencing_token
         self.leader = leader
-        if self.role is not Role.FOLLOWER and token > self.token:
+        if self.role is not Role.FOLLOWER and fencing_token > self.fencing_token:
             self.step_down("a newer leader is known")
 
     def step_down(self, why: str) -> None:
@@ -216,7 +216,7 @@
             now = self._clock()
             if self._vacant_since is None:
                 self._vacant_since = now
-            wait = self._standing.wait_before_standing(now - self._vacant_since, self.seen_token)
+            wait = self._standing.wait_before_standing(now - self._vacant_since, self.highest_seen_token)
             if wait > ZERO:
                 await asyncio.sleep(min(wait, RETRY).total_seconds())
                 return
@@ -231,7 +231,7 @@
             await self._client.revoke(record.hold)
             return
         self.hear(item.stamp, record.node)
-        self._found_token = item.stamp
+        self._found_fencing_token = item.stamp
         revision = page.revision
         while True:
             news = await self._client.watch(LEADER, revision, self._standing.watch_time(WATCH))
@@ -263,10 +263,10 @@
             # It may have been applied: if so, the key tells, and the next round revokes it.
             log.info("standing for leader: outcome unknown")
             return None
-        if stamp < self.seen_token:
+        if stamp < self.highest_seen_token:
             return None
         self._sure_until = sent + at_most(self.ttl) - MARGIN
-        self.token = self.seen_token = self._found_token = stamp
+        self.fencing_token = self.highest_seen_token = self._found_fencing_token = stamp
         self.leader = self._node
         self._given_up.clear()
         self._vacant_since = None
@@ -316,10 +316,10 @@
     is the old one. So the leader's parts ask their term, never the election.
     """
 
-    def __init__(self, election: Election, token: int) -> None:
+    def __init__(self, election: Election, fencing_token: int) -> None:
         """The term of that token."""
         self._election = election
-        self.token = token
+        self.fencing_token = fencing_token
 
     @property
     def leader(self) -> str | None:
@@ -328,19 +328,19 @@
 
     def leads(self) -> bool:
         """Whether this very term's lease surely holds."""
-        return self._election.token == self.token and self._election.leads()
+        return self._election.fencing_token == self.fencing_token and self._election.leads()
 
     def answers_workers(self) -> bool:
         """Whether this very term may still answer workers."""
-        return self._election.token == self.token and self._election.answers_workers()
+        return self._election.fencing_token == self.fencing_token and self._election.answers_workers()
 
-    def hear(self, token: int) -> None:
+    def hear(self, fencing_token: int) -> None:
         """A worker has seen that token."""
-        self._election.hear(token, None)
+        self._election.hear(fencing_token, None)
 
     def step_down(self, why: str) -> None:
         """Ends this term, if it is still the present one."""
-        if self._election.token == self.token:
+        if self._election.fencing_token == self.fencing_token:
             self._election.step_down(why)
 
 
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -41,9 +41,9 @@
     asyncio.set_event_loop(loop)
     caller = Renewals(loop, answer)
     client = StateClient(caller, TokenBucket(100, 100, loop.clock))
-    election = Election("a", client, loop.clock, TTL, HOLDING, lambda token: None, lambda: None)
+    election = Election("a", client, loop.clock, TTL, HOLDING, lambda fencing_token: None, lambda: None)
     if role is not F:
-        election.token = election.seen_token = TOKEN
+        election.fencing_token = election.highest_seen_token = TOKEN
         election.leader = "a"
         election._sure_until = loop.clock() + TTL
         election._move(L)
@@ -134,7 +134,7 @@
     # Hearsay may be older than a win of the process before this one.
     one.hear(TOKEN, "b")
     assert not one.has_won_no_later_term(TOKEN)
-    one._found_token = TOKEN - 5
+    one._found_fencing_token = TOKEN - 5
     assert (
         one.has_won_no_later_term(TOKEN)
         and one.has_won_no_later_term(TOKEN + 1)
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -5,11 +5,11 @@
 import msgspec
 
 
-class LeaderAnnouncement(msgspec.Struct, tag_field="kind", tag="lead"):
+class LeaderAnnouncement(msgspec.Struct, tag_field="kind", tag="lead", rename={"fencing_token": "token"}):
     """The sender says who leads, as far as it knows, and by which token."""
 
     leader: str | None
-    token: int
+    fencing_token: int
     node: str = ""
     # Machines that came to the sender of late as they did not reach that leader, and a few of
     # them: machine, session and sequence.
@@ -24,20 +24,20 @@
     links: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
 
-class ForwardedRequest(msgspec.Struct, tag_field="kind", tag="ask"):
+class ForwardedRequest(msgspec.Struct, tag_field="kind", tag="ask", rename={"fencing_token": "token"}):
     """A user's request, parsed by the node that took it."""
 
     number: int
     verb: str
     job_id: str
     # The leadership that is asked; any other one would answer from another view.
-    token: int = 0
+    fencing_token: int = 0
     body: dict[str, Any] | None = None
     # Why the body is no submission; the leader says so only if it does not know the job.
     fault: str | None = None
 
 
-class ForwardedResponse(msgspec.Struct, tag_field="kind", tag="reply"):
+class ForwardedResponse(msgspec.Struct, tag_field="kind", tag="reply", rename={"fencing_token": "token"}):
     """The answer to a forwarded request."""
 
     number: int
@@ -45,7 +45,7 @@
     body: dict[str, Any] | None = None
     retry_after_s: float | None = None
     # The leadership that answers, as far as one does.
-    token: int = 0
+    fencing_token: int = 0
 
 
 Message = LeaderAnnouncement | ForwardedRequest | ForwardedResponse
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -38,7 +38,7 @@
 def describe(node: str, announcement: LeaderAnnouncement) -> list[str]:
     """The links of one controller, line by line."""
     leader = announcement.leader or "nobody"
-    lines = [f"{node}: {'leads' if leader == node else f'follows {leader}'}, token {announcement.token}"]
+    lines = [f"{node}: {'leads' if leader == node else f'follows {leader}'}, token {announcement.fencing_token}"]
     if announcement.strays:
         lines.append(f"  {announcement.strays} machines came here that do not reach the leader")
     if announcement.links is msgspec.UNSET:
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -23,7 +23,7 @@
     age_s: float | None = None
 
 
-class LinkViewMessage(msgspec.Struct, omit_defaults=True):
+class LinkViewMessage(msgspec.Struct, omit_defaults=True, rename={"successor_fencing_token": "successor_token"}):
     """A node's view of its links. It says how old each part of it is, and grants nothing."""
 
     # Counts this node's messages; the others echo it.
@@ -38,7 +38,7 @@
     resting: bool = False
     # Who is to lead after the term of that token, which this node has just ended.
     successor: str | None = None
-    successor_token: Count = 0
+    successor_fencing_token: Count = 0
 
 
 class InvalidViewError(Exception):
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -51,7 +51,7 @@
     """Who is to lead after a term, and until when the others leave it to that node."""
 
     node: str
-    token: int
+    fencing_token: int
     until: timedelta
 
 
@@ -101,9 +101,9 @@
         """Whether all controllers tell one another their views."""
         return self._features.is_active(Feature.LINK_VIEWS)
 
-    def redirect(self, request: Request, leader: str | None, token: int) -> Response:
+    def redirect(self, request: Request, leader: str | None, fencing_token: int) -> Response:
         """The answer to a report that came here, though this node does not lead."""
-        response = self.strays.redirect(request, leader, token)
+        response = self.strays.redirect(request, leader, fencing_token)
         if self.views_active and self.strays.worth_telling():
             self.peers.tell()
         return response
@@ -146,13 +146,13 @@
             resting=self.backoff.resting,
         )
         if self._named is not None and self._clock() < self._named.until:
-            view.successor, view.successor_token = self._named.node, self._named.token
+            view.successor, view.successor_fencing_token = self._named.node, self._named.fencing_token
         return view
 
     def hear(self, announcement: LeaderAnnouncement) -> None:
         """What another node says of the machines that came to it, and of its links."""
         self.strays.hear(
-            announcement.node, announcement.strays, announcement.some, announcement.token, announcement.machines
+            announcement.node, announcement.strays, announcement.some, announcement.fencing_token, announcement.machines
         )
         if announcement.links is msgspec.UNSET or not self.views_active:
             return
@@ -161,21 +161,21 @@
             # Not before the view is loaded, and not only with the next round.
             self.term.look()
         if view is not None and view.successor is not None:
-            self._hear_successor(view.successor, view.successor_token)
+            self._hear_successor(view.successor, view.successor_fencing_token)
 
-    def _hear_successor(self, node: str, token: int) -> None:
-        if self._named_by_other is not None and token <= self._named_by_other.token:
+    def _hear_successor(self, node: str, fencing_token: int) -> None:
+        if self._named_by_other is not None and fencing_token <= self._named_by_other.fencing_token:
             # Said again: the wait has begun already.
             return
-        self._named_by_other = Successor(node, token, self._clock() + self.bounds.successor_wait)
+        self._named_by_other = Successor(node, fencing_token, self._clock() + self.bounds.successor_wait)
 
     # Standing for leader
 
-    def wait_before_standing(self, vacant_for: timedelta, token: int) -> timedelta:
-        """How long to leave a vacant leadership to others; `token` is that of the last term that is known."""
+    def wait_before_standing(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
+        """How long to leave a vacant leadership to others; `fencing_token` is that of the last term that is known."""
         rest = self.backoff.wait_before_standing(vacant_for)
         named = self._named_by_other
-        if named is None or named.token != token:
+        if named is None or named.fencing_token != fencing_token:
             return max(rest, self._wait_unheard(vacant_for))
         if named.node == self.node:
             # Whoever gave way knows that this node is better off.
@@ -199,9 +199,9 @@
         """How long a follower may wait for news of the leader before it asks the state service anew."""
         return min(usual, self.bounds.follower_watch) if self.views_active else usual
 
-    def name_successor(self, node: str, token: int) -> None:
+    def name_successor(self, node: str, fencing_token: int) -> None:
         """This node is about to end the term of that token and leaves leading to the named node."""
-        self._named = Successor(node, token, self._clock() + self.bounds.successor_wait)
+        self._named = Successor(node, fencing_token, self._clock() + self.bounds.successor_wait)
 
 
 class TermReachability:
@@ -211,7 +211,7 @@
         self,
         reachability: Reachability,
         census: Census,
-        token: int,
+        fencing_token: int,
         sure: Callable[[], bool],
         is_news: Callable[[Stray], bool],
         clock: Clock,
@@ -220,7 +220,7 @@
         """`sure` says whether the lease surely holds, `is_news` whether a machine's report is none of old."""
         self._reachability = reachability
         self._census = census
-        self._token = token
+        self._fencing_token = fencing_token
         self._sure = sure
         self._is_news = is_news
         self._clock = clock
@@ -267,7 +267,7 @@
 
     def _peer_view(self, node: str) -> PeerView:
         reachability = self._reachability
-        heard = reachability.strays.heard_by(node, self._token, self._is_news)
+        heard = reachability.strays.heard_by(node, self._fencing_token, self._is_news)
         if not reachability.views_active:
             return PeerView(node, LinkState.CONFIRMED if reachability.peers.reaches(node) else LinkState.CUT, heard)
         link = reachability.exchange.links[node].state
@@ -291,7 +291,7 @@
     def _act(self, decision: Decision) -> None:
         if isinstance(decision, GiveWay):
             log.info("giving way to %s, which hears more machines", decision.successor)
-            self._reachability.name_successor(decision.successor, self._token)
+            self._reachability.name_successor(decision.successor, self._fencing_token)
             self._reachability.peers.tell()
             self._step_down("the workers are out of reach")
         elif isinstance(decision, StepDown):
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -46,7 +46,7 @@
         # By node: how many came to it, some of them, the leadership that they missed, and when it said so.
         self._told: dict[str, tuple[int, list[Stray], int, timedelta]] = {}
 
-    def redirect(self, request: Request, leader: str | None, token: int) -> Response:
+    def redirect(self, request: Request, leader: str | None, fencing_token: int) -> Response:
         """A report that came here, though this node does not lead.
 
         A machine that has seen the leadership that we know of comes from that leader, which it
@@ -60,12 +60,12 @@
             sender = None
         if sender is not None:
             self._arrived_at = self._clock()
-        if leader is None or sender is None or sender.token != token:
+        if leader is None or sender is None or sender.fencing_token != fencing_token:
             return Response(421, elsewhere(leader))
-        if token != self._missed:
+        if fencing_token != self._missed:
             self._came.clear()
             self._told_count = 0
-            self._missed = token
+            self._missed = fencing_token
         # Taken out first: the last that came stand last.
         self._came.pop(sender.machine, None)
         self._came[sender.machine] = (self._clock(), sender.session, sender.sequence)
@@ -73,9 +73,9 @@
         many = max(1.0, self._machines * MANY)
         return Response(421, elsewhere(leader if len(self._came) <= many else None))
 
-    def strays(self, token: int) -> tuple[int, list[Stray]]:
+    def strays(self, fencing_token: int) -> tuple[int, list[Stray]]:
         """How many machines came here of late because they did not reach that leader, and some of them."""
-        if token != self._missed:
+        if fencing_token != self._missed:
             return 0, []
         since = self._clock() - self._window
         self._came = {machine: seen for machine, seen in self._came.items() if seen[0] > since}
@@ -91,18 +91,18 @@
         """Twice as many machines have come as the others were told of: more than single lost answers explain."""
         return len(self._came) >= max(FEW, self._machines * FEW_PART, self._told_count * 2)
 
-    def hear(self, node: str, strays: int, some: list[Stray], token: int, machines: int) -> None:
+    def hear(self, node: str, strays: int, some: list[Stray], fencing_token: int, machines: int) -> None:
         """Another node says who came to it, in the leadership that it knows of."""
         if machines:
             self._machines = machines
-        self._told[node] = (strays, some, token, self._clock())
+        self._told[node] = (strays, some, fencing_token, self._clock())
 
-    def heard_by(self, node: str, token: int, is_news: Callable[[Stray], bool]) -> int:
+    def heard_by(self, node: str, fencing_token: int, is_news: Callable[[Stray], bool]) -> int:
         """About how many machines miss that leader and reach the node; `is_news` tells old copies."""
         told = self._told.get(node)
         if told is None:
             return 0
         count, some, missed, at = told
-        if missed != token or at <= self._clock() - self._window or not some:
+        if missed != fencing_token or at <= self._clock() - self._window or not some:
             return 0
         return round(count * sum(map(is_news, some)) / len(some))
--- a/src/elmthread/reachability/tests/test_strays.py
+++ b/src/elmthread/reachability/tests/test_strays.py
@@ -27,8 +27,8 @@
     reach = MisdirectedReports(lambda: now[0], seconds(7))
     reach.hear("a", 0, [], 9, 10)
 
-    def comes(machine: str, token: int, leader: str | None = "a") -> object:
-        body = {"loom": machine, "baton": token, "shift": 1, "tally": next(count)}
+    def comes(machine: str, fencing_token: int, leader: str | None = "a") -> object:
+        body = {"loom": machine, "baton": fencing_token, "shift": 1, "tally": next(count)}
         return reach.redirect(Request("POST", "/", {}, cbor2.dumps(body)), leader, 9).body
 
     # One that has not seen this leadership is sent to it; of those that have, and come all the
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -35,11 +35,11 @@
     hold_at: Level | None = None
 
 
-class LevelRecord(msgspec.Struct):
+class LevelRecord(msgspec.Struct, rename={"fencing_token": "token"}):
     """The active level, and the leader's token under which it was raised."""
 
     level: Level
-    token: int
+    fencing_token: int
 
 
 class FenceRecord(msgspec.Struct):
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -52,13 +52,15 @@
 class TermRollout:
     """Reads and raises the level under one token."""
 
-    def __init__(self, context: RolloutContext, client: StateClient, writer: Writer, clock: Clock, token: int) -> None:
+    def __init__(
+        self, context: RolloutContext, client: StateClient, writer: Writer, clock: Clock, fencing_token: int
+    ) -> None:
         """The level counts as the first until `load`."""
         self._context = context
         self._client = client
         self._writer = writer
         self._clock = clock
-        self._token = token
+        self._fencing_token = fencing_token
         self._level = FIRST_LEVEL
         self._fence = FIRST_LEVEL
         # What is planned, and since when; what was last told of as an obstacle.
@@ -124,13 +126,13 @@
             self._tell(strangers)
             await asyncio.sleep(WATCH.total_seconds())
             return
-        guards = [store.guard(LEADER, self._token), store.guard(messages.LEVEL_KEY, plan.level_stamp)]
+        guards = [store.guard(LEADER, self._fencing_token), store.guard(messages.LEVEL_KEY, plan.level_stamp)]
         guards += [store.guard(messages.node_key(node), found.stamp) for node, found in plan.announcements]
         if len(guards) > self._context.most_guards:
             log.error("%s controllers are more than one transaction can compare: the level stays", len(guards) - 2)
             await asyncio.sleep(LOOK_AGAIN.total_seconds())
             return
-        record = msgspec.to_builtins(messages.LevelRecord(plan.level, self._token))
+        record = msgspec.to_builtins(messages.LevelRecord(plan.level, self._fencing_token))
         try:
             await self._client.commit(guards, [store.put(messages.LEVEL_KEY, record)])
         except ConflictError as lost:
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -54,9 +54,9 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.lists(runs, max_size=8), st.integers(1, 10**6))
-def test_whatever_is_assigned_is_found_again_in_no_more_bytes(found: list[Any], token: int) -> None:
+def test_whatever_is_assigned_is_found_again_in_no_more_bytes(found: list[Any], fencing_token: int) -> None:
     assigned: dict[int, tuple[str, int, int]] = {}
-    attempt = token * 10_000_000
+    attempt = fencing_token * 10_000_000
     for job_id, first, count, term in found:
         for step in range(count):
             attempt += 1
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -33,10 +33,10 @@
         self.trouble = Trouble()
         client = StateClient(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
         self.lost: list[bool] = []
-        token = self.store.items[LEADER][1]
+        fencing_token = self.store.items[LEADER][1]
         self.writer = Writer(
             client,
-            token,
+            fencing_token,
             Slots(slot_bytes(2)),
             TokenBucket(rate, rate, self.loop.clock),
             8,
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -88,7 +88,7 @@
     def __init__(
         self,
         client: StateClient,
-        token: int,
+        fencing_token: int,
         slots: Slots,
         changes: TokenBucket,
         most_ops: int,
@@ -96,7 +96,7 @@
         lost: Callable[[], None],
     ) -> None:
         self._client = client
-        self._token = token
+        self._fencing_token = fencing_token
         self._slots = slots
         self._changes = changes
         self._most_ops = most_ops
@@ -250,7 +250,7 @@
             self._busy.update(moved)
 
     async def _commit(self, filled: list[Filled], batch: list[Change]) -> None:
-        guards = [messages.guard(LEADER, self._token)]
+        guards = [messages.guard(LEADER, self._fencing_token)]
         then = []
         for one in filled:
             guards.append(messages.guard(one.slot.key, one.slot.stamp))
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -33,7 +33,7 @@
         "spot": "loaners",
         "session": "shift",
         "sequence": "tally",
-        "token": "baton",
+        "fencing_token": "baton",
         "notice_s": "recall_s",
         "tasks": "pieces",
     },
@@ -45,7 +45,7 @@
     spot: bool
     session: int
     sequence: int
-    token: int
+    fencing_token: int
     notice_s: float | None = None
     tasks: list[Task] = []
 
@@ -57,19 +57,21 @@
     """Raises msgspec.ValidationError."""
     report = msgspec.convert(body, Report)
     # A token is believed: one that can't be would make every leader give way.
-    numbers = (report.session, report.sequence, report.token, *map(_attempt_of, report.tasks))
+    numbers = (report.session, report.sequence, report.fencing_token, *map(_attempt_of, report.tasks))
     if min(numbers) < 0 or max(numbers) >= MOST:
         raise msgspec.ValidationError("a number is out of range")
     return report
 
 
-class Sender(msgspec.Struct, rename={"machine": "loom", "session": "shift", "sequence": "tally", "token": "baton"}):
+class Sender(
+    msgspec.Struct, rename={"machine": "loom", "session": "shift", "sequence": "tally", "fencing_token": "baton"}
+):
     """Who sent it and when, of a report that is not for this node."""
 
     machine: str
     session: int
     sequence: int
-    token: int
+    fencing_token: int
 
 
 def task_name(job_id: str, task: int) -> str:
@@ -91,8 +93,8 @@
     return {"verb": "reap", "piece": name, "try": attempt}
 
 
-def orders(token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"baton": token, "orders": commands}
+def orders(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
+    return {"baton": fencing_token, "orders": commands}
 
 
 def elsewhere(leader: str | None) -> dict[str, Any]:
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -88,8 +88,8 @@
             self.dropped += 1
             log.info("report dropped (%s so far): %s", self.dropped, error)
             return Response(400, {"error": "malformed report"})
-        if report.token > self._term.token:
-            self._term.hear(report.token)
+        if report.fencing_token > self._term.fencing_token:
+            self._term.hear(report.fencing_token)
         if not self._term.answers_workers():
             return Response(421, messages.elsewhere(self._term.leader))
         if report.machine in self._cluster.gone:
@@ -100,7 +100,7 @@
             self.dropped += 1
             return again(503, seconds(1), "an older report")
         now = self._clock()
-        if report.token < self._term.token:
+        if report.fencing_token < self._term.fencing_token:
             # The first answer carries our token; what the next report lists, no earlier
             # leader can change any more. Until then this may be a late copy of a report that
             # an earlier leader has had: it is no sign of life.
@@ -135,7 +135,7 @@
 
     def _answer(self, machine: Machine, commands: list[dict[str, Any]]) -> Response:
         machine.answered_at = self._clock()
-        body = messages.orders(self._term.token, commands)
+        body = messages.orders(self._term.fencing_token, commands)
         # Judged once more when the bytes leave: a start sent after the lease is one too many.
         starts = any(command["verb"] == messages.START for command in commands)
         return Response(200, body, sure=self._term.leads if starts else self._term.answers_workers)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -240,7 +240,7 @@
         world.apart.discard(name)
         world.start(other)
         await asyncio.sleep(3)
-        assert world.controllers[other].election.seen_token == old.election.token
+        assert world.controllers[other].election.highest_seen_token == old.election.fencing_token
         await asyncio.sleep(60)
         assert seen["present, held by an earlier leader"] > 20 and not world.rules.where
         restore(world)
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -268,8 +268,8 @@
     leader = world.leader.reachability
     name_successor = leader.name_successor
 
-    def named(node: str, token: int) -> None:
-        name_successor(node, token)
+    def named(node: str, fencing_token: int) -> None:
+        name_successor(node, fencing_token)
         world.kill(node)
         world.loop.call_later(0.3, start, world, node)
 
@@ -285,8 +285,8 @@
     name_successor = leader.name_successor
     cuts: list[asyncio.Task[None]] = []
 
-    def named(node: str, token: int) -> None:
-        name_successor(node, token)
+    def named(node: str, fencing_token: int) -> None:
+        name_successor(node, fencing_token)
         cuts.append(world.loop.create_task(world.play_faults([cut(node, "store")])))
 
     leader.name_successor = named  # type: ignore[method-assign]
@@ -297,7 +297,7 @@
 
 async def name_not_heard(world: World, history: History) -> None:
     """The others never hear who was named."""
-    with mock.patch.object(Reachability, "_hear_successor", lambda self, node, token: None):
+    with mock.patch.object(Reachability, "_hear_successor", lambda self, node, fencing_token: None):
         await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -627,8 +627,8 @@
     await asyncio.sleep(2)
 
     def raised() -> None:
-        token = world.store.items["leader"][1]
-        put = store.put("rollout/level", {"level": 2, "token": token})
+        fencing_token = world.store.items["leader"][1]
+        put = store.put("rollout/level", {"level": 2, "token": fencing_token})
         assert world.store._transact({"guards": [], "then": [put]}).status == 200
 
     before_putting(world, f"rollout/nodes/{NODES[2]}", raised)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -412,7 +412,7 @@
         await asyncio.sleep(2)
         if still > 4:
             # It has noticed, and a newer leadership is all that anybody hears of.
-            tokens = {controller.election.seen_token for controller in world.controllers.values()}
+            tokens = {controller.election.highest_seen_token for controller in world.controllers.values()}
             assert len(tokens) == 1 and old.leader is None
         # The withdrawal may have come after the job's end; either answer stays.
         end = await withdrawn
@@ -482,7 +482,9 @@
         assert world.leader is not None and world.leader is not old
         await asyncio.sleep(20)
         # One fail-over, not one after the other.
-        assert world.leader.election.token == max(c.election.seen_token for c in world.controllers.values())
+        assert world.leader.election.fencing_token == max(
+            c.election.highest_seen_token for c in world.controllers.values()
+        )
         kept = {(machine, task) for machine, task in running if (machine, task) in set(world.rules.where)}
         # A worker gives a node four seconds; those that were sent back once may come too late.
         assert len(kept) > len(running) * 0.6, len(kept)
@@ -578,10 +580,10 @@
         assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
         assert world.leader is not None
         leader = world.leader
-        asked = ForwardedRequest(1, "status", "run-000001", leader.election.token)
+        asked = ForwardedRequest(1, "status", "run-000001", leader.election.fencing_token)
         assert (await leader.api.answer(asked)).status == 200
-        for token in (asked.token - 1, asked.token + 1, 0):
-            reply = await leader.api.answer(ForwardedRequest(1, "status", "run-000001", token))
+        for fencing_token in (asked.fencing_token - 1, asked.fencing_token + 1, 0):
+            reply = await leader.api.answer(ForwardedRequest(1, "status", "run-000001", fencing_token))
             assert reply.status == 503 and reply.retry_after_s
         # A follower that has heard of a newer leadership passes on nothing of the older one.
         other = next(one for one in world.controllers.values() if one is not leader)
@@ -591,7 +593,7 @@
 
         async def overtaken(*args: Any) -> Any:
             reply = await ask(*args)
-            other.election.hear(asked.token + 5, leader.api._node)
+            other.election.hear(asked.fencing_token + 5, leader.api._node)
             return reply
 
         other.peers.ask = overtaken  # type: ignore[method-assign,assignment]
@@ -610,7 +612,7 @@
         await asyncio.sleep(8)
         first = world.leader
         assert first is not None
-        node, token = first.api._node, first.election.token
+        node, fencing_token = first.api._node, first.election.fencing_token
         if not others_live:
             for other in [name for name in world.nodes if name != node]:
                 world.kill(other)
@@ -623,10 +625,10 @@
         else:
             # Nobody else can lead: after one try it goes on, and is there when the machines are back.
             await asyncio.sleep(30)
-            assert first.election.leads() and first.election.token > token
-            won = first.election.token
+            assert first.election.leads() and first.election.fencing_token > fencing_token
+            won = first.election.fencing_token
             await asyncio.sleep(40)
-            assert first.election.token == won
+            assert first.election.fencing_token == won
         restore(world)
         world.cut_workers.clear()
         states = await world.until_over([f"run-{number:06d}" for number in range(4)], 200)
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -80,10 +80,10 @@
         cloud_port = RecordingPort(cloud, node, self)
         controller._cloud = cloud_port
 
-        def begun(token: int) -> None:
-            self.terms.append((self.world.loop.now, node, token))
+        def begun(fencing_token: int) -> None:
+            self.terms.append((self.world.loop.now, node, fencing_token))
             self.renewed(node, self.granted[node])
-            won(token)
+            won(fencing_token)
 
         async def answered(ask: Any) -> Any:
             reply = await answer(ask)
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -327,11 +327,11 @@
     held = [cbor2.dumps(worker._body()) for worker in world.workers.values()]
     await asyncio.sleep(world.rng.uniform(2, 12))
     world.kept = None
-    token = world.leader.election.token if world.leader is not None else 0
+    fencing_token = world.leader.election.fencing_token if world.leader is not None else 0
     await leader_ends(stage)
     for _ in range(200):
         await asyncio.sleep(0.05)
-        if world.leader is not None and world.leader.election.token > token:
+        if world.leader is not None and world.leader.election.fencing_token > fencing_token:
             break
     late = [Request("POST", "/agent/beat", {}, body) for body in held]
     for _ in range(2):
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -43,7 +43,7 @@
         self.loop, self.rng, self.rules, self.send, self.nodes = loop, rng, rules, send, nodes
         self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
         self.report_s, self.lease_s = report_s, lease_s
-        self.session, self.sequence, self.token = 1, 0, 0
+        self.session, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Running] = {}
         self.results: set[str] = set()
         self.images: set[str] = set()
@@ -65,7 +65,7 @@
     def reborn(self, session: int) -> None:
         """The machine is back at once, its tasks gone, with this session number."""
         self._forget()
-        self.session, self.sequence, self.token = session, 0, 0
+        self.session, self.sequence, self.fencing_token = session, 0, 0
         self.granted = self.loop.now
         self.change.set()
 
@@ -129,7 +129,7 @@
             "loaners": self.spot,
             "shift": self.session,
             "tally": self.sequence,
-            "baton": self.token,
+            "baton": self.fencing_token,
             "recall_s": None if self.recall_at is None else max(0.0, self.recall_at - self.loop.now),
             "pieces": tasks,
         }
@@ -170,11 +170,11 @@
                 await asyncio.sleep(1)
 
     def _answered(self, body: Any, sent: float, session: int) -> None:
-        token = body.get("baton")
-        if token is None or token < self.token or session != self.session:
+        fencing_token = body.get("baton")
+        if fencing_token is None or fencing_token < self.fencing_token or session != self.session:
             return
-        if token > self.token:
-            self.token = token
+        if fencing_token > self.fencing_token:
+            self.fencing_token = fencing_token
             self.change.set()
         self.granted = max(self.granted, sent)
         for order in body["orders"]:
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -388,7 +388,7 @@
     def leader(self) -> Controller | None:
         """The newest leader: an earlier one may not have noticed yet that it is none."""
         leaders = [one for one in self.controllers.values() if one.leader is not None]
-        return max(leaders, key=lambda one: one.election.token) if leaders else None
+        return max(leaders, key=lambda one: one.election.fencing_token) if leaders else None
 
     # Workers
 
