--- /dev/null
+++ b/tests/trace/days.py
@@ -0,0 +1,147 @@
+"""The days that are traced: a script for each, and what is set before the world begins."""
+
+import asyncio
+import random
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from tests.trace.pins import SimulatedTime, pinned
+from tests.trace.recorder import Recorder
+from tests.trace.users import ask_until_end, leader_of, rent_more, take_back, use
+from tests.world.rollouts import begin_before, until_level
+from tests.world.world import World, start
+
+Script = Callable[[World, random.Random], Awaitable[None]]
+MACHINES = 16
+# The level from which on controllers exchange views of their links.
+LEVEL = 3
+
+
+async def ordinary(world: World, rng: random.Random) -> None:
+    """Jobs of all forms, questions, cancellations and spot machines that are taken back."""
+    await asyncio.gather(use(world, rng, 45), take_back(world, rng, 4, 25.0))
+    await ask_until_end(world, rng, 200.0)
+
+
+async def outage(world: World, rng: random.Random) -> None:
+    """The state service is slow, loses and repeats answers, is out, and comes back with a stricter limit."""
+    users = asyncio.ensure_future(use(world, rng, 40))
+    await asyncio.sleep(15)
+    for ports in world.ports.values():
+        state, cloud = ports[0].trouble, ports[1].trouble
+        state.lost, state.late, state.twice = 0.1, 0.05, 0.1
+        cloud.lost = cloud.twice = 0.2
+    await asyncio.sleep(25)
+    for ports in world.ports.values():
+        state = ports[0].trouble
+        state.lost = state.late = state.twice = 0.0
+        state.slow_to, state.slow_from = 0.3, 0.4
+    await asyncio.sleep(20)
+    for ports in world.ports.values():
+        ports[0].trouble.slow_to = ports[0].trouble.slow_from = 0.0
+    world.store.outage(True)
+    await asyncio.sleep(20)
+    world.store.outage(False)
+    await asyncio.sleep(15)
+    world.store.limit(8.0, 8, 15.0)
+    await users
+    await ask_until_end(world, rng, 170.0)
+
+
+async def cuts(world: World, rng: random.Random) -> None:
+    """Cuts of single links and of a zone, while machines hang, die and fail their tasks."""
+    users = asyncio.ensure_future(use(world, rng, 35))
+    await asyncio.sleep(12)
+    names = sorted(world.workers)
+    world.workers[names[0]].hung = True
+    world.workers[names[1]].sick = True
+    world.deaf.add(names[2])
+    world.workers.pop(names[3]).gone()
+    for source, target in (("leader", "store"), ("leader", "peers"), ("leader", "workers/east"), ("leader", "workers")):
+        fault = {"at_s": 0.0, "for_s": 14.0, "from": source, "to": target, "both": rng.random() < 0.7}
+        await world.play_faults([fault])
+        await asyncio.sleep(12)
+    if names[0] in world.workers:
+        world.workers[names[0]].hung = False
+    world.deaf.clear()
+    world.copies = 0.2
+    cut = [name for name, worker in sorted(world.workers.items()) if worker.zone == "north"]
+    world.cut_workers |= {(name, node) for name in cut for node in world.nodes}
+    await asyncio.sleep(25)
+    world.cut_workers.clear()
+    await users
+    await ask_until_end(world, rng, 220.0)
+
+
+async def kills(world: World, rng: random.Random) -> None:
+    """The leader is killed and comes back, a follower stands still, all are killed and come back."""
+    users = asyncio.ensure_future(use(world, rng, 40))
+    for _ in range(2):
+        await asyncio.sleep(18)
+        node = leader_of(world)
+        world.kill(node)
+        await asyncio.sleep(rng.uniform(1.0, 9.0))
+        world.start(node)
+    await asyncio.sleep(15)
+    await world.stand_still(leader_of(world), 8.0)
+    await asyncio.sleep(15)
+    for node in world.nodes:
+        world.kill(node)
+    await asyncio.sleep(6)
+    for node in world.nodes:
+        world.start(node)
+    await users
+    await ask_until_end(world, rng, 180.0)
+
+
+async def levels(world: World, rng: random.Random) -> None:
+    """Nodes of the version before are replaced one by one, the level rises, and links are cut under it."""
+    users = asyncio.ensure_future(use(world, rng, 40))
+    await asyncio.sleep(12)
+    for node in world.nodes:
+        # It comes back with all levels that the code has.
+        world.kill(node)
+        del world.levels[node]
+        world.loop.call_later(1.0, start, world, node)
+        await asyncio.sleep(9)
+    await until_level(world, LEVEL)
+    await asyncio.sleep(10)
+    for source, target in (("leader", "workers"), ("leader", "follower"), ("leader", "store")):
+        await world.play_faults([{"at_s": 0.0, "for_s": 12.0, "from": source, "to": target, "both": True}])
+        await asyncio.sleep(14)
+    await users
+    world.kill(leader_of(world))
+    await ask_until_end(world, rng, 190.0)
+
+
+DAYS: dict[str, tuple[Script, Callable[[World], None]]] = {
+    "ordinary": (ordinary, lambda world: None),
+    "outage": (outage, lambda world: None),
+    "cuts": (cuts, lambda world: None),
+    "kills": (kills, lambda world: None),
+    "levels": (levels, begin_before),
+}
+
+
+def play_day(name: str, seed: int) -> list[str]:
+    """Plays a day and returns its lines. Raises AssertionError where a rule of the world is broken."""
+    # Only here, as it draws in the tools of the tests.
+    from tests.test_world import day
+
+    script, prepare = DAYS[name]
+    recorder, clock = Recorder(), SimulatedTime()
+
+    def before(world: World) -> None:
+        recorder.world, clock.loop = world, world.loop
+        prepare(world)
+
+    async def played(world: World) -> None:
+        rent_more(world, 12)
+        await script(world, random.Random(seed))
+        # What is called off at the end comes in no certain order.
+        recorder.closed = True
+
+    more: dict[str, Any] = {"machines": MACHINES, "each": 8, "before": before}
+    with pinned(seed, clock), recorder.watching():
+        day(played, seed=seed, **more)
+    return recorder.lines
--- /dev/null
+++ b/tests/trace/pins.py
@@ -0,0 +1,106 @@
+"""Pins whatever differs between two runs: random numbers of the system and all clocks."""
+
+import datetime as datetimes
+import random
+import secrets
+import sys
+import time
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
+from typing import Any
+from unittest import mock
+
+from tests.world.loop import SimLoop
+
+EPOCH_S = 1_700_000_000.25
+PACKAGE = "elmthread"
+REAL = datetimes.datetime
+
+
+class SimulatedTime:
+    """Wall and steady time that follow a simulated loop, once there is one."""
+
+    def __init__(self) -> None:
+        """Time stands at the epoch until a loop is set."""
+        self.loop: SimLoop | None = None
+
+    def steady(self) -> float:
+        """Simulated seconds since the day began."""
+        return 0.0 if self.loop is None else self.loop.now
+
+    def steady_ns(self) -> int:
+        """The same in nanoseconds."""
+        return int(self.steady() * 1e9)
+
+    def wall(self) -> float:
+        """Simulated seconds since 1970."""
+        return EPOCH_S + self.steady()
+
+    def wall_ns(self) -> int:
+        """The same in nanoseconds."""
+        return int(self.wall() * 1e9)
+
+
+def _datetime(clock: SimulatedTime) -> type[REAL]:
+    """A datetime that reads the simulated time; all else is as it was."""
+
+    class SimulatedDatetime(REAL):
+        @classmethod
+        def now(cls, tz: datetimes.tzinfo | None = None) -> Any:
+            return REAL.fromtimestamp(clock.wall(), tz)
+
+        @classmethod
+        def utcnow(cls) -> Any:
+            return REAL.fromtimestamp(clock.wall(), datetimes.UTC).replace(tzinfo=None)
+
+    return SimulatedDatetime
+
+
+def _no_processor_time() -> int:
+    """The time of the processor, which never passes here: no node is ever overloaded."""
+    return 0
+
+
+def _replacements(clock: SimulatedTime) -> list[tuple[Any, str, Any]]:
+    """Module, name and stand-in of all that is pinned."""
+    clocks: dict[str, Callable[[], float]] = {
+        "time": clock.wall,
+        "time_ns": clock.wall_ns,
+        "monotonic": clock.steady,
+        "monotonic_ns": clock.steady_ns,
+        "perf_counter": clock.steady,
+        "perf_counter_ns": clock.steady_ns,
+    }
+    clocks |= dict.fromkeys(("process_time", "process_time_ns", "thread_time", "thread_time_ns"), _no_processor_time)
+    found: list[tuple[Any, str, Any]] = [(time, name, one) for name, one in clocks.items()]
+    return [*found, (datetimes, "datetime", _datetime(clock))]
+
+
+def _patch_imported_names(stack: ExitStack, stand_ins: dict[int, Any]) -> None:
+    """Replaces what modules of the service have taken over by `from time import ...` and the like.
+
+    The names are looked up by what they stand for, so that none of a module or of a variable is needed here.
+    """
+    modules = [one for name, one in sys.modules.items() if name == PACKAGE or name.startswith(f"{PACKAGE}.")]
+    for module in modules:
+        for name, value in list(vars(module).items()):
+            if id(value) in stand_ins:
+                stack.enter_context(mock.patch.object(module, name, stand_ins[id(value)]))
+
+
+@contextmanager
+def pinned(seed: int, clock: SimulatedTime) -> Iterator[None]:
+    """Pins clocks and random numbers; those of `random` itself are also seeded by each world."""
+    rng = random.Random(seed + 1000)
+    with ExitStack() as stack:
+        # All functions of `secrets` draw from this one, however they were imported.
+        stack.enter_context(mock.patch.object(secrets, "_sysrand", rng))
+        stand_ins: dict[int, Any] = {id(secrets.choice): rng.choice, id(secrets.randbits): rng.getrandbits}
+        for name in ("choice", "randbits"):
+            stack.enter_context(mock.patch.object(secrets, name, stand_ins[id(getattr(secrets, name))]))
+        for module, name, stand_in in _replacements(clock):
+            stand_ins[id(getattr(module, name))] = stand_in
+            stack.enter_context(mock.patch.object(module, name, stand_in))
+        _patch_imported_names(stack, stand_ins)
+        random.seed(seed)
+        yield
--- /dev/null
+++ b/tests/trace/recorder.py
@@ -0,0 +1,118 @@
+"""Records what crosses the simulated network: one line for each exchange, in the order in which it began."""
+
+import asyncio
+import json
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from typing import Any
+from unittest import mock
+
+import cbor2
+import msgspec
+import pynetstring
+
+from tests.world.loop import NODE
+from tests.world.services import CloudStand, Port
+from tests.world.world import World
+
+NO_ANSWER = "unanswered"
+
+
+def wire(value: Any) -> str:
+    """A body as JSON, its fields in the order in which they are sent; what can't be sent is an error."""
+    return json.dumps(value, separators=(",", ":"))
+
+
+def received(body: bytes) -> str:
+    """The body of a request; bytes that are no CBOR as hexadecimal digits."""
+    try:
+        return wire(cbor2.loads(body)) if body else ""
+    except ValueError:
+        return body.hex()
+
+
+def answered(response: Any) -> str:
+    """An answer at a node's door, its headers included. The only place that names fields of it."""
+    after = "" if response.retry_after is None else f" retry={response.retry_after.total_seconds():.6f}"
+    return f"{response.status}{after}{' close' if response.close else ''} {wire(response.body)}"
+
+
+class Recorder:
+    """Collects the lines of one world, until it is closed."""
+
+    def __init__(self) -> None:
+        """No world yet."""
+        self.world: World | None = None
+        self.lines: list[str] = []
+        self.closed = False
+
+    def _now(self) -> float:
+        return 0.0 if self.world is None else self.world.loop.now
+
+    def begin(self, what: str) -> Callable[[str], None]:
+        """Notes an exchange; returns what notes its answer. Without an answer it stays unanswered."""
+        if self.closed:
+            return lambda answer: None
+        index = len(self.lines)
+        self.lines.append(f"{self._now():.6f} {what} => {NO_ANSWER}")
+
+        def end(answer: str) -> None:
+            if not self.closed:
+                head = self.lines[index].removesuffix(NO_ANSWER)
+                self.lines[index] = f"{head}{self._now():.6f} {answer}"
+
+        return end
+
+    @contextmanager
+    def watching(self) -> Iterator[None]:
+        """Watches the ways to services, the nodes' doors and the messages between controllers."""
+        with (
+            mock.patch.object(Port, "call", _watched_call(self)),
+            mock.patch.object(World, "serve", _watched_door(self)),
+            mock.patch.object(World, "carried", _watched_message(self)),
+        ):
+            yield
+
+
+def _watched_call(recorder: Recorder) -> Any:
+    call = Port.call
+
+    async def watched(port: Port, method: str, path: str, body: Any = None, **more: Any) -> Any:
+        service = "cloud" if isinstance(port._service, CloudStand) else "state"
+        end = recorder.begin(f"{NODE.get()} {service} {method} {path} {wire(body)}")
+        try:
+            answer = await call(port, method, path, body, **more)
+        except asyncio.CancelledError:
+            raise
+        except Exception as error:
+            # The stand-in's word for it; the class is the service's own.
+            end(f"failed: {error}")
+            raise
+        end(f"{answer.status} {wire(answer.body)}")
+        return answer
+
+    return watched
+
+
+def _watched_door(recorder: Recorder) -> Any:
+    serve = World.serve
+
+    async def watched(world: World, node: str, request: Any) -> Any:
+        query = wire(dict(request.query)) if request.query else ""
+        end = recorder.begin(f"{node} door {request.method} {request.path}{query} {received(request.body)}")
+        response = await serve(world, node, request)
+        end(answered(response))
+        return response
+
+    return watched
+
+
+def _watched_message(recorder: Recorder) -> Any:
+    carried = World.carried
+
+    def watched(world: World, message: Any, node: str) -> Any:
+        frame = pynetstring.encode(msgspec.json.encode(message)).decode()
+        recorder.begin(f"{NODE.get()} says to {node} {frame}")("sent")
+        return carried(world, message, node)
+
+    return watched
