--- a/src/elmthread/autoscaling/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_services.py
@@ -19,7 +19,7 @@
             "order": (0.0,),
             "count": count,
             "cpus": 2.0,
-            "cards": 0.0,
+            "gpus": 0.0,
             "ram": 2.0,
             "spot": False,
             "urgent": True,
