--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -112,7 +112,7 @@
         silent, noticed, suspect = up[:3]
         for node in world.nodes:
             world.cut_workers.add((silent.name, node))
-        noticed.recall_at = leader._clock() * 2
+        noticed.interruption_at = leader._clock() * 2
         suspect.suspect = True
         await asyncio.sleep(6)
         judged.clear()
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -228,17 +228,17 @@
         "known_since",
         "missed",
         "name",
-        "newest",
+        "last_heartbeat_id",
         "pool",
         "price",
         "quiet",
         "ram",
         "ram_used",
-        "recall_at",
+        "interruption_at",
         "record_size",
-        "reported_at",
-        "session_since",
-        "silent_sessions",
+        "last_heartbeat_at",
+        "incarnation_since",
+        "expired_incarnation",
         "spot",
         "standing_cpus",
         "state",
@@ -269,15 +269,15 @@
         self.fetch_rate = 1.0
         self.price = 0.0
         self.allocations: dict[int, Allocation] = {}
-        self.newest = (0, 0)
-        self.silent_sessions = 0
-        self.reported_at: timedelta | None = None
+        self.last_heartbeat_id = (0, 0)
+        self.expired_incarnation = 0
+        self.last_heartbeat_at: timedelta | None = None
         self.answered_at: timedelta | None = None
         # Its last report came on a connection on which our answer to the one before had arrived.
         self.answers_arrive = False
         self.known_since = now
         self.empty_since = now
-        self.recall_at: timedelta | None = None
+        self.interruption_at: timedelta | None = None
         # Overdue with its reports: it may hang or be dead, so it gets nothing new.
         self.quiet = False
         # Its whole zone seems to be cut off: it is not counted on, but may well be back.
@@ -285,7 +285,7 @@
         # Since when our answers have not been seen to arrive: reports alone are no proof that
         # commands get through, so it gets nothing new until they are.
         self.deaf_since: timedelta | None = None
-        self.session_since = now
+        self.incarnation_since = now
         self.missed = 0
         self.images: dict[str, float] = {}
         self.pool = False
@@ -307,7 +307,7 @@
     def open(self) -> bool:
         return (
             self.state is MachineState.UP
-            and self.recall_at is None
+            and self.interruption_at is None
             and self.deaf_since is None
             and not self.suspect
             and not self.quiet
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -78,7 +78,7 @@
         self.reachability = Reachability(
             platform.node,
             [other.node for other in platform.others],
-            ReachabilityBounds(LEASE, facts.workers.report, facts.workers.lease),
+            ReachabilityBounds(LEASE, facts.workers.heartbeat_interval, facts.workers.lease),
             clock,
             self._features,
             facts.workers.lease * QUIET,
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -88,7 +88,7 @@
         self._slots = Slots(slot_bytes(store.value_kb))
         rate = store.write_rps * LEADERS_PART
         self.cluster = ClusterState(self._slots.most, machine_frame)
-        census = Census(self.cluster.machines, clock, reachability.bounds.report_overdue, clock())
+        census = Census(self.cluster.machines, clock, reachability.bounds.heartbeat_timeout, clock())
         self.reachability = TermReachability(
             reachability,
             census,
@@ -158,7 +158,7 @@
             clock,
             self._next_attempt,
             lambda: self._attempts,
-            facts.workers.report,
+            facts.workers.heartbeat_interval,
             self.agents.assign,
             self._expected,
             self.agents.health.forgive,
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -249,7 +249,7 @@
         for machine in list(self._cluster.machines.values()):
             if machine.was_listed and machine.name not in names:
                 count = self._missing[machine.name] = self._missing.get(machine.name, 0) + 1
-                silent = machine.reported_at is None or now - machine.reported_at > self._lag * 2
+                silent = machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > self._lag * 2
                 if count >= MISSING and silent:
                     self.give_up(machine, "no longer listed")
 
@@ -378,9 +378,9 @@
             machine.cut = machine.zone in self._cut
             if (
                 machine.state is MachineState.UP
-                and machine.reported_at is not None
-                and now - machine.reported_at <= quiet_after
-                and machine.recall_at is None
+                and machine.last_heartbeat_at is not None
+                and now - machine.last_heartbeat_at <= quiet_after
+                and machine.interruption_at is None
                 and machine.deaf_since is None
                 and not machine.suspect
             ):
@@ -399,7 +399,7 @@
                 continue
             machine.quiet = self._silence(machine, now) > quiet_after
             self._expire(machine, now)
-            if machine.recall_at is not None and now >= machine.recall_at - TAKEN:
+            if machine.interruption_at is not None and now >= machine.interruption_at - TAKEN:
                 self.give_up(machine, "taken back")
             elif machine.deaf_since is not None and now - machine.deaf_since > self._lease * DEAF:
                 self.give_up(machine, "our answers do not reach it")
@@ -430,7 +430,7 @@
             self._changed()
 
     def _silence(self, machine: Machine, now: timedelta) -> timedelta:
-        last = machine.reported_at
+        last = machine.last_heartbeat_at
         if last is None:
             last = self._unsure_until - self._lease
         return now - last
@@ -450,6 +450,6 @@
         """Releases the allocations of a machine whose lease has surely run out."""
         if machine.allocations and now > self.empty_by(machine):
             log.info("the lease of %s has run out", machine.name)
-            machine.silent_sessions = machine.newest[0]
+            machine.expired_incarnation = machine.last_heartbeat_id[0]
             self._cluster.drop_all(machine, now)
             self._changed()
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -118,7 +118,7 @@
         one.take_list([])
     assert up.state is MachineState.UP and booting.state is MachineState.BOOTING
     # Left out again and again while it reports: it lives.
-    up.reported_at = cloud.loop.clock()
+    up.last_heartbeat_at = cloud.loop.clock()
     one.take_list([])
     assert up.state is MachineState.UP
     cloud.loop.now = 30.0
@@ -141,7 +141,7 @@
 
     def report() -> None:
         for up in some:
-            up.reported_at = up.answered_at = cloud.loop.clock()
+            up.last_heartbeat_at = up.answered_at = cloud.loop.clock()
 
     async def main() -> None:
         report()
@@ -152,7 +152,7 @@
         assert all(up.state is MachineState.UP for up in some)
         # Half of them are heard, the others stay silent.
         for up in some[:25]:
-            up.reported_at = up.answered_at = cloud.loop.clock()
+            up.last_heartbeat_at = up.answered_at = cloud.loop.clock()
         await asyncio.sleep(3)
         running.cancel()
 
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -60,7 +60,7 @@
         clock: Clock,
         next_attempt: Callable[[], int],
         attempts: Callable[[], int],
-        report: timedelta,
+        heartbeat_interval: timedelta,
         assign: Callable[[Machine], None],
         expected: Callable[[Job], timedelta],
         forgive: Callable[[Job, timedelta], None],
@@ -70,7 +70,7 @@
         self._clock = clock
         self._next_attempt = next_attempt
         self._attempts = attempts
-        self._report = report
+        self._heartbeat_interval = heartbeat_interval
         self._assign = assign
         self._expected = expected
         self._forgive = forgive
@@ -312,9 +312,9 @@
     def _stop_for_recall(self, now: timedelta) -> None:
         """On a machine that will be taken: what can't end in time is stopped, saved if it can be."""
         for machine in self._cluster.up():
-            if machine.recall_at is None:
+            if machine.interruption_at is None:
                 continue
-            left = machine.recall_at - now
+            left = machine.interruption_at - now
             for allocation in machine.allocations.values():
                 if allocation.stop is not None or self._ends_within(allocation, left, now):
                     continue
@@ -324,7 +324,7 @@
 
     def _should_move(self, allocation: Allocation, left: timedelta) -> bool:
         """A replica is moved as soon as another machine has room for it; until then it serves on."""
-        stopping = self._report * LAST_CALL + seconds(allocation.job.spec.save_s)
+        stopping = self._heartbeat_interval * LAST_CALL + seconds(allocation.job.spec.save_s)
         if allocation.started_at is None or left < stopping:
             return True
         return self.has_room(allocation)
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -7,15 +7,15 @@
 
 from elmthread.common.clock import seconds
 
-# Workers send a report every `report`, give or take a quarter.
-LONGEST_REPORT_INTERVAL = 1.25
+# Workers send a report every `heartbeat_interval`, give or take a quarter.
+LONGEST_HEARTBEAT_INTERVAL = 1.25
 # The part of a worker's lease that an overdue report may take of it, whatever the interval.
 OVERDUE_PART = 0.3
 # A worker gives a controller up after this time without an answer, and turns to the next one after another second.
 ANSWER_WAIT = seconds(4)
 NEXT_CONTROLLER = seconds(1)
 # For a report's way and for the node's own work before it is read.
-REPORT_SLACK = seconds(0.5)
+HEARTBEAT_SLACK = seconds(0.5)
 # Controllers announce themselves this often; three announcements in a row are not all lost by accident.
 ANNOUNCEMENT_INTERVAL = seconds(1)
 MISSED_ANNOUNCEMENTS = 3
@@ -30,13 +30,13 @@
     """All times by which links are judged and leadership is given up; `docs/reachability-design.md` derives them."""
 
     ttl: timedelta
-    report: timedelta
+    heartbeat_interval: timedelta
     lease: timedelta
 
     @property
-    def report_overdue(self) -> timedelta:
+    def heartbeat_timeout(self) -> timedelta:
         """A machine that is silent for longer has missed a report, or its report is lost."""
-        return min(self.report * LONGEST_REPORT_INTERVAL + REPORT_SLACK, self.lease * OVERDUE_PART)
+        return min(self.heartbeat_interval * LONGEST_HEARTBEAT_INTERVAL + HEARTBEAT_SLACK, self.lease * OVERDUE_PART)
 
     @property
     def store_confirmed(self) -> timedelta:
@@ -56,7 +56,7 @@
     @property
     def workers_confirmed(self) -> timedelta:
         """The workers of a zone count as reached for so long after the oldest report by which they were counted."""
-        return self.report_overdue + ANNOUNCEMENT_INTERVAL
+        return self.heartbeat_timeout + ANNOUNCEMENT_INTERVAL
 
     @property
     def cut_after(self) -> timedelta:
@@ -82,7 +82,7 @@
         return ANSWER_WAIT + NEXT_CONTROLLER
 
     @property
-    def report_hold(self) -> timedelta:
+    def heartbeat_hold_time(self) -> timedelta:
         """How long a report may wait here for a leader: its sender still listens after it."""
         return ANSWER_WAIT / 2
 
--- a/src/elmthread/reachability/census.py
+++ b/src/elmthread/reachability/census.py
@@ -27,12 +27,12 @@
     """Counts by zone."""
 
     def __init__(
-        self, machines: Mapping[str, Machine], clock: Clock, report_overdue: timedelta, began: timedelta
+        self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, began: timedelta
     ) -> None:
         """`began` is when this term did: until then no machine could report to it."""
         self._machines = machines
         self._clock = clock
-        self._report_overdue = report_overdue
+        self._heartbeat_timeout = heartbeat_timeout
         self._began = began
         self._taken_at: timedelta | None = None
         self._zones: dict[str, ZoneCount] = {}
@@ -56,7 +56,7 @@
 
     def _count(self, machines: Iterable[Machine], now: timedelta) -> dict[str, ZoneCount]:
         zones: dict[str, ZoneCount] = {}
-        in_time = now - self._report_overdue
+        in_time = now - self._heartbeat_timeout
         for machine in machines:
             if not machine.expected:
                 continue
@@ -66,5 +66,5 @@
             count.expected += 1
             count.silent += machine.unheard(now, self._began)
             if machine.state is MachineState.UP and machine.answers_arrive:
-                count.confirmed += (machine.reported_at or ZERO) >= in_time
+                count.confirmed += (machine.last_heartbeat_at or ZERO) >= in_time
         return zones
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -117,7 +117,7 @@
         if not self._is_isolated():
             return False
         try:
-            async with asyncio.timeout(self.bounds.report_hold.total_seconds()):
+            async with asyncio.timeout(self.bounds.heartbeat_hold_time.total_seconds()):
                 await self.leading.wait()
         except TimeoutError:
             return False
@@ -279,7 +279,7 @@
     def _confirm_zones(self) -> None:
         bounds = self._reachability.bounds
         # The oldest report by which a machine counts as heard came then, and our answer went out before it.
-        began = self._clock() - bounds.report_overdue
+        began = self._clock() - bounds.heartbeat_timeout
         for zone, count in self._census.zones().items():
             link = self._zones.get(zone)
             if link is None:
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -68,7 +68,7 @@
             self._missed = fencing_token
         # Taken out first: the last that came stand last.
         self._came.pop(sender.machine, None)
-        self._came[sender.machine] = (self._clock(), sender.session, sender.sequence)
+        self._came[sender.machine] = (self._clock(), sender.incarnation, sender.sequence)
         # One is never many: in a small fleet, the round of all nodes would cost it its lease.
         many = max(1.0, self._machines * MANY)
         return Response(421, elsewhere(leader if len(self._came) <= many else None))
@@ -81,7 +81,7 @@
         self._came = {machine: seen for machine, seen in self._came.items() if seen[0] > since}
         self._told_count = len(self._came)
         last = list(self._came.items())[-SOME:]
-        return len(self._came), [(machine, session, sequence) for machine, (_, session, sequence) in last]
+        return len(self._came), [(machine, incarnation, sequence) for machine, (_, incarnation, sequence) in last]
 
     def hears_workers(self) -> bool:
         """Whether any machine has come here of late."""
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -60,17 +60,17 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class Workers(msgspec.Struct, rename={"heartbeat_interval_s": "report_s"}):
     """Times that workers keep to."""
 
-    report_s: float
+    heartbeat_interval_s: float
     lease_s: float
     cancel_s: float
 
     @property
-    def report(self) -> timedelta:
-        """The usual time between two reports."""
-        return seconds(self.report_s)
+    def heartbeat_interval(self) -> timedelta:
+        """The usual time between two heartbeats."""
+        return seconds(self.heartbeat_interval_s)
 
     @property
     def lease(self) -> timedelta:
@@ -217,7 +217,7 @@
         except ValueError:
             raise SettingsError(f"{name}: not an address: {address!r}") from None
     positive = {
-        "facts.workers.report_s": facts.workers.report_s,
+        "facts.workers.report_s": facts.workers.heartbeat_interval_s,
         "facts.workers.lease_s": facts.workers.lease_s,
         "facts.workers.cancel_s": facts.workers.cancel_s,
         "facts.state.rps": facts.state.rps,
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -23,7 +23,7 @@
         return (job_id, int(index)) if job_id and index.isdigit() and len(index) <= 7 else None
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "loom",
@@ -31,10 +31,10 @@
         "machine_type": "build",
         "zone": "yard",
         "spot": "loaners",
-        "session": "shift",
+        "incarnation": "shift",
         "sequence": "tally",
         "fencing_token": "baton",
-        "notice_s": "recall_s",
+        "interruption_notice_s": "recall_s",
         "tasks": "pieces",
     },
 ):
@@ -43,33 +43,33 @@
     machine_type: str
     zone: str
     spot: bool
-    session: int
+    incarnation: int
     sequence: int
     fencing_token: int
-    notice_s: float | None = None
+    interruption_notice_s: float | None = None
     tasks: list[Task] = []
 
 
 _attempt_of = attrgetter("attempt")
 
 
-def read_report(body: Any) -> Report:
+def read_heartbeat(body: Any) -> Heartbeat:
     """Raises msgspec.ValidationError."""
-    report = msgspec.convert(body, Report)
+    heartbeat = msgspec.convert(body, Heartbeat)
     # A token is believed: one that can't be would make every leader give way.
-    numbers = (report.session, report.sequence, report.fencing_token, *map(_attempt_of, report.tasks))
+    numbers = (heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, *map(_attempt_of, heartbeat.tasks))
     if min(numbers) < 0 or max(numbers) >= MOST:
         raise msgspec.ValidationError("a number is out of range")
-    return report
+    return heartbeat
 
 
 class Sender(
-    msgspec.Struct, rename={"machine": "loom", "session": "shift", "sequence": "tally", "fencing_token": "baton"}
+    msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
     """Who sent it and when, of a report that is not for this node."""
 
     machine: str
-    session: int
+    incarnation: int
     sequence: int
     fencing_token: int
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -35,7 +35,7 @@
 from elmthread.store.writer import Rank, Writer
 from elmthread.workers import messages
 from elmthread.workers.health import Health
-from elmthread.workers.messages import Report, Task
+from elmthread.workers.messages import Heartbeat, Task
 
 log = logging.getLogger(__name__)
 
@@ -83,34 +83,37 @@
 
     async def heartbeat(self, request: Request) -> Response:
         try:
-            report = messages.read_report(decode(request.body))
+            heartbeat = messages.read_heartbeat(decode(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
             self.dropped += 1
             log.info("report dropped (%s so far): %s", self.dropped, error)
             return Response(400, {"error": "malformed report"})
-        if report.fencing_token > self._term.fencing_token:
-            self._term.hear(report.fencing_token)
+        if heartbeat.fencing_token > self._term.fencing_token:
+            self._term.hear(heartbeat.fencing_token)
         if not self._term.answers_workers():
             return Response(421, messages.elsewhere(self._term.leader))
-        if report.machine in self._cluster.gone:
+        if heartbeat.machine in self._cluster.gone:
             # Its deletion was answered: a late report of a machine that is no more.
             return again(503, seconds(1), "machine is gone")
-        machine = self._cluster.machines.get(report.machine) or self._adopt(report)
-        if (report.session, report.sequence) <= machine.newest or report.session <= machine.silent_sessions:
+        machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
+        if (
+            heartbeat.incarnation,
+            heartbeat.sequence,
+        ) <= machine.last_heartbeat_id or heartbeat.incarnation <= machine.expired_incarnation:
             self.dropped += 1
             return again(503, seconds(1), "an older report")
         now = self._clock()
-        if report.fencing_token < self._term.fencing_token:
+        if heartbeat.fencing_token < self._term.fencing_token:
             # The first answer carries our token; what the next report lists, no earlier
             # leader can change any more. Until then this may be a late copy of a report that
             # an earlier leader has had: it is no sign of life.
-            machine.newest = (report.session, report.sequence)
-            return self._answer(machine, self._over(report))
-        self._listen(machine, report, request.answered_at, now)
-        machine.newest = (report.session, report.sequence)
-        machine.reported_at = now
+            machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+            return self._answer(machine, self._over(heartbeat))
+        self._listen(machine, heartbeat, request.answered_at, now)
+        machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+        machine.last_heartbeat_at = now
         machine.quiet = False
-        exits, commands = self._take(machine, report, now)
+        exits, commands = self._take(machine, heartbeat, now)
         if machine.open and self._may_come(machine):
             await self._wait_for_starts(machine)
             if not self._term.answers_workers():
@@ -119,14 +122,14 @@
         commands += self._commands(machine)
         return self._answer(machine, commands[:MOST_ORDERS])
 
-    def _over(self, report: Report) -> list[dict[str, Any]]:
+    def _over(self, heartbeat: Heartbeat) -> list[dict[str, Any]]:
         """Stops of what belongs to jobs that are over: right whenever the report was made.
 
         An answer renews the lease. If leaders changed so often that each only gave its token,
         cancelled tasks would run on.
         """
         stops = []
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             name = task.split()
             job = self._cluster.jobs.get(name[0]) if name and task.state != "exited" else None
             if job is not None and not job.open:
@@ -140,16 +143,21 @@
         starts = any(command["verb"] == messages.START for command in commands)
         return Response(200, body, sure=self._term.leads if starts else self._term.answers_workers)
 
-    def _adopt(self, report: Report) -> Machine:
+    def _adopt(self, heartbeat: Heartbeat) -> Machine:
         """A machine nobody told us of: rented by a late request or by an earlier leader."""
         machine = Machine(
-            report.machine, report.machine_type, report.zone, report.spot, MachineState.UNSURE, self._clock()
+            heartbeat.machine,
+            heartbeat.machine_type,
+            heartbeat.zone,
+            heartbeat.spot,
+            MachineState.UNSURE,
+            self._clock(),
         )
         self._describe(machine)
         self._cluster.add_machine(machine)
         return machine
 
-    def _listen(self, machine: Machine, report: Report, answered_at: timedelta | None, now: timedelta) -> None:
+    def _listen(self, machine: Machine, heartbeat: Heartbeat, answered_at: timedelta | None, now: timedelta) -> None:
         """Whether our answers reach the machine, as far as its reports show.
 
         A session rises when no answer has arrived for a lease; a start that the next report
@@ -158,19 +166,21 @@
         the session rose, unless answers have come before and nothing was done for them.
         """
         # A worker that waits in vain for an answer turns to another node, and is not here again so soon.
-        reported_at = machine.reported_at
+        last_heartbeat_at = machine.last_heartbeat_at
         machine.answers_arrive = answered_at is not None or (
-            reported_at is not None and report.sequence == machine.newest[1] + 1 and now - reported_at < ANSWER_WAIT
+            last_heartbeat_at is not None
+            and heartbeat.sequence == machine.last_heartbeat_id[1] + 1
+            and now - last_heartbeat_at < ANSWER_WAIT
         )
-        session = machine.newest[0]
-        if report.session != session:
-            if machine.reported_at is not None:
+        incarnation = machine.last_heartbeat_id[0]
+        if heartbeat.incarnation != incarnation:
+            if machine.last_heartbeat_at is not None:
                 log.info("%s has let its lease run out: nothing new until answers are seen to arrive", machine.name)
                 machine.deaf_since = machine.deaf_since or now
-            machine.session_since = now
+            machine.incarnation_since = now
         elif machine.deaf_since is not None and (
-            now - max(machine.session_since, machine.deaf_since) > self._proof
-            or (machine.missed < MISSED and answered_at is not None and answered_at > machine.session_since)
+            now - max(machine.incarnation_since, machine.deaf_since) > self._proof
+            or (machine.missed < MISSED and answered_at is not None and answered_at > machine.incarnation_since)
         ):
             log.info("%s hears our answers again", machine.name)
             machine.deaf_since = None
@@ -220,11 +230,11 @@
         """Whether a machine sent that report after all that this leader has had of it."""
         name, *newest = stray
         machine = self._cluster.machines.get(name)
-        return machine is not None and tuple(newest) > machine.newest
+        return machine is not None and tuple(newest) > machine.last_heartbeat_id
 
     # What a report says
 
-    def _take(self, machine: Machine, report: Report, now: timedelta) -> tuple[list[Task], list[dict[str, Any]]]:
+    def _take(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> tuple[list[Task], list[dict[str, Any]]]:
         """Takes in what the report lists.
 
         Returns the exited tasks, to be forgotten when that is safe, and stops of what nobody knows.
@@ -233,13 +243,13 @@
             machine.move(MachineState.UP)
             machine.empty_since = now
             self._changed()
-        if report.notice_s is not None and machine.recall_at is None:
-            log.info("%s will be taken in %.1f s", machine.name, report.notice_s)
-            machine.recall_at = now + seconds(max(0.0, report.notice_s))
+        if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
+            log.info("%s will be taken in %.1f s", machine.name, heartbeat.interruption_notice_s)
+            machine.interruption_at = now + seconds(max(0.0, heartbeat.interruption_notice_s))
             self._changed()
         exits: list[Task] = []
         stops: list[dict[str, Any]] = []
-        for task in report.tasks:
+        for task in heartbeat.tasks:
             allocation = machine.allocations.get(task.attempt)
             if allocation is not None and STATES.get(task.state) is allocation.state:
                 # As the last report had it: so it is with most of what is listed.
@@ -252,7 +262,7 @@
             else:
                 stops += self._unexpected(machine, task, now)
         lost = False
-        for allocation in self._not_listed(machine, report):
+        for allocation in self._not_listed(machine, heartbeat):
             if allocation.state in _MUST_BE_LISTED:
                 # Killed with its session, or never sent by the leader before us.
                 log.info("%s no longer has %s/%s", machine.name, allocation.job.id, allocation.task)
@@ -267,8 +277,8 @@
             machine.deaf_since = now
         return exits, stops
 
-    def _not_listed(self, machine: Machine, report: Report) -> list[Allocation]:
-        listed = {task.attempt for task in report.tasks}
+    def _not_listed(self, machine: Machine, heartbeat: Heartbeat) -> list[Allocation]:
+        listed = {task.attempt for task in heartbeat.tasks}
         if machine.allocations.keys() <= listed:
             return []
         return [allocation for attempt, allocation in machine.allocations.items() if attempt not in listed]
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -112,7 +112,7 @@
 
 def recall(world: World, name: str) -> None:
     worker = world.workers[name]
-    worker.recall_at = world.loop.now + 12
+    worker.interruption_at = world.loop.now + 12
     worker.change.set()
 
 
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -60,7 +60,7 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(6)
         known = world.leader.leader.cluster.machines.values()
-        heard = sum(machine.reported_at is not None for machine in known)
+        heard = sum(machine.last_heartbeat_at is not None for machine in known)
         assert heard >= 0.95 * len(world.workers)
         for job_id in ids:
             assert await world.poll(job_id) is not None
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -173,7 +173,7 @@
         world.kill(old.api._node)
         await asyncio.sleep(5)
         assert world.leader is not None and world.leader is not old
-        world.leader.leader.cluster.machines[body["loom"]].newest = (0, 0)  # type: ignore[union-attr]
+        world.leader.leader.cluster.machines[body["loom"]].last_heartbeat_id = (0, 0)  # type: ignore[union-attr]
         answer = await world.report(body, world.leader.api._node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
         told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -87,7 +87,7 @@
                 world.kill(node)
             for index, worker in enumerate(list(world.workers.values())):
                 # Half of them keep their session's number.
-                worker.reborn(worker.session + index % 2)
+                worker.reborn(worker.incarnation + index % 2)
             for index, node in enumerate(world.nodes):
                 world.loop.call_later(0.2 + 0.3 * index, start, world, node)
             await asyncio.sleep(3)
@@ -103,7 +103,7 @@
         def note(name: str) -> None:
             worker = world.workers[name]
             empty = all(task.state == "exited" for task in worker.tasks.values())
-            returned.append(empty and worker.session <= 4 and world.loop.now - worker.granted < 6)
+            returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.granted < 6)
             ended(name)
 
         world.cloud.ended = note
@@ -119,7 +119,7 @@
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
         await asyncio.sleep(15)
-        sessions = [worker.session for worker in world.workers.values()]
+        sessions = [worker.incarnation for worker in world.workers.values()]
         assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
         assert len({machine for machine, _ in world.rules.where}) > 0.3 * MACHINES
         assert set((await world.until_over(ids, 200)).values()) == {"done"}
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -344,7 +344,7 @@
         set_apart(world, rng.choice(list(world.controllers)), True)
     elif kind == "reborn" and world.workers:
         worker = rng.choice(list(world.workers.values()))
-        worker.reborn(worker.session + rng.randint(0, 1))
+        worker.reborn(worker.incarnation + rng.randint(0, 1))
     elif kind == "back" and world.controllers:
         name = rng.choice(list(world.controllers))
         world.kill(name)
@@ -461,7 +461,7 @@
         assert await world.poll("run-000001") == "running"
         assert len(world.rules.finished) > done
         # Nothing is started twice but what a worker lost with its lease while nobody led.
-        lost = [worker for worker in world.workers.values() if worker.session > 1]
+        lost = [worker for worker in world.workers.values() if worker.incarnation > 1]
         assert sum(count > 1 for count in world.rules.starts.values()) <= sum(int(w.machine_type["cpus"]) for w in lost)
 
     day(script)
@@ -561,7 +561,7 @@
         name, held = next((m, [t for n, t in world.rules.where if n == m]) for m, _ in world.rules.where)
         worker = world.workers[name]
         if notice:
-            worker.recall_at = world.loop.now + 12
+            worker.interruption_at = world.loop.now + 12
             worker.change.set()
             await asyncio.sleep(10.5)
             # What could save has gone on elsewhere, and nothing new came.
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -88,7 +88,7 @@
         if not names:
             continue
         name = rng.choice(names)
-        world.workers[name].recall_at = world.loop.now + 12
+        world.workers[name].interruption_at = world.loop.now + 12
         world.workers[name].change.set()
         await asyncio.sleep(12)
         if world.cloud.machines.pop(name, None) is not None:
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -281,7 +281,7 @@
 async def machines_reborn(stage: Stage) -> None:
     for name in stage.some(0.3):
         worker = stage.world.workers[name]
-        worker.reborn(worker.session + stage.world.rng.randint(0, 1))
+        worker.reborn(worker.incarnation + stage.world.rng.randint(0, 1))
 
 
 @trouble
@@ -480,7 +480,7 @@
         live = [task for task in worker.tasks.values() if task.state != "exited"]
         used = sum(world.rules.specs[task.name.rpartition("/")[0]]["cpus"] for task in live)
         if (
-            worker.recall_at is None
+            worker.interruption_at is None
             and (spec["builds"] is None or worker.machine_type["name"] in spec["builds"])
             and spec["yard"] in (None, worker.zone)
             and (spec["loaners"] or not worker.spot)
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -43,7 +43,7 @@
         self.loop, self.rng, self.rules, self.send, self.nodes = loop, rng, rules, send, nodes
         self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
         self.report_s, self.lease_s = report_s, lease_s
-        self.session, self.sequence, self.fencing_token = 1, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], Running] = {}
         self.results: set[str] = set()
         self.images: set[str] = set()
@@ -51,7 +51,7 @@
         self.alive = True
         self.hung = False
         self.sick = False
-        self.recall_at: float | None = None
+        self.interruption_at: float | None = None
         self.node = rng.choice(nodes)
         self.change = asyncio.Event()
         self.jobs = [loop.create_task(self._report()), loop.create_task(self._work())]
@@ -65,7 +65,7 @@
     def reborn(self, session: int) -> None:
         """The machine is back at once, its tasks gone, with this session number."""
         self._forget()
-        self.session, self.sequence, self.fencing_token = session, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = session, 0, 0
         self.granted = self.loop.now
         self.change.set()
 
@@ -82,7 +82,7 @@
             # A machine that hangs may go on within its lease; past that its tasks are dead.
             if now - self.granted > self.lease_s:
                 self._forget()
-                self.session += 1
+                self.incarnation += 1
                 self.granted = now
                 self.change.set()
             if self.hung:
@@ -127,10 +127,10 @@
             "build": self.machine_type["name"],
             "yard": self.zone,
             "loaners": self.spot,
-            "shift": self.session,
+            "shift": self.incarnation,
             "tally": self.sequence,
             "baton": self.fencing_token,
-            "recall_s": None if self.recall_at is None else max(0.0, self.recall_at - self.loop.now),
+            "recall_s": None if self.interruption_at is None else max(0.0, self.interruption_at - self.loop.now),
             "pieces": tasks,
         }
 
@@ -139,7 +139,7 @@
             if self.hung:
                 await asyncio.sleep(0.1)
                 continue
-            sent, session = self.loop.now, self.session
+            sent, session = self.loop.now, self.incarnation
             self.change.clear()
             request = Request("POST", "/agent/beat", {}, cbor2.dumps(self._body()))
             status, body = 0, None
@@ -171,7 +171,7 @@
 
     def _answered(self, body: Any, sent: float, session: int) -> None:
         fencing_token = body.get("baton")
-        if fencing_token is None or fencing_token < self.fencing_token or session != self.session:
+        if fencing_token is None or fencing_token < self.fencing_token or session != self.incarnation:
             return
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
