--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -64,7 +64,7 @@
         lambda: None,
         most,
         seconds(30),
-        lambda machine: machine.known_since,
+        lambda machine: machine.first_seen_at,
         ActiveFeatures(),
     )
     return loop, store, lease, one
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -76,7 +76,7 @@
         self._held.clear()
         self._serving.clear()
         for machine in self._cluster.machines.values():
-            if machine.serves(now):
+            if machine.provides_capacity(now):
                 self._serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
         requests = self._placement.requests(now)
         allowances = self._placement.allowances()
@@ -100,7 +100,7 @@
         if not daemons:
             self._services.growth(now, 0.0)
             for machine in self._cluster.machines.values():
-                machine.kept = False
+                machine.reserved = False
             return
         # A service that fails wherever it is tried would avoid, and so rent, machine after machine.
         waiting = [
@@ -117,14 +117,14 @@
             self._order(machines_for(left, self._offers(left), allowances, MOST_AT_ONCE), pool=False)
         # The band, over the machines of the kind that the most demanding of them may use.
         demanding = [job for job in daemons if not job.spec.spot]
-        firm = [m for m in self._cluster.machines.values() if not m.spot and m.serves(now)]
-        for_replicas = sum(m.cpus - (m.urgent_cpus - m.standing_cpus) for m in firm)
+        firm = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(now)]
+        for_replicas = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in firm)
         for_replicas += sum(
             kind.cpus * order.count
             for order in self._fleet.orders.values()
             if not order.kind.spot and (kind := self._fleet.types.get(order.kind.machine_type)) is not None
         )
-        booked = sum(m.standing_cpus for m in firm)
+        booked = sum(m.service_cpus for m in firm)
         booked += _usable([request for request in waiting if not request.spot], self._placement.allowances())
         theta, delta = self._operators.theta, self._operators.delta
         # What will be booked by the time a machine rented now is up.
@@ -134,17 +134,19 @@
             offers = self._offers([self._placement.request_of(job) for job in demanding])
             self._order(refill(offers, max(booked / theta, soon) - for_replicas, MOST_AT_ONCE), pool=False)
         # Those that hold replicas stay in any case, so their room comes first, then the cheapest.
-        firm.sort(key=lambda m: (-m.standing_cpus, m.core_price, m.name))
+        firm.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
         needed = max(booked / max(theta - delta, 0.05), soon, booked + largest.total * largest.spec.cpus) - booked
         kept = reserve(((m.name, m.zone, m.cpus - m.urgent_cpus) for m in firm), needed if demanding else 0.0)
         for machine in self._cluster.machines.values():
-            machine.kept = machine.name in kept
+            machine.reserved = machine.name in kept
 
     def _soon_room(self, waiting: list[TaskRequest], now: timedelta) -> list[FreeCapacity]:
         """Room that replicas have, or get once deferrable work has given way or machines are up."""
         slots = []
         for m in self._cluster.machines.values():
-            if not m.serves(now) or not any(allowed(request, m.machine_type, m.zone, m.spot) for request in waiting):
+            if not m.provides_capacity(now) or not any(
+                allowed(request, m.machine_type, m.zone, m.spot) for request in waiting
+            ):
                 continue
             firm_part = m.urgent_cpus / m.cpus_used if m.cpus_used else 0.0
             slots.append(
@@ -155,7 +157,7 @@
                     m.spot,
                     m.cpus - m.urgent_cpus,
                     m.gpus - m.gpus_used * firm_part,
-                    m.ram - m.ram_used * firm_part,
+                    m.memory_gb - m.memory_gb_used * firm_part,
                 )
             )
         for order in self._fleet.orders.values():
@@ -209,7 +211,7 @@
             if allowed(request, *kind)
             and request.cpus <= machines[0].cpus
             and request.gpus <= machines[0].gpus
-            and request.ram <= machines[0].ram
+            and request.ram <= machines[0].memory_gb
             for machine in machines
         )
 
@@ -292,10 +294,10 @@
                 continue
             if machine.state is not MachineState.BOOTING:
                 # What replicas hold serves nobody else again.
-                supplies.append(Supply(0.0, machine.cpus - machine.standing_cpus))
+                supplies.append(Supply(0.0, machine.cpus - machine.service_cpus))
                 continue
             kind = self._fleet.types[machine.machine_type]
-            age = (now - machine.known_since).total_seconds()
+            age = (now - machine.first_seen_at).total_seconds()
             if age < kind.boot_s * 2:
                 # In whole seconds: what comes at about the same time is judged as one.
                 supplies.append(Supply(float(max(1, round(kind.boot_s * BOOT - age))), machine.cpus))
@@ -381,30 +383,30 @@
         its progress and would fit elsewhere, it is moved: an exception to the design, where
         only an empty machine is returned, since long tasks kept dear machines for minutes.
         """
-        serving = [m for m in self._cluster.machines.values() if m.open]
+        serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
         # What is on machines that will be taken needs room elsewhere in a moment.
-        demand = sum(m.cpus_used for m in self._cluster.up()) + _usable(requests, allowances)
+        demand = sum(m.cpus_used for m in self._cluster.up_machines()) + _usable(requests, allowances)
         needed = max(demand * SLACK, urgent / max(self.theta - self._operators.delta, 0.05))
         spare = 0.0
         # Of equally dear machines the fuller are kept: the others are closer to being empty.
-        serving.sort(key=lambda m: (round(m.core_price, 3), -m.cpus_used, m.name))
+        serving.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
         for machine in serving:
-            machine.fading = needed <= 0 and not machine.kept
-            if not machine.fading:
-                machine.fading_since = None
-            elif machine.fading_since is None:
-                machine.fading_since = now
+            machine.draining = needed <= 0 and not machine.reserved
+            if not machine.draining:
+                machine.draining_since = None
+            elif machine.draining_since is None:
+                machine.draining_since = now
             needed -= machine.cpus
-            if not machine.fading:
-                spare += machine.free
+            if not machine.draining:
+                spare += machine.free_cpus
             elif (
                 machine.allocations
                 and machine.cpus_used <= spare
-                and machine.core_price >= DEAR * serving[0].core_price
+                and machine.price_per_core >= DEAR * serving[0].price_per_core
             ):
                 spare -= machine.cpus_used
                 self._move_away(machine, now)
-            elif machine.fading_since is not None and now - machine.fading_since > STAYED:
+            elif machine.draining_since is not None and now - machine.draining_since > STAYED:
                 self._move_replicas(machine)
 
     def _move_replicas(self, machine: Machine) -> None:
@@ -435,15 +437,15 @@
 
         Singly is an exception to the design: one long task would else keep the whole pool.
         """
-        pool = [m for m in self._cluster.machines.values() if m.pool and m.state is MachineState.UP]
+        pool = [m for m in self._cluster.machines.values() if m.in_deferrable_pool and m.state is MachineState.UP]
         whole = not any(not request.urgent for request in requests) and all(not m.allocations for m in pool)
         for machine in pool:
             patience = IDLE if whole else self._patience(machine)
             if (
                 not machine.allocations
-                and not machine.cut
-                and not machine.kept
-                and now - machine.empty_since > patience
+                and not machine.zone_unreachable
+                and not machine.reserved
+                and now - machine.idle_since > patience
             ):
                 self._fleet.give_up(machine, "the pool is idle")
 
@@ -470,7 +472,9 @@
         outside = [
             m
             for m in self._cluster.machines.values()
-            if not m.pool and not m.cut and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNSURE)
+            if not m.in_deferrable_pool
+            and not m.zone_unreachable
+            and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNSURE)
         ]
         cores = sum(m.cpus for m in outside)
         for order in self._fleet.orders.values():
@@ -511,9 +515,11 @@
         """
         most = self.theta + self._operators.delta
         empty = [
-            m for m in outside if m.open and m.fading and not m.allocations and now - m.empty_since > self._idle_for(m)
+            m
+            for m in outside
+            if m.is_schedulable and m.draining and not m.allocations and now - m.idle_since > self._idle_for(m)
         ]
-        for machine in sorted(empty, key=lambda m: -m.core_price):
+        for machine in sorted(empty, key=lambda m: -m.price_per_core):
             if urgent <= most * (cores - machine.cpus):
                 cores -= machine.cpus
                 self._fleet.give_up(machine, "not needed")
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -109,15 +109,15 @@
         leader.fleet._judge()
         assert len(judged) <= 1
         # Silence, a notice or a doubt, and it is looked at.
-        silent, noticed, suspect = up[:3]
+        silent, noticed, quarantined = up[:3]
         for node in world.nodes:
             world.cut_workers.add((silent.name, node))
         noticed.interruption_at = leader._clock() * 2
-        suspect.suspect = True
+        quarantined.quarantined = True
         await asyncio.sleep(6)
         judged.clear()
         leader.fleet._judge()
-        assert {silent.name, noticed.name, suspect.name} <= {machine.name for machine in judged}
+        assert {silent.name, noticed.name, quarantined.name} <= {machine.name for machine in judged}
         assert silent.quiet and not noticed.quiet
 
     day(script, machines=8, each=0)
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -208,43 +208,43 @@
     """One rented machine: what it is, what it may hold, and what was last heard of it."""
 
     __slots__ = (
-        "answered_at",
-        "answers_arrive",
+        "last_response_at",
+        "receives_responses",
         "machine_type",
         "gpus",
         "gpus_used",
         "cpus",
         "cpus_used",
-        "cut",
-        "deaf_since",
-        "empty_since",
-        "fading",
-        "fading_since",
-        "failures",
-        "fetch_rate",
+        "zone_unreachable",
+        "responses_lost_since",
+        "idle_since",
+        "draining",
+        "draining_since",
+        "failures_by_job",
+        "image_fetch_rate",
         "allocations",
-        "images",
-        "kept",
-        "known_since",
-        "missed",
+        "cached_images",
+        "reserved",
+        "first_seen_at",
+        "undelivered_starts",
         "name",
         "last_heartbeat_id",
-        "pool",
-        "price",
-        "quiet",
-        "ram",
-        "ram_used",
+        "in_deferrable_pool",
+        "price_per_hour",
+        "heartbeat_overdue",
+        "memory_gb",
+        "memory_gb_used",
         "interruption_at",
-        "record_size",
+        "record_bytes",
         "last_heartbeat_at",
         "incarnation_since",
         "expired_incarnation",
         "spot",
-        "standing_cpus",
+        "service_cpus",
         "state",
-        "suspect",
-        "tasks_of",
-        "to_reap",
+        "quarantined",
+        "task_counts",
+        "uncommitted_completions",
         "urgent_cpus",
         "was_listed",
         "zone",
@@ -258,87 +258,87 @@
         self.zone = zone
         self.spot = spot
         self.state = state
-        self.cpus = self.gpus = self.ram = 0.0
+        self.cpus = self.gpus = self.memory_gb = 0.0
         # Cores held by urgent work, and of these by replicas, which have no end; for sizing.
         self.urgent_cpus = 0.0
-        self.standing_cpus = 0.0
+        self.service_cpus = 0.0
         # Tasks held, by job, and the bytes that the machine's record takes at most.
-        self.tasks_of: dict[str, int] = {}
-        self.record_size = 0
-        self.cpus_used = self.gpus_used = self.ram_used = 0.0
-        self.fetch_rate = 1.0
-        self.price = 0.0
+        self.task_counts: dict[str, int] = {}
+        self.record_bytes = 0
+        self.cpus_used = self.gpus_used = self.memory_gb_used = 0.0
+        self.image_fetch_rate = 1.0
+        self.price_per_hour = 0.0
         self.allocations: dict[int, Allocation] = {}
         self.last_heartbeat_id = (0, 0)
         self.expired_incarnation = 0
         self.last_heartbeat_at: timedelta | None = None
-        self.answered_at: timedelta | None = None
+        self.last_response_at: timedelta | None = None
         # Its last report came on a connection on which our answer to the one before had arrived.
-        self.answers_arrive = False
-        self.known_since = now
-        self.empty_since = now
+        self.receives_responses = False
+        self.first_seen_at = now
+        self.idle_since = now
         self.interruption_at: timedelta | None = None
         # Overdue with its reports: it may hang or be dead, so it gets nothing new.
-        self.quiet = False
+        self.heartbeat_overdue = False
         # Its whole zone seems to be cut off: it is not counted on, but may well be back.
-        self.cut = False
+        self.zone_unreachable = False
         # Since when our answers have not been seen to arrive: reports alone are no proof that
         # commands get through, so it gets nothing new until they are.
-        self.deaf_since: timedelta | None = None
+        self.responses_lost_since: timedelta | None = None
         self.incarnation_since = now
-        self.missed = 0
-        self.images: dict[str, float] = {}
-        self.pool = False
+        self.undelivered_starts = 0
+        self.cached_images: dict[str, float] = {}
+        self.in_deferrable_pool = False
         # Not needed as things stand: gets work only where no other machine has room.
-        self.fading = False
-        self.fading_since: timedelta | None = None
+        self.draining = False
+        self.draining_since: timedelta | None = None
         # Stands in reserve for services that may use no spot machine: not returned when empty.
-        self.kept = False
+        self.reserved = False
         self.was_listed = False
-        self.failures: dict[str, int] = {}
-        self.suspect = False
+        self.failures_by_job: dict[str, int] = {}
+        self.quarantined = False
         # (job, task, attempt) that exited with done and may be forgotten once that is durable.
-        self.to_reap: dict[int, tuple[str, int]] = {}
+        self.uncommitted_completions: dict[int, tuple[str, int]] = {}
 
     def move(self, new: MachineState) -> None:
         self.state = step(self.name, MACHINE_STEPS, self.state, new)
 
     @property
-    def open(self) -> bool:
+    def is_schedulable(self) -> bool:
         return (
             self.state is MachineState.UP
             and self.interruption_at is None
-            and self.deaf_since is None
-            and not self.suspect
-            and not self.quiet
+            and self.responses_lost_since is None
+            and not self.quarantined
+            and not self.heartbeat_overdue
         )
 
     @property
-    def free(self) -> float:
+    def free_cpus(self) -> float:
         return self.cpus - self.cpus_used
 
     @property
-    def core_price(self) -> float:
-        return self.price / self.cpus if self.cpus else 0.0
+    def price_per_core(self) -> float:
+        return self.price_per_hour / self.cpus if self.cpus else 0.0
 
     @property
-    def expected(self) -> bool:
+    def heartbeat_expected(self) -> bool:
         """Ought to report."""
         return self.state in (MachineState.UP, MachineState.UNSURE)
 
-    def unheard(self, now: timedelta, began: timedelta) -> bool:
+    def is_silent(self, now: timedelta, began: timedelta) -> bool:
         """Ought to have reported to the leader that began then, and has not of late."""
         if self.state is MachineState.UNSURE:
-            return now - max(self.known_since, began) > SOON_SURE
-        return self.quiet
+            return now - max(self.first_seen_at, began) > SOON_SURE
+        return self.heartbeat_overdue
 
-    def serves(self, now: timedelta) -> bool:
+    def provides_capacity(self, now: timedelta) -> bool:
         """Takes work now, or will soon: once it has booted, or has reported to a new leader."""
-        if self.cut:
+        if self.zone_unreachable:
             return False
         if self.state is MachineState.UNSURE:
-            return now - self.known_since < SOON_SURE
-        return self.state is MachineState.BOOTING or self.open
+            return now - self.first_seen_at < SOON_SURE
+        return self.state is MachineState.BOOTING or self.is_schedulable
 
 
 def entry_size(job_id: str) -> int:
@@ -353,25 +353,25 @@
 class ClusterState:
     """All jobs and machines, and the counts that the rules are judged by."""
 
-    def __init__(self, most_record: int, frame: Callable[[Machine], int] = lambda machine: 0) -> None:
-        """`most_record` bytes is all that a machine's record may take, `frame` what it takes when empty."""
+    def __init__(self, max_record_bytes: int, frame: Callable[[Machine], int] = lambda machine: 0) -> None:
+        """`max_record_bytes` bytes is all that a machine's record may take, `frame` what it takes when empty."""
         self.jobs: dict[str, Job] = {}
         self.open_jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         # Machines whose deletion was answered, and when: late lists and reports still name them.
-        self.gone: dict[str, timedelta] = {}
-        self.cpus_of: dict[str, float] = {}
+        self.deleted_machines: dict[str, timedelta] = {}
+        self.cpus_by_team: dict[str, float] = {}
         self.gpus_by_team: dict[str, float] = {}
-        self.most_record = most_record
+        self.max_record_bytes = max_record_bytes
         self._frame = frame
 
     def add_machine(self, machine: Machine) -> None:
         self.machines[machine.name] = machine
-        machine.record_size = self._frame(machine)
+        machine.record_bytes = self._frame(machine)
 
-    def record_left(self, machine: Machine) -> int:
+    def record_bytes_left(self, machine: Machine) -> int:
         """Bytes that more assignments may take; below 0 where larger values were allowed once."""
-        return self.most_record - machine.record_size
+        return self.max_record_bytes - machine.record_bytes
 
     def add_job(self, job: Job) -> None:
         self.jobs[job.id] = job
@@ -381,11 +381,11 @@
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
         """The machine and all on it are surely gone."""
         self.machines.pop(machine.name, None)
-        self.drop_all(machine, now)
+        self.release_all(machine, now)
         # What comes later than this would only be taken for a new machine, and deleted as silent.
-        for name in [name for name, at in self.gone.items() if now - at > REMEMBERED]:
-            del self.gone[name]
-        self.gone[machine.name] = now
+        for name in [name for name, at in self.deleted_machines.items() if now - at > REMEMBERED]:
+            del self.deleted_machines[name]
+        self.deleted_machines[machine.name] = now
 
     def close_job(self, job: Job, state: JobState) -> None:
         job.move(state)
@@ -399,21 +399,21 @@
         if job.urgent:
             machine.urgent_cpus += spec.cpus
         if job.daemon:
-            machine.standing_cpus += spec.cpus
-        if job.id not in machine.tasks_of:
-            machine.record_size += entry_size(job.id)
-        machine.tasks_of[job.id] = machine.tasks_of.get(job.id, 0) + 1
-        machine.record_size += task_size(task, attempt)
+            machine.service_cpus += spec.cpus
+        if job.id not in machine.task_counts:
+            machine.record_bytes += entry_size(job.id)
+        machine.task_counts[job.id] = machine.task_counts.get(job.id, 0) + 1
+        machine.record_bytes += task_size(task, attempt)
         machine.gpus_used += spec.gpus
-        machine.ram_used += spec.ram_gb
-        self.cpus_of[spec.team] = self.cpus_of.get(spec.team, 0.0) + spec.cpus
+        machine.memory_gb_used += spec.ram_gb
+        self.cpus_by_team[spec.team] = self.cpus_by_team.get(spec.team, 0.0) + spec.cpus
         self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + spec.gpus
         job.held[task] = job.held.get(task, 0) + 1
         job.live[attempt] = allocation
         job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
         return allocation
 
-    def drop(self, allocation: Allocation, now: timedelta) -> None:
+    def release(self, allocation: Allocation, now: timedelta) -> None:
         """The task is surely not on the machine; if no other allocation has it, it waits again."""
         machine, job, spec = allocation.machine, allocation.job, allocation.job.spec
         del machine.allocations[allocation.attempt]
@@ -421,21 +421,21 @@
         if job.urgent:
             machine.urgent_cpus -= spec.cpus
         if job.daemon:
-            machine.standing_cpus -= spec.cpus
-        machine.record_size -= task_size(allocation.task, allocation.attempt)
-        machine.tasks_of[job.id] -= 1
-        if not machine.tasks_of[job.id]:
-            del machine.tasks_of[job.id]
-            machine.record_size -= entry_size(job.id)
+            machine.service_cpus -= spec.cpus
+        machine.record_bytes -= task_size(allocation.task, allocation.attempt)
+        machine.task_counts[job.id] -= 1
+        if not machine.task_counts[job.id]:
+            del machine.task_counts[job.id]
+            machine.record_bytes -= entry_size(job.id)
         if allocation.state is AllocationState.RUNNING:
             job.running -= 1
         machine.gpus_used -= spec.gpus
-        machine.ram_used -= spec.ram_gb
+        machine.memory_gb_used -= spec.ram_gb
         if not machine.allocations:
-            machine.cpus_used = machine.gpus_used = machine.ram_used = 0.0
-            machine.urgent_cpus = machine.standing_cpus = 0.0
-            machine.empty_since = now
-        self.cpus_of[spec.team] -= spec.cpus
+            machine.cpus_used = machine.gpus_used = machine.memory_gb_used = 0.0
+            machine.urgent_cpus = machine.service_cpus = 0.0
+            machine.idle_since = now
+        self.cpus_by_team[spec.team] -= spec.cpus
         self.gpus_by_team[spec.team] -= spec.gpus
         del job.live[allocation.attempt]
         job.zones[machine.zone] -= 1
@@ -447,9 +447,9 @@
             if job.open and not job.is_done(allocation.task):
                 job.pending.appendleft(allocation.task)
 
-    def drop_all(self, machine: Machine, now: timedelta) -> None:
+    def release_all(self, machine: Machine, now: timedelta) -> None:
         for allocation in list(machine.allocations.values()):
-            self.drop(allocation, now)
+            self.release(allocation, now)
 
-    def up(self) -> Iterator[Machine]:
+    def up_machines(self) -> Iterator[Machine]:
         return (machine for machine in self.machines.values() if machine.state is MachineState.UP)
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -138,9 +138,9 @@
     def describe(self, machine: Machine) -> None:
         kind = self.types.get(machine.machine_type)
         if kind is not None:
-            machine.cpus, machine.gpus, machine.ram = kind.cpus, kind.gpus, kind.memory_gb
-            machine.fetch_rate = max(kind.fetch_gb_per_s, 0.001)
-            machine.price = kind.spot_price if machine.spot else kind.price
+            machine.cpus, machine.gpus, machine.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
+            machine.image_fetch_rate = max(kind.fetch_gb_per_s, 0.001)
+            machine.price_per_hour = kind.spot_price if machine.spot else kind.price
 
     # The loop: one call to the cloud at a time is started each tick, the most pressing first
 
@@ -208,7 +208,7 @@
         fresh = not self.types
         self.set_types(types)
         if fresh:
-            for key, some in types_records(types, self._writer.most_record).items():
+            for key, some in types_records(types, self._writer.max_record_bytes).items():
                 self._writer.write(key, Rank.ASSIGN, partial(list, some))
 
     # Lists
@@ -236,7 +236,7 @@
         names = set()
         for listed in machines:
             names.add(listed.name)
-            if listed.name in self._cluster.gone:
+            if listed.name in self._cluster.deleted_machines:
                 continue
             machine = self._cluster.machines.get(listed.name)
             if machine is None:
@@ -256,7 +256,7 @@
     def _adopt(self, listed: messages.Listed, now: timedelta) -> Machine:
         state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNSURE
         machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
-        machine.known_since = now - seconds(listed.age_s)
+        machine.first_seen_at = now - seconds(listed.age_s)
         self.describe(machine)
         self._cluster.add_machine(machine)
         log.info("%s is in the list", machine.name)
@@ -310,14 +310,14 @@
             return
         now = self._clock()
         for name in names:
-            if name in self._cluster.gone:
+            if name in self._cluster.deleted_machines:
                 continue
             machine = self._cluster.machines.get(name)
             if machine is None:
                 machine = Machine(name, kind.machine_type, kind.zone, kind.spot, MachineState.BOOTING, now)
                 self.describe(machine)
                 self._cluster.add_machine(machine)
-            machine.pool = order.pool
+            machine.in_deferrable_pool = order.pool
         self._over(order)
         if len(names) < order.count:
             self._refuse(kind)
@@ -375,40 +375,40 @@
         self._find_cut()
         quiet_after = self._lease * QUIET
         for machine in list(self._cluster.machines.values()):
-            machine.cut = machine.zone in self._cut
+            machine.zone_unreachable = machine.zone in self._cut
             if (
                 machine.state is MachineState.UP
                 and machine.last_heartbeat_at is not None
                 and now - machine.last_heartbeat_at <= quiet_after
                 and machine.interruption_at is None
-                and machine.deaf_since is None
-                and not machine.suspect
+                and machine.responses_lost_since is None
+                and not machine.quarantined
             ):
                 # Heard of late, and nothing is wrong with it: most machines, most of the time.
-                machine.quiet = False
+                machine.heartbeat_overdue = False
                 continue
             if machine.state is MachineState.DELETING:
                 self._expire(machine, now)
                 continue
-            kept = CUT_KEPT if machine.cut or self._in_doubt(machine.zone) else ZERO
+            kept = CUT_KEPT if machine.zone_unreachable or self._in_doubt(machine.zone) else ZERO
             if machine.state is MachineState.BOOTING:
                 kind = self.types.get(machine.machine_type)
                 bound = seconds(kind.boot_s) * BOOTS + BOOT_SLACK if kind else seconds(300)
-                if now - machine.known_since > bound + kept:
+                if now - machine.first_seen_at > bound + kept:
                     self.give_up(machine, "has not come up")
                 continue
-            machine.quiet = self._silence(machine, now) > quiet_after
+            machine.heartbeat_overdue = self._silence(machine, now) > quiet_after
             self._expire(machine, now)
             if machine.interruption_at is not None and now >= machine.interruption_at - TAKEN:
                 self.give_up(machine, "taken back")
-            elif machine.deaf_since is not None and now - machine.deaf_since > self._lease * DEAF:
+            elif machine.responses_lost_since is not None and now - machine.responses_lost_since > self._lease * DEAF:
                 self.give_up(machine, "our answers do not reach it")
-            elif machine.suspect and not machine.allocations:
+            elif machine.quarantined and not machine.allocations:
                 self.give_up(machine, "fails tasks")
             elif self._silence(machine, now) > self._lease + self._lag * 2 + kept:
                 self.give_up(machine, "silent")
             elif (
-                machine.standing_cpus > 0
+                machine.service_cpus > 0
                 and not kept
                 and self._few_silent
                 and machine.state is MachineState.UP
@@ -441,9 +441,9 @@
         An earlier leader may have answered it for as long as it might hold, so a machine that
         has not reported to this one is counted from there.
         """
-        if machine.answered_at is None:
+        if machine.last_response_at is None:
             return self._unsure_until
-        until = machine.answered_at + at_least(self._lease) + seconds(0.5)
+        until = machine.last_response_at + at_least(self._lease) + seconds(0.5)
         return max(until, self._unsure_until) if machine.state is MachineState.UNSURE else until
 
     def _expire(self, machine: Machine, now: timedelta) -> None:
@@ -451,5 +451,5 @@
         if machine.allocations and now > self.empty_by(machine):
             log.info("the lease of %s has run out", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id[0]
-            self._cluster.drop_all(machine, now)
+            self._cluster.release_all(machine, now)
             self._changed()
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -103,7 +103,7 @@
     for start in range(10):
         within = [at for at, _, _ in cloud.calls if start <= at < start + 2]
         assert len(within) <= 2 * 2.0 + 2 * 2.0
-    assert len(cluster.machines) == 280 and len(cluster.gone) == 300
+    assert len(cluster.machines) == 280 and len(cluster.deleted_machines) == 300
 
 
 def test_lists_that_lag_prove_neither_life_nor_death() -> None:
@@ -130,7 +130,7 @@
     assert up.name not in cluster.machines
     # Names are not kept for ever.
     cluster.remove_machine(booting, cloud.loop.clock() + REMEMBERED * 2)
-    assert set(cluster.gone) == {booting.name}
+    assert set(cluster.deleted_machines) == {booting.name}
     cloud.loop.close()
 
 
@@ -141,7 +141,7 @@
 
     def report() -> None:
         for up in some:
-            up.last_heartbeat_at = up.answered_at = cloud.loop.clock()
+            up.last_heartbeat_at = up.last_response_at = cloud.loop.clock()
 
     async def main() -> None:
         report()
@@ -152,7 +152,7 @@
         assert all(up.state is MachineState.UP for up in some)
         # Half of them are heard, the others stay silent.
         for up in some[:25]:
-            up.last_heartbeat_at = up.answered_at = cloud.loop.clock()
+            up.last_heartbeat_at = up.last_response_at = cloud.loop.clock()
         await asyncio.sleep(3)
         running.cancel()
 
--- a/src/elmthread/placement/decide.py
+++ b/src/elmthread/placement/decide.py
@@ -26,8 +26,8 @@
     images: frozenset[str] | dict[str, float] = frozenset()
     # Images that it fetches now, or will for tasks it has been given.
     coming: set[str] = field(default_factory=set)
-    record_left: float = math.inf  # bytes that its record in the store may still take
-    fading: bool = False
+    record_bytes_left: float = math.inf  # bytes that its record in the store may still take
+    draining: bool = False
 
 
 @dataclass(slots=True)
@@ -93,8 +93,8 @@
     if slot.name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
         return 0
     count = request.count
-    if request.each > 0 and slot.record_left < request.entry + count * request.each:
-        count = int((slot.record_left - request.entry) // request.each)
+    if request.each > 0 and slot.record_bytes_left < request.entry + count * request.each:
+        count = int((slot.record_bytes_left - request.entry) // request.each)
     if apart and request.machine_most < math.inf:
         count = min(count, int(request.machine_most) - request.machines.get(slot.name, 0))
     cpus = min(slot.cpus, allowance.cpus)
@@ -172,7 +172,7 @@
     for slot in slots:
         cheapest = min(cheapest, slot.price)
         if slot.cpus > TINY:
-            by_kind.setdefault((slot.fading, slot.machine_type, slot.spot, slot.price, slot.fetch_rate), []).append(
+            by_kind.setdefault((slot.draining, slot.machine_type, slot.spot, slot.price, slot.fetch_rate), []).append(
                 slot
             )
     groups = [_MachineGroup(some) for some in by_kind.values()]
@@ -212,7 +212,7 @@
         if group.slots[-1].cpus + TINY < request.cpus:
             continue
         time, dear = request.image_gb / one.fetch_rate, price_penalty(request, one.price, cheapest)
-        ranks += [(one.fading, FETCH_COST[way] * time + dear, number, way) for way in Fetch]
+        ranks += [(one.draining, FETCH_COST[way] * time + dear, number, way) for way in Fetch]
     ranks.sort()
     ways: dict[int, dict[Fetch, list[FreeCapacity]]] = {}
     for _, _, number, way in ranks:
@@ -243,7 +243,7 @@
     slot.cpus -= count * request.cpus
     slot.gpus -= count * request.gpus
     slot.ram -= count * request.ram
-    slot.record_left -= request.entry + count * request.each
+    slot.record_bytes_left -= request.entry + count * request.each
     if request.machine_most < math.inf:
         request.machines[slot.name] = request.machines.get(slot.name, 0) + count
     if request.image not in slot.images:
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -93,7 +93,11 @@
             self.waiting = False
             return
         allowances = self.allowances()
-        machines = [machine for machine in self._cluster.up() if machine.open and machine.cpus > machine.cpus_used]
+        machines = [
+            machine
+            for machine in self._cluster.up_machines()
+            if machine.is_schedulable and machine.cpus > machine.cpus_used
+        ]
         slots = {machine.name: _slot(machine, self._cluster) for machine in machines}
         touched: dict[str, Machine] = {}
         left = MOST_PLACED
@@ -122,7 +126,7 @@
     def allowances(self) -> dict[str, TeamAllowance]:
         return {
             name: TeamAllowance(
-                team.cpu_quota - self._cluster.cpus_of.get(name, 0.0),
+                team.cpu_quota - self._cluster.cpus_by_team.get(name, 0.0),
                 team.gpu_quota - self._cluster.gpus_by_team.get(name, 0.0),
             )
             for name, team in self._teams.items()
@@ -169,7 +173,7 @@
     def _part(self, put_off: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
         """Tasks of jobs put off for long that go in turn with the others all the same."""
         turns = []
-        cores = PART * sum(machine.cpus for machine in self._cluster.up() if machine.open)
+        cores = PART * sum(machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable)
         for _, request in sorted(put_off, key=lambda one: one[0]):
             cores -= len(self._cluster.jobs[request.job].live) * request.cpus
             count = min(request.count, int(cores / request.cpus))
@@ -226,7 +230,7 @@
             own_cores = self._teams[name].cpu_quota - standing.get(name, 0.0)
             if own_cores > 0:
                 last |= jobs_to_put_off(line, own_cores, urgent.get(name, 0.0))
-        cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.serves(now))
+        cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.provides_capacity(now))
         cores -= sum(standing.values())
         if cores > 0:
             rest = [one for line in lines.values() for one in line if one.job not in last]
@@ -262,7 +266,11 @@
 
     def _make_room(self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance], now: timedelta) -> None:
         """Urgent work that lacks room requeues deferrable work."""
-        slots = {machine.name: _slot(machine, self._cluster) for machine in self._cluster.up() if machine.open}
+        slots = {
+            machine.name: _slot(machine, self._cluster)
+            for machine in self._cluster.up_machines()
+            if machine.is_schedulable
+        }
         candidates: dict[str, list[PreemptionCandidate]] = {}
         for name, slot in slots.items():
             machine = self._cluster.machines[name]
@@ -311,7 +319,7 @@
 
     def _stop_for_recall(self, now: timedelta) -> None:
         """On a machine that will be taken: what can't end in time is stopped, saved if it can be."""
-        for machine in self._cluster.up():
+        for machine in self._cluster.up_machines():
             if machine.interruption_at is None:
                 continue
             left = machine.interruption_at - now
@@ -337,11 +345,11 @@
             request.zones[zone] -= 1
         return any(
             fits(request, _slot(machine, self._cluster), TeamAllowance())
-            for machine in self._cluster.up()
-            if machine.open
-            and not machine.fading
+            for machine in self._cluster.up_machines()
+            if machine.is_schedulable
+            and not machine.draining
             and machine is not allocation.machine
-            and machine.free >= request.cpus
+            and machine.free_cpus >= request.cpus
         )
 
     def request_of(self, job: Job) -> TaskRequest:
@@ -375,19 +383,19 @@
         machine_type=machine.machine_type,
         zone=machine.zone,
         spot=machine.spot,
-        cpus=machine.free,
+        cpus=machine.free_cpus,
         gpus=machine.gpus - machine.gpus_used,
-        ram=machine.ram - machine.ram_used,
-        price=machine.core_price,
-        fetch_rate=machine.fetch_rate,
-        images=machine.images,
+        ram=machine.memory_gb - machine.memory_gb_used,
+        price=machine.price_per_core,
+        fetch_rate=machine.image_fetch_rate,
+        images=machine.cached_images,
         coming={
             allocation.job.spec.image
             for allocation in machine.allocations.values()
-            if allocation.state in _COMING and allocation.job.spec.image not in machine.images
+            if allocation.state in _COMING and allocation.job.spec.image not in machine.cached_images
         },
-        record_left=cluster.record_left(machine),
-        fading=machine.fading,
+        record_bytes_left=cluster.record_bytes_left(machine),
+        draining=machine.draining,
     )
 
 
--- a/src/elmthread/placement/tests/plain.py
+++ b/src/elmthread/placement/tests/plain.py
@@ -24,7 +24,7 @@
     image and the price; full machines first.
     """
     fetch = FETCH_COST[way_to_image(request, slot)] * request.image_gb / slot.fetch_rate
-    return (slot.fading, fetch + price_penalty(request, slot.price, cheapest), slot.cpus, slot.name)
+    return (slot.draining, fetch + price_penalty(request, slot.price, cheapest), slot.cpus, slot.name)
 
 
 def place(
--- a/src/elmthread/placement/tests/test_decide.py
+++ b/src/elmthread/placement/tests/test_decide.py
@@ -162,8 +162,8 @@
                 fetch_rate=rate,
                 images={f"i{n}": 1.0 for n in range(6) if rng.random() < 0.2},
                 coming={f"i{n}" for n in range(6, 8) if rng.random() < 0.2},
-                record_left=rng.choice([math.inf, 60]),
-                fading=rng.random() < 0.1,
+                record_bytes_left=rng.choice([math.inf, 60]),
+                draining=rng.random() < 0.1,
             )
         )
     requests = []
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -19,7 +19,7 @@
     cluster = ClusterState(1000)
     for number in range(rng.randint(1, 6)):
         machine = Machine(f"m-{number}", "large", "east", False, MachineState.UP, ZERO)
-        machine.cpus, machine.ram = 16.0, 64.0
+        machine.cpus, machine.memory_gb = 16.0, 64.0
         cluster.add_machine(machine)
     attempt = 0
     for number in range(rng.randint(1, 25)):
--- a/src/elmthread/reachability/census.py
+++ b/src/elmthread/reachability/census.py
@@ -58,13 +58,13 @@
         zones: dict[str, ZoneCount] = {}
         in_time = now - self._heartbeat_timeout
         for machine in machines:
-            if not machine.expected:
+            if not machine.heartbeat_expected:
                 continue
             count = zones.get(machine.zone)
             if count is None:
                 count = zones[machine.zone] = ZoneCount()
             count.expected += 1
-            count.silent += machine.unheard(now, self._began)
-            if machine.state is MachineState.UP and machine.answers_arrive:
+            count.silent += machine.is_silent(now, self._began)
+            if machine.state is MachineState.UP and machine.receives_responses:
                 count.confirmed += (machine.last_heartbeat_at or ZERO) >= in_time
         return zones
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -69,7 +69,7 @@
     holds: dict[str, list[int]] = {}
     for allocation in machine.allocations.values():
         holds.setdefault(allocation.job.id, []).extend((allocation.task, allocation.attempt))
-    return MachineRecord(machine.machine_type, machine.zone, machine.spot, machine.pool, holds)
+    return MachineRecord(machine.machine_type, machine.zone, machine.spot, machine.in_deferrable_pool, holds)
 
 
 def _runs_record(pairs: MachineRecord) -> AssignmentRunsRecord:
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -168,7 +168,7 @@
         record = read_machine(value, self._supported)
         name = key.removeprefix("m/")
         machine = Machine(name, record.machine_type, record.zone, record.spot, MachineState.UNSURE, self._clock())
-        machine.pool = record.pool
+        machine.in_deferrable_pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
             job = self._cluster.jobs.get(job_id)
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -26,7 +26,7 @@
 
 def machine_with(assigned: list[tuple[str, int, int]]) -> Machine:
     machine = Machine("m-000001", "small", "east", True, MachineState.UP, ZERO)
-    machine.pool = True
+    machine.in_deferrable_pool = True
     for one in assigned:
         machine.allocations[one[2]] = Held(*one)  # type: ignore[assignment]
     return machine
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -113,7 +113,7 @@
         self._single_until = ZERO
 
     @property
-    def most_record(self) -> int:
+    def max_record_bytes(self) -> int:
         """Bytes that one record may take in a slot."""
         return self._slots.most
 
--- a/src/elmthread/workers/health.py
+++ b/src/elmthread/workers/health.py
@@ -32,20 +32,20 @@
             job.errors.clear()
         job.errors.add(machine.name)
         job.failed_at = now
-        machine.failures[job.id] = machine.failures.get(job.id, 0) + 1
+        machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
         fine = _runs_on(job, now)
         if not job.count_done and fine <= len(job.errors) >= MACHINES_OF_A_BAD_JOB:
             self._pause(job, now)
             return
-        if len(machine.failures) >= FAILURES_OF_A_BAD_MACHINE or (
-            machine.failures[job.id] >= FAILURES_OF_A_BAD_MACHINE and (job.count_done or fine)
+        if len(machine.failures_by_job) >= FAILURES_OF_A_BAD_MACHINE or (
+            machine.failures_by_job[job.id] >= FAILURES_OF_A_BAD_MACHINE and (job.count_done or fine)
         ):
-            machine.suspect = True
+            machine.quarantined = True
 
     def succeeded(self, machine: Machine, job: Job) -> None:
         job.backoff = ZERO
         job.errors.discard(machine.name)
-        machine.failures.clear()
+        machine.failures_by_job.clear()
 
     def steady(self, allocation: Allocation, now: timedelta) -> bool:
         """It has served for so long that its end says nothing about its start."""
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -92,7 +92,7 @@
             self._term.hear(heartbeat.fencing_token)
         if not self._term.answers_workers():
             return Response(421, messages.elsewhere(self._term.leader))
-        if heartbeat.machine in self._cluster.gone:
+        if heartbeat.machine in self._cluster.deleted_machines:
             # Its deletion was answered: a late report of a machine that is no more.
             return again(503, seconds(1), "machine is gone")
         machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
@@ -112,13 +112,17 @@
         self._listen(machine, heartbeat, request.answered_at, now)
         machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
-        machine.quiet = False
+        machine.heartbeat_overdue = False
         exits, commands = self._take(machine, heartbeat, now)
-        if machine.open and self._may_come(machine):
+        if machine.is_schedulable and self._may_come(machine):
             await self._wait_for_starts(machine)
             if not self._term.answers_workers():
                 return Response(421, messages.elsewhere(self._term.leader))
-        commands += [messages.reap(task.name, task.attempt) for task in exits if task.attempt not in machine.to_reap]
+        commands += [
+            messages.reap(task.name, task.attempt)
+            for task in exits
+            if task.attempt not in machine.uncommitted_completions
+        ]
         commands += self._commands(machine)
         return self._answer(machine, commands[:MOST_ORDERS])
 
@@ -137,7 +141,7 @@
         return stops[:MOST_ORDERS]
 
     def _answer(self, machine: Machine, commands: list[dict[str, Any]]) -> Response:
-        machine.answered_at = self._clock()
+        machine.last_response_at = self._clock()
         body = messages.orders(self._term.fencing_token, commands)
         # Judged once more when the bytes leave: a start sent after the lease is one too many.
         starts = any(command["verb"] == messages.START for command in commands)
@@ -167,7 +171,7 @@
         """
         # A worker that waits in vain for an answer turns to another node, and is not here again so soon.
         last_heartbeat_at = machine.last_heartbeat_at
-        machine.answers_arrive = answered_at is not None or (
+        machine.receives_responses = answered_at is not None or (
             last_heartbeat_at is not None
             and heartbeat.sequence == machine.last_heartbeat_id[1] + 1
             and now - last_heartbeat_at < ANSWER_WAIT
@@ -176,15 +180,19 @@
         if heartbeat.incarnation != incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info("%s has let its lease run out: nothing new until answers are seen to arrive", machine.name)
-                machine.deaf_since = machine.deaf_since or now
+                machine.responses_lost_since = machine.responses_lost_since or now
             machine.incarnation_since = now
-        elif machine.deaf_since is not None and (
-            now - max(machine.incarnation_since, machine.deaf_since) > self._proof
-            or (machine.missed < MISSED and answered_at is not None and answered_at > machine.incarnation_since)
+        elif machine.responses_lost_since is not None and (
+            now - max(machine.incarnation_since, machine.responses_lost_since) > self._proof
+            or (
+                machine.undelivered_starts < MISSED
+                and answered_at is not None
+                and answered_at > machine.incarnation_since
+            )
         ):
             log.info("%s hears our answers again", machine.name)
-            machine.deaf_since = None
-            machine.missed = 0
+            machine.responses_lost_since = None
+            machine.undelivered_starts = 0
 
     def _may_come(self, machine: Machine) -> bool:
         """Starts are being made durable for it, or it has room and there is work that waits."""
@@ -241,7 +249,7 @@
         """
         if machine.state in (MachineState.BOOTING, MachineState.UNSURE):
             machine.move(MachineState.UP)
-            machine.empty_since = now
+            machine.idle_since = now
             self._changed()
         if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
             log.info("%s will be taken in %.1f s", machine.name, heartbeat.interruption_notice_s)
@@ -271,10 +279,10 @@
                 # The answer that carried its start was lost, and won't be executed any more.
                 allocation.sent = False
                 lost = True
-        machine.missed = machine.missed + 1 if lost else 0
-        if machine.missed >= MISSED and machine.deaf_since is None:
+        machine.undelivered_starts = machine.undelivered_starts + 1 if lost else 0
+        if machine.undelivered_starts >= MISSED and machine.responses_lost_since is None:
             log.info("%s does not start what it is told to: nothing new until answers are seen to arrive", machine.name)
-            machine.deaf_since = now
+            machine.responses_lost_since = now
         return exits, stops
 
     def _not_listed(self, machine: Machine, heartbeat: Heartbeat) -> list[Allocation]:
@@ -289,7 +297,7 @@
             log.info("unknown task state %r", task.state)
             return
         if state is not AllocationState.FETCHING:
-            allocation.machine.images[allocation.job.spec.image] = allocation.job.spec.image_gb
+            allocation.machine.cached_images[allocation.job.spec.image] = allocation.job.spec.image_gb
             if allocation.started_at is None:
                 allocation.started_at = now
                 waited = (now - allocation.job.since).total_seconds()
@@ -313,7 +321,7 @@
         return []
 
     def _exited(self, machine: Machine, allocation: Allocation | None, task: Task, now: timedelta) -> None:
-        """Takes in the end of a task. While it stands in `to_reap`, the worker must not forget it."""
+        """Takes in the end of a task. While it stands in `uncommitted_completions`, the worker must not forget it."""
         name = task.split()
         job = allocation.job if allocation is not None else self._cluster.jobs.get(name[0]) if name else None
         if allocation is not None:
@@ -325,10 +333,10 @@
                 job.set_done(index)
                 if allocation is None and index in job.pending:
                     job.pending.remove(index)
-                machine.to_reap[task.attempt] = (job.id, index)
+                machine.uncommitted_completions[task.attempt] = (job.id, index)
 
                 def durable() -> None:
-                    machine.to_reap.pop(task.attempt, None)
+                    machine.uncommitted_completions.pop(task.attempt, None)
 
                 self._finished(job, index, durable)
         if allocation is not None:
@@ -339,7 +347,7 @@
         if job.daemon and (task.why == "done" or self.health.steady(allocation, now)):
             self.health.ended(allocation, now)
         elif task.why == "done":
-            machine.images[job.spec.image] = job.spec.image_gb
+            machine.cached_images[job.spec.image] = job.spec.image_gb
             self.health.succeeded(machine, job)
             if allocation.started_at is not None and allocation.stop is None:
                 self._work.saw(job.spec.job_class, job.spec.expected_s, now - allocation.started_at)
@@ -351,7 +359,7 @@
             self.health.refused(job, now)
 
     def _drop(self, allocation: Allocation, now: timedelta) -> None:
-        self._cluster.drop(allocation, now)
+        self._cluster.release(allocation, now)
         self._changed()
 
     # What the worker is told
@@ -374,7 +382,9 @@
                 continue
             name = messages.task_name(job.id, allocation.task)
             unwanted = (
-                allocation.stop is not None or machine.state is not MachineState.UP or machine.deaf_since is not None
+                allocation.stop is not None
+                or machine.state is not MachineState.UP
+                or machine.responses_lost_since is not None
             )
             if (
                 unwanted
--- a/src/elmthread/workers/tests/test_health.py
+++ b/src/elmthread/workers/tests/test_health.py
@@ -44,7 +44,7 @@
         for machine in sick:
             bench.health.failed(machine, job, seconds(5))
     assert job.retry_at == ZERO
-    assert all(machine.suspect for machine in sick)
+    assert all(machine.quarantined for machine in sick)
     assert job.errors == {machine.name for machine in sick}
 
 
@@ -60,7 +60,7 @@
         pauses.append(job.retry_at - now)
         now = max(now, job.retry_at) + seconds(1)
     assert pauses[2:] == [FIRST_PAUSE, FIRST_PAUSE * 2, FIRST_PAUSE * 4, FIRST_PAUSE * 8]
-    assert not any(machine.suspect for machine in machines)
+    assert not any(machine.quarantined for machine in machines)
 
 
 def test_a_job_that_failed_on_all_machines_is_tried_again() -> None:
@@ -78,9 +78,9 @@
     bench = Bench()
     machine = bench.machine(1)
     bench.health.failed(machine, bench.job(1), seconds(1))
-    assert not machine.suspect
+    assert not machine.quarantined
     bench.health.failed(machine, bench.job(2), seconds(1))
-    assert machine.suspect
+    assert machine.quarantined
 
 
 def test_replica_that_served_for_long_is_started_again_at_once_and_one_that_did_not_ever_later() -> None:
@@ -94,7 +94,7 @@
         allocation.started_at = now
         bench.health.ended(allocation, now + seconds(1))
         pauses.append((job.retry_at - now).total_seconds() - 1)
-        bench.cluster.drop(allocation, now)
+        bench.cluster.release(allocation, now)
         now = job.retry_at
     assert pauses[:4] == [2, 4, 8, 16] and max(pauses) == 120
     bench.runs(job, machine)
@@ -102,4 +102,4 @@
     allocation.started_at = now
     bench.health.ended(allocation, now + STEADY)
     assert not job.backoff and job.retry_at <= now + STEADY
-    assert not machine.suspect and not machine.failures
+    assert not machine.quarantined and not machine.failures_by_job
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -95,7 +95,7 @@
         for _ in range(240):
             await asyncio.sleep(1)
             assert world.leader is not None and world.leader.leader is not None
-            assert not any(one.suspect for one in world.leader.leader.cluster.machines.values())
+            assert not any(one.quarantined for one in world.leader.leader.cluster.machines.values())
         for number in (1, 2):
             tries = sum(count for task, count in world.rules.starts.items() if task.startswith(f"run-00000{number}"))
             assert 8 <= tries <= 60, tries
