--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -79,15 +79,15 @@
         if team is None:
             return "unknown team"
         request = TaskRequest(
-            job=spec.id,
+            job_id=spec.id,
             team=spec.team,
-            order=(),
+            sort_key=(),
             # A batch's tasks may take turns, replicas can't.
             count=spec.tasks if spec.form == DAEMON else 1,
             cpus=spec.cpus,
             gpus=spec.gpus,
-            ram=spec.ram_gb,
-            types=None if spec.types is None else frozenset(spec.types),
+            memory_gb=spec.ram_gb,
+            machine_types=None if spec.types is None else frozenset(spec.types),
             zone=spec.zone,
         )
         record = job_record(self.new(spec, ZERO))
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -86,7 +86,7 @@
             self._cluster.add_job(known)
             log.info("%s: %s of %s, %s tasks of %s cpus", job.id, job.job_class, job.team, job.tasks, job.cpus)
             self._store(known)
-        created = known.stored is None
+        created = known.durable_state is None
         if created:
             failed = await self._stored(known.id)
             if failed is not None:
@@ -108,14 +108,14 @@
         """Makes the job's record when it is written, and notes which state went into it."""
 
         def make() -> Any:
-            job.writing = job.state
+            job.state_being_written = job.state
             return job_record(job)
 
         return make
 
     def _store(self, job: Job) -> None:
         def durable() -> None:
-            job.stored = job.writing
+            job.durable_state = job.state_being_written
             self._changed()
 
         stored = self._writer.written(job_key(job.id), Rank.USER, self._record(job), durable)
@@ -145,7 +145,7 @@
         job = self._cluster.jobs.get(job_id)
         if job is None:
             return Response(404, {"error": "no such job"})
-        if job.stored is None:
+        if job.durable_state is None:
             # Submitted, but not durable: neither known nor unknown.
             return again(503, SOON, "not durable yet")
         return self._tell(job, Response(200, self._describe(job)))
@@ -154,29 +154,29 @@
         job = self._cluster.jobs.get(job_id)
         if job is None:
             return Response(404, {"error": "no such job"})
-        if job.stored is None:
+        if job.durable_state is None:
             failed = await self._stored(job_id)
             if failed is not None:
                 return failed
-        if job.open:
+        if job.is_open:
             busy = self._too_busy()
             if busy is not None:
                 return busy
             self._cluster.close_job(job, JobState.CANCELLED)
             self._store(job)
             self._changed()
-        if job.stored is not job.state:
+        if job.durable_state is not job.state:
             if job_id not in self._storing:
                 self._store(job)
             failed = await self._stored(job_id)
             if failed is not None:
                 return failed
-            if job.stored is not job.state:
+            if job.durable_state is not job.state:
                 return again(503, SOON, "not durable yet")
         if not self._term.leads():
             return again(503, SOON, "not leading")
-        assert job.stored is not None
-        return self._tell(job, Response(200, messages.status(job.id, job.stored.value)))
+        assert job.durable_state is not None
+        return self._tell(job, Response(200, messages.status(job.id, job.durable_state.value)))
 
     def _tell(self, job: Job, response: Response) -> Response:
         """The answer that names the job's state, or when to ask again while that can't be told.
@@ -186,8 +186,8 @@
         can have renewed it; where that might be later, nobody hears of it yet. Neither is an older
         state told: an earlier leader may have told this one.
         """
-        if job.stored is JobState.CANCELLED:
-            gone = max((self._empty_by(allocation.machine) for allocation in job.live.values()), default=ZERO)
+        if job.durable_state is JobState.CANCELLED:
+            gone = max((self._empty_by(allocation.machine) for allocation in job.allocations.values()), default=ZERO)
             early = gone - self._clock() - at_most(self._cancel) + LATE
             if early > ZERO:
                 log.info("%s is cancelled, which can't be told for %.1f s", job.id, early.total_seconds())
@@ -196,24 +196,26 @@
 
     def _describe(self, job: Job) -> dict[str, Any]:
         """The job as the store has it; done and running counts are for display."""
-        stored = job.stored
+        stored = job.durable_state
         if stored is JobState.OPEN or stored is None:
-            return messages.status(job.id, "running" if job.running else "queued", job.count_done, job.running)
-        done = job.total if stored is JobState.DONE else job.count_done
+            return messages.status(
+                job.id, "running" if job.running_count else "queued", job.done_count, job.running_count
+            )
+        done = job.task_count if stored is JobState.DONE else job.done_count
         return messages.status(job.id, stored.value, done, 0)
 
     def finished(self, job: Job, task: int, durable: Callable[[], None]) -> None:
         """A task is done: recorded before the worker may forget it, and before users hear."""
-        if job.count_done == job.total:
+        if job.done_count == job.task_count:
             self._cluster.close_job(job, JobState.DONE)
 
             def stored() -> None:
-                job.stored = job.writing
+                job.durable_state = job.state_being_written
                 durable()
-                for chunk in range((job.total + job.chunk - 1) // job.chunk):
+                for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
                     self._writer.delete(done_key(job.id, chunk))
 
             self._writer.write(job_key(job.id), Rank.DONE, self._record(job), stored)
             return
-        chunk = task // job.chunk
+        chunk = task // job.tasks_per_chunk
         self._writer.write(done_key(job.id, chunk), Rank.DONE, lambda: done_record(job, chunk, self._features), durable)
--- a/src/elmthread/autoscaling/decide.py
+++ b/src/elmthread/autoscaling/decide.py
@@ -62,11 +62,11 @@
     zone: str
     spot: bool
     cores: float
-    price: float  # an hour
-    boot: float
-    most: int = 50
+    price_per_hour: float  # an hour
+    boot_s: float
+    max_count: int = 50
     gpus: float = 0.0
-    ram: float = math.inf
+    memory_gb: float = math.inf
 
 
 def merged(supplies: Sequence[Supply]) -> list[Supply]:
@@ -79,7 +79,7 @@
 
 def dear(offer: Offer, cheapest: float) -> bool:
     """Whether it costs much more a core than the cheapest does."""
-    return offer.price > DEAR * cheapest * offer.cores
+    return offer.price_per_hour > DEAR * cheapest * offer.cores
 
 
 def finish(work: float, supplies: Sequence[Supply]) -> float:
@@ -142,16 +142,16 @@
     `usable` bounds the cores rented: more than waiting tasks could use is never rented.
     Where even all that leaves a group late, as many are rented as are of use.
     """
-    offers = [offer for offer in offers if offer.cores > 0 and offer.most > 0]
+    offers = [offer for offer in offers if offer.cores > 0 and offer.max_count > 0]
     if not offers or not groups:
         return []
     supplies = merged(supplies)
-    skip = unsavable(groups, min(offer.boot for offer in offers))
+    skip = unsavable(groups, min(offer.boot_s for offer in offers))
     if not late(groups, supplies, ahead, skip):
         return []
 
     def saves(chosen: Sequence[Offer]) -> bool:
-        more = [Supply(offer.boot, offer.cores) for offer in chosen]
+        more = [Supply(offer.boot_s, offer.cores) for offer in chosen]
         return not late(groups, [*supplies, *more], ahead, skip)
 
     line = _line(offers, usable, most)
@@ -173,15 +173,15 @@
     what a zone has left is not known before it is asked. Kinds that cost `DEAR` times the
     cheapest a core come after all others: fewer machines are not worth that much.
     """
-    cheapest = min((offer.price / offer.cores for offer in offers), default=0.0)
+    cheapest = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
     ranks: dict[tuple[bool, float, float, float], list[Offer]] = {}
     for offer in offers:
-        ranks.setdefault((dear(offer, cheapest), -offer.cores, offer.boot, offer.price), []).append(offer)
+        ranks.setdefault((dear(offer, cheapest), -offer.cores, offer.boot_s, offer.price_per_hour), []).append(offer)
     line: list[Offer] = []
     for rank in sorted(ranks):
-        for turn in range(max(offer.most for offer in ranks[rank])):
+        for turn in range(max(offer.max_count for offer in ranks[rank])):
             for offer in ranks[rank]:
-                if turn < offer.most and len(line) < most and room > 0:
+                if turn < offer.max_count and len(line) < most and room > 0:
                     line.append(offer)
                     room -= offer.cores
     return line
@@ -193,19 +193,19 @@
     if not chosen:
         return []
     rest = lacking - sum(offer.cores for offer in chosen[:-1])
-    enough = [offer for offer in offers if offer.cores >= rest and offer.price <= chosen[-1].price]
-    return [*chosen[:-1], min(enough, key=lambda offer: (offer.price, offer.boot), default=chosen[-1])]
+    enough = [offer for offer in offers if offer.cores >= rest and offer.price_per_hour <= chosen[-1].price_per_hour]
+    return [*chosen[:-1], min(enough, key=lambda offer: (offer.price_per_hour, offer.boot_s), default=chosen[-1])]
 
 
 def _cheapen(chosen: list[Offer], offers: Sequence[Offer], saves: Callable[[Sequence[Offer]], bool]) -> list[Offer]:
     """Swaps machines for cheaper ones, as many at once as leave no group late by it."""
-    by_price = sorted(offers, key=lambda offer: offer.price)
+    by_price = sorted(offers, key=lambda offer: offer.price_per_hour)
     trials = MOST_TRIALS
-    for dear in sorted(set(chosen), key=lambda offer: -offer.price):
+    for dear in sorted(set(chosen), key=lambda offer: -offer.price_per_hour):
         for cheap in by_price:
-            if cheap.price >= dear.price:
+            if cheap.price_per_hour >= dear.price_per_hour:
                 break
-            low, high = 0, min(chosen.count(dear), cheap.most - chosen.count(cheap)) + 1
+            low, high = 0, min(chosen.count(dear), cheap.max_count - chosen.count(cheap)) + 1
             while high - low > 1 and trials > 0:
                 trials -= 1
                 middle = (low + high) // 2
@@ -232,7 +232,7 @@
 class Line:
     """A job in its team's line: core-seconds left, the soonest it can end, and its deadline."""
 
-    job: str
+    job_id: str
     due: float
     work: float
     own: float
@@ -250,7 +250,7 @@
     total = ahead
     for line in sorted(lines, key=lambda line: line.due):
         if line.own > line.due:
-            last.add(line.job)
+            last.add(line.job_id)
             continue
         taken.append(line)
         total += line.work
@@ -258,5 +258,5 @@
             worst = max(taken, key=lambda line: line.work)
             taken.remove(worst)
             total -= worst.work
-            last.add(worst.job)
+            last.add(worst.job_id)
     return last
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -95,7 +95,7 @@
         use no spot machine, or no more than half of them in one zone, wait beside any number
         of cores of the wrong kind.
         """
-        daemons = [job for job in self._cluster.open_jobs.values() if job.daemon]
+        daemons = [job for job in self._cluster.open_jobs.values() if job.is_service]
         self._services_run = bool(daemons)
         if not daemons:
             self._services.growth(now, 0.0)
@@ -104,14 +104,20 @@
             return
         # A service that fails wherever it is tried would avoid, and so rent, machine after machine.
         waiting = [
-            replace(request, avoid=()) if job.backoff else request
+            replace(request, excluded_machines=()) if job.backoff else request
             for request in requests
-            if (job := self._cluster.jobs[request.job]).daemon
+            if (job := self._cluster.jobs[request.job_id]).is_service
         ]
         allowances = self._placement.allowances()
         # One more like the largest there is must find room at once, spread as it may have to be.
-        largest = max(daemons, key=lambda job: (not job.spec.spot, job.total * job.spec.cpus))
-        next_one = replace(self._placement.request_of(largest), count=largest.total, zones={}, machines={}, avoid=())
+        largest = max(daemons, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
+        next_one = replace(
+            self._placement.request_of(largest),
+            count=largest.task_count,
+            tasks_by_zone={},
+            tasks_by_machine={},
+            excluded_machines=(),
+        )
         left = unplaced([*waiting, next_one], self._soon_room([*waiting, next_one], now), allowances)
         if left:
             self._order(machines_for(left, self._offers(left), allowances, MOST_AT_ONCE), pool=False)
@@ -135,7 +141,7 @@
             self._order(refill(offers, max(booked / theta, soon) - for_replicas, MOST_AT_ONCE), pool=False)
         # Those that hold replicas stay in any case, so their room comes first, then the cheapest.
         firm.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
-        needed = max(booked / max(theta - delta, 0.05), soon, booked + largest.total * largest.spec.cpus) - booked
+        needed = max(booked / max(theta - delta, 0.05), soon, booked + largest.task_count * largest.spec.cpus) - booked
         kept = reserve(((m.name, m.zone, m.cpus - m.urgent_cpus) for m in firm), needed if demanding else 0.0)
         for machine in self._cluster.machines.values():
             machine.reserved = machine.name in kept
@@ -179,9 +185,9 @@
         # small for a task, would make a group look on time that can't start at all.
         kinds: dict[tuple[Any, ...], list[TaskRequest]] = {}
         for request in requests:
-            kinds.setdefault((request.types, request.zone, request.spot, request.cpus, request.gpus), []).append(
-                request
-            )
+            kinds.setdefault(
+                (request.machine_types, request.zone, request.spot, request.cpus, request.gpus), []
+            ).append(request)
         alike: dict[tuple[Any, ...], list[TaskRequest]] = {}
         first: list[tuple[set[str], list[TaskRequest]]] = []
         for group in kinds.values():
@@ -192,7 +198,7 @@
             waiting = [
                 request
                 for request in group
-                if not self._cluster.jobs[request.job].daemon and (not request.urgent or not places)
+                if not self._cluster.jobs[request.job_id].is_service and (not request.urgent or not places)
             ]
             if waiting:
                 alike.setdefault(places, []).extend(waiting)
@@ -211,7 +217,7 @@
             if allowed(request, *kind)
             and request.cpus <= machines[0].cpus
             and request.gpus <= machines[0].gpus
-            and request.ram <= machines[0].memory_gb
+            and request.memory_gb <= machines[0].memory_gb
             for machine in machines
         )
 
@@ -231,13 +237,13 @@
         # without them, and not for what can't be saved, as long as some machine serves it in time.
         hard = not cheap and bool(places)
         offers = cheap or offers
-        boot = min(offer.boot for offer in offers)
+        boot = min(offer.boot_s for offer in offers)
         groups, usable = self._groups(waiting, allowances, now, boot, hard)
         supplies = self._supplies(places, waiting[0], now)
         busy, ahead = self._running(places, now)
         for request in urgent:
-            job = self._cluster.jobs[request.job]
-            if not job.daemon:
+            job = self._cluster.jobs[request.job_id]
+            if not job.is_service:
                 ahead += request.count * request.cpus * self._each(job)
         usable += _usable(urgent, allowances) + busy - sum(supply.cores for supply in supplies)
         chosen = fewest(groups, supplies, ahead, offers, usable, MOST_AT_ONCE)
@@ -265,7 +271,7 @@
         by_due: dict[int, Group] = {}
         team_cores: dict[str, float] = {}
         for request in waiting:
-            job = self._cluster.jobs[request.job]
+            job = self._cluster.jobs[request.job_id]
             each = self._each(job)
             allowance = max(0.0, allowances[request.team].cpus - team_cores.get(request.team, 0.0))
             cores = min(allowance, request.count * request.cpus)
@@ -273,7 +279,9 @@
             # A team at its limit still uses all of that as its running tasks end.
             usable = max(min(self._placement.limit(request.team), request.count * request.cpus), request.cpus)
             work = request.count * request.cpus * each
-            due = (job.since + (job.latest if hard else job.aim * MARGIN) - now).total_seconds()
+            due = (
+                job.submitted_at + (job.latest_deadline if hard else job.target_deadline * MARGIN) - now
+            ).total_seconds()
             soonest = boot + max(each, work / usable)
             if due < soonest:
                 if hard:
@@ -321,7 +329,7 @@
     def _running_on(self, machine: Machine, now: timedelta) -> tuple[float, float]:
         cores = work = 0.0
         for allocation in machine.allocations.values():
-            if not allocation.job.daemon:
+            if not allocation.job.is_service:
                 cpus = allocation.job.spec.cpus
                 cores += cpus
                 work += cpus * self._left(allocation, now)
@@ -351,7 +359,7 @@
                         allowed(request, kind.name, zone, spot)
                         and request.cpus <= kind.cpus
                         and request.gpus <= kind.gpus
-                        and request.ram <= kind.memory_gb
+                        and request.memory_gb <= kind.memory_gb
                         for request in waiting
                     ):
                         price = kind.spot_price if spot else kind.price
@@ -364,7 +372,7 @@
                                 price,
                                 kind.boot_s * BOOT,
                                 gpus=kind.gpus,
-                                ram=kind.memory_gb,
+                                memory_gb=kind.memory_gb,
                             )
                         )
         return offers
@@ -413,24 +421,24 @@
         """A machine that only replicas keep is not kept for ever: where others have room they move,
         one of a job at a time, since each move costs replica time.
         """
-        if not all(allocation.job.daemon for allocation in machine.allocations.values()):
+        if not all(allocation.job.is_service for allocation in machine.allocations.values()):
             return
         for allocation in machine.allocations.values():
             job = allocation.job
-            moving = any(other.stop is not None for other in job.live.values())
-            if not moving and job.running == job.total and self._placement.has_room(allocation):
+            moving = any(other.stop_mode is not None for other in job.allocations.values())
+            if not moving and job.running_count == job.task_count and self._placement.has_room(allocation):
                 log.info("%s/%s moves off %s, which is not needed", job.id, allocation.task, machine.name)
-                allocation.stop = Stop.SAVE
+                allocation.stop_mode = Stop.SAVE
 
     def _move_away(self, machine: Machine, now: timedelta) -> None:
         allocations = list(machine.allocations.values())
-        if any(allocation.stop is None for allocation in allocations) and all(
+        if any(allocation.stop_mode is None for allocation in allocations) and all(
             allocation.job.spec.saves and allocation.started_at is not None and now - allocation.started_at > SETTLED
             for allocation in allocations
         ):
             log.info("%s is emptied: its %s tasks save and go on elsewhere", machine.name, len(allocations))
             for allocation in allocations:
-                allocation.stop = allocation.stop or Stop.SAVE
+                allocation.stop_mode = allocation.stop_mode or Stop.SAVE
 
     def _return_pool(self, requests: list[TaskRequest], now: timedelta) -> None:
         """An idle deferrable pool goes back whole; what of a busy one stays empty goes singly.
--- a/src/elmthread/autoscaling/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -40,7 +40,10 @@
     requests: Iterable[TaskRequest], slots: Sequence[FreeCapacity], allowances: dict[str, TeamAllowance]
 ) -> list[TaskRequest]:
     """What is left of the tasks once `slots` (used up) are full, as far as limits let it run."""
-    left = [replace(request, zones=dict(request.zones), machines=dict(request.machines)) for request in requests]
+    left = [
+        replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
+        for request in requests
+    ]
     place(left, slots, allowances)
     return [request for request in left if request.count > 0 and allowances[request.team].cpus + TINY >= request.cpus]
 
@@ -63,10 +66,14 @@
                 break
             best = min(
                 fit,
-                key=lambda offer: (request.zones.get(offer.zone, 0), round(offer.price / offer.cores, 3), -offer.cores),
+                key=lambda offer: (
+                    request.tasks_by_zone.get(offer.zone, 0),
+                    round(offer.price_per_hour / offer.cores, 3),
+                    -offer.cores,
+                ),
             )
             slot = FreeCapacity(
-                f"+{len(slots)}", best.machine_type, best.zone, best.spot, best.cores, best.gpus, best.ram
+                f"+{len(slots)}", best.machine_type, best.zone, best.spot, best.cores, best.gpus, best.memory_gb
             )
             before = request.count
             place([request], [slot], allowances)
@@ -80,10 +87,10 @@
 def _takes(request: TaskRequest, offer: Offer) -> bool:
     return (
         allowed(request, offer.machine_type, offer.zone, offer.spot)
-        and request.zones.get(offer.zone, 0) < request.zone_most
+        and request.tasks_by_zone.get(offer.zone, 0) < request.max_per_zone
         and request.cpus <= offer.cores
         and request.gpus <= offer.gpus
-        and request.ram <= offer.ram
+        and request.memory_gb <= offer.memory_gb
     )
 
 
--- a/src/elmthread/autoscaling/tests/test_decide.py
+++ b/src/elmthread/autoscaling/tests/test_decide.py
@@ -68,7 +68,7 @@
     chosen = fewest(some, supplies, float(ahead), OFFERS, usable=1000.0, most=4)
 
     def good(machines: tuple[Offer, ...]) -> bool:
-        more = [Supply(offer.boot, offer.cores) for offer in machines]
+        more = [Supply(offer.boot_s, offer.cores) for offer in machines]
         found = ends(some, [*supplies, *more], float(ahead))
         return all(end <= group.due or n in skip for n, (end, group) in enumerate(zip(found, some, strict=True)))
 
@@ -145,7 +145,7 @@
     # The last machine is no dearer than it must be.
     if chosen:
         rest = lacking - sum(offer.cores for offer in chosen[:-1])
-        assert chosen[-1].price == min(offer.price for offer in OFFERS if offer.cores >= rest)
+        assert chosen[-1].price_per_hour == min(offer.price_per_hour for offer in OFFERS if offer.cores >= rest)
 
 
 def test_dear_kinds_are_rented_only_where_no_others_are_left() -> None:
@@ -153,5 +153,5 @@
     some = [Group(due=30.0, work=160.0, longest=1.0, usable=99.0)]
     assert dear not in fewest(some, [], 0.0, [*OFFERS, dear], usable=99.0)
     assert set(fewest(some, [], 0.0, [dear], usable=99.0)) == {dear}
-    few = [Offer("s", "x", True, 2.0, 0.1, 5.0, most=2), dear]
+    few = [Offer("s", "x", True, 2.0, 0.1, 5.0, max_count=2), dear]
     assert [offer.cores for offer in refill(few, 20.0, 50)] == [2.0, 2.0, 8.0, 8.0]
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -52,11 +52,11 @@
             plain = {
                 machine.name
                 for machine in cluster.machines.values()
-                if machine.serves(now)
+                if machine.provides_capacity(now)
                 and allowed(request, machine.machine_type, machine.zone, machine.spot)
                 and request.cpus <= machine.cpus
                 and request.gpus <= machine.gpus
-                and request.ram <= machine.ram
+                and request.memory_gb <= machine.memory_gb
             }
             assert set(found) == plain and len(found) == len(plain)
             checked += 1
@@ -69,7 +69,7 @@
                 allocation
                 for name in names
                 for allocation in cluster.machines[name].allocations.values()
-                if not allocation.job.daemon
+                if not allocation.job.is_service
             ]
             assert cores == pytest.approx(sum(allocation.job.spec.cpus for allocation in held))
             plain = 0.0
@@ -118,6 +118,6 @@
         judged.clear()
         leader.fleet._judge()
         assert {silent.name, noticed.name, quarantined.name} <= {machine.name for machine in judged}
-        assert silent.quiet and not noticed.quiet
+        assert silent.heartbeat_overdue and not noticed.heartbeat_overdue
 
     day(script, machines=8, each=0)
--- a/src/elmthread/autoscaling/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_services.py
@@ -14,24 +14,26 @@
 def request(count: int, most: float = math.inf, **changes: object) -> TaskRequest:
     return TaskRequest(
         **{  # type: ignore[arg-type]
-            "job": "s",
+            "job_id": "s",
             "team": "t",
-            "order": (0.0,),
+            "sort_key": (0.0,),
             "count": count,
             "cpus": 2.0,
             "gpus": 0.0,
-            "ram": 2.0,
+            "memory_gb": 2.0,
             "spot": False,
             "urgent": True,
-            "zone_most": most,
+            "max_per_zone": most,
         }
         | changes
     )
 
 
 OFFERS = [
-    Offer("small", zone, spot, 4.0, 0.2 if spot else 0.5, 30.0, ram=8.0) for zone in "xyz" for spot in (True, False)
-] + [Offer("large", "x", False, 32.0, 4.0, 30.0, ram=64.0)]
+    Offer("small", zone, spot, 4.0, 0.2 if spot else 0.5, 30.0, memory_gb=8.0)
+    for zone in "xyz"
+    for spot in (True, False)
+] + [Offer("large", "x", False, 32.0, 4.0, 30.0, memory_gb=64.0)]
 
 
 def test_machines_are_of_the_kind_and_in_the_zones_that_replicas_need() -> None:
@@ -39,8 +41,8 @@
         rng = random.Random(seed)
         tasks = rng.randint(1, 9)
         most = rng.choice([math.inf, math.ceil(tasks / 2)])
-        wanted = request(tasks, most, zones={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {})
-        there = dict(wanted.zones)
+        wanted = request(tasks, most, tasks_by_zone={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {})
+        there = dict(wanted.tasks_by_zone)
         allowances = {"t": TeamAllowance(rng.choice([math.inf, 6.0]))}
         limit = min(tasks, int(allowances["t"].cpus / 2) if allowances["t"].cpus < math.inf else tasks)
         chosen = machines_for([wanted], OFFERS, allowances, 50)
@@ -48,7 +50,7 @@
         # They take all that limits let run, and none is there for nothing.
         assert tasks - wanted.count == limit
         assert sum(offer.cores for offer in chosen) - 2 * limit < 32 * len(chosen)
-        for zone, count in wanted.zones.items():
+        for zone, count in wanted.tasks_by_zone.items():
             assert count <= max(most, there.get(zone, 0))
 
 
@@ -68,7 +70,7 @@
         ]
         for counts in itertools.product(*each):
             by_zone = {z: sum(c for c, s in zip(counts, slots, strict=True) if s.zone == z) for z in "xy"}
-            if max(by_zone.values()) <= one.zone_most:
+            if max(by_zone.values()) <= one.max_per_zone:
                 best = max(best, min(sum(counts), one.count))
         assert one.count - sum(request.count for request in left) == best
 
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -34,33 +34,33 @@
     """A job and its tasks; what is not done, not held and open waits in `pending`."""
 
     __slots__ = (
-        "aim",
+        "target_deadline",
         "backoff",
-        "chunk",
-        "count_done",
-        "daemon",
+        "tasks_per_chunk",
+        "done_count",
+        "is_service",
         "deadline",
-        "done",
-        "errors",
-        "failed_at",
-        "held",
+        "done_bits",
+        "failed_machines",
+        "last_failure_at",
+        "allocation_counts",
         "id",
-        "latest",
-        "live",
-        "pending",
-        "rank",
+        "latest_deadline",
+        "allocations",
+        "pending_tasks",
+        "priority_rank",
         "retry_at",
-        "running",
-        "since",
+        "running_count",
+        "submitted_at",
         "spec",
         "state",
-        "stored",
-        "submitted",
-        "total",
-        "types",
+        "durable_state",
+        "submission_time",
+        "task_count",
+        "machine_types",
         "urgent",
-        "writing",
-        "zones",
+        "state_being_written",
+        "tasks_by_zone",
     )
 
     def __init__(
@@ -75,64 +75,66 @@
     ) -> None:
         self.id = spec.id
         # Its tasks are replicas: whatever one ends with, it is started again, and none is ever done.
-        self.daemon = spec.form == DAEMON
-        self.submitted = submitted
+        self.is_service = spec.form == DAEMON
+        self.submission_time = submitted
         self.spec = spec
-        self.total = spec.tasks
-        self.types = None if spec.types is None else frozenset(spec.types)
-        self.since = since
+        self.task_count = spec.tasks
+        self.machine_types = None if spec.types is None else frozenset(spec.types)
+        self.submitted_at = since
         self.deadline = deadline
         # Once its deadline can't be met, the job is to end within `slack` times that; `aim` is
         # the one of the two that it is ordered by now.
-        self.latest = deadline * slack
-        self.aim = deadline
+        self.latest_deadline = deadline * slack
+        self.target_deadline = deadline
         self.urgent = urgent
-        self.rank = RANKS[spec.priority]
-        self.chunk = chunk
+        self.priority_rank = RANKS[spec.priority]
+        self.tasks_per_chunk = chunk
         self.state = JobState.OPEN
         # The state as the store has it, None until the job is durable: only this may be told.
-        self.stored: JobState | None = None
+        self.durable_state: JobState | None = None
         # The state in the record that is on its way to the store.
-        self.writing = JobState.OPEN
-        self.done = bytearray((spec.tasks + 7) // 8)
-        self.count_done = 0
-        self.pending: deque[int] = deque(range(spec.tasks))
-        self.held: dict[int, int] = {}
-        self.live: dict[int, Allocation] = {}
+        self.state_being_written = JobState.OPEN
+        self.done_bits = bytearray((spec.tasks + 7) // 8)
+        self.done_count = 0
+        self.pending_tasks: deque[int] = deque(range(spec.tasks))
+        self.allocation_counts: dict[int, int] = {}
+        self.allocations: dict[int, Allocation] = {}
         # Tasks seen running, for display.
-        self.running = 0
-        self.zones: dict[str, int] = {}
+        self.running_count = 0
+        self.tasks_by_zone: dict[str, int] = {}
         # Machines on which it failed of late, and when it did last.
-        self.errors: set[str] = set()
-        self.failed_at = ZERO
+        self.failed_machines: set[str] = set()
+        self.last_failure_at = ZERO
         self.retry_at = ZERO
         self.backoff = ZERO
 
-    def move(self, new: JobState) -> None:
+    def transition_to(self, new: JobState) -> None:
         self.state = step(self.id, JOB_STEPS, self.state, new)
         if new is not JobState.OPEN:
-            self.pending.clear()
+            self.pending_tasks.clear()
         if new is JobState.DONE:
             # Its end is kept for ever, the marks are not.
-            self.done = bytearray()
+            self.done_bits = bytearray()
 
     def is_done(self, task: int) -> bool:
-        return self.state is JobState.DONE or bool(self.done[task >> 3] & (1 << (task & 7)))
+        return self.state is JobState.DONE or bool(self.done_bits[task >> 3] & (1 << (task & 7)))
 
-    def set_done(self, task: int) -> bool:
+    def mark_done(self, task: int) -> bool:
         """True if the task was not done before."""
-        if self.daemon or not 0 <= task < self.total or self.is_done(task):
+        if self.is_service or not 0 <= task < self.task_count or self.is_done(task):
             return False
-        self.done[task >> 3] |= 1 << (task & 7)
-        self.count_done += 1
+        self.done_bits[task >> 3] |= 1 << (task & 7)
+        self.done_count += 1
         return True
 
-    def refill(self) -> None:
+    def rebuild_pending_tasks(self) -> None:
         """Finds the waiting tasks anew, after loading."""
-        self.pending = deque(task for task in range(self.total) if task not in self.held and not self.is_done(task))
+        self.pending_tasks = deque(
+            task for task in range(self.task_count) if task not in self.allocation_counts and not self.is_done(task)
+        )
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         return self.state is JobState.OPEN
 
 
@@ -162,7 +164,7 @@
 
 
 class Allocation:
-    __slots__ = ("attempt", "job", "machine", "sent", "started_at", "state", "stop", "task")
+    __slots__ = ("attempt", "job", "machine", "start_sent", "started_at", "state", "stop_mode", "task")
 
     def __init__(self, job: Job, task: int, attempt: int, machine: "Machine", state: AllocationState) -> None:
         self.job = job
@@ -170,14 +172,14 @@
         self.attempt = attempt
         self.machine = machine
         self.state = state
-        self.stop: Stop | None = None
-        self.sent = False
+        self.stop_mode: Stop | None = None
+        self.start_sent = False
         self.started_at: timedelta | None = None
 
-    def move(self, new: AllocationState) -> None:
+    def transition_to(self, new: AllocationState) -> None:
         if new is self.state:
             return
-        self.job.running += (new is AllocationState.RUNNING) - (self.state is AllocationState.RUNNING)
+        self.job.running_count += (new is AllocationState.RUNNING) - (self.state is AllocationState.RUNNING)
         self.state = step(self.job.id, ALLOCATION_STEPS, self.state, new)
 
 
@@ -300,7 +302,7 @@
         # (job, task, attempt) that exited with done and may be forgotten once that is durable.
         self.uncommitted_completions: dict[int, tuple[str, int]] = {}
 
-    def move(self, new: MachineState) -> None:
+    def transition_to(self, new: MachineState) -> None:
         self.state = step(self.name, MACHINE_STEPS, self.state, new)
 
     @property
@@ -375,7 +377,7 @@
 
     def add_job(self, job: Job) -> None:
         self.jobs[job.id] = job
-        if job.open:
+        if job.is_open:
             self.open_jobs[job.id] = job
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
@@ -388,7 +390,7 @@
         self.deleted_machines[machine.name] = now
 
     def close_job(self, job: Job, state: JobState) -> None:
-        job.move(state)
+        job.transition_to(state)
         self.open_jobs.pop(job.id, None)
 
     def allocate(self, machine: Machine, job: Job, task: int, attempt: int, state: AllocationState) -> Allocation:
@@ -398,7 +400,7 @@
         machine.cpus_used += spec.cpus
         if job.urgent:
             machine.urgent_cpus += spec.cpus
-        if job.daemon:
+        if job.is_service:
             machine.service_cpus += spec.cpus
         if job.id not in machine.task_counts:
             machine.record_bytes += entry_size(job.id)
@@ -408,9 +410,9 @@
         machine.memory_gb_used += spec.ram_gb
         self.cpus_by_team[spec.team] = self.cpus_by_team.get(spec.team, 0.0) + spec.cpus
         self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + spec.gpus
-        job.held[task] = job.held.get(task, 0) + 1
-        job.live[attempt] = allocation
-        job.zones[machine.zone] = job.zones.get(machine.zone, 0) + 1
+        job.allocation_counts[task] = job.allocation_counts.get(task, 0) + 1
+        job.allocations[attempt] = allocation
+        job.tasks_by_zone[machine.zone] = job.tasks_by_zone.get(machine.zone, 0) + 1
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
@@ -420,7 +422,7 @@
         machine.cpus_used -= spec.cpus
         if job.urgent:
             machine.urgent_cpus -= spec.cpus
-        if job.daemon:
+        if job.is_service:
             machine.service_cpus -= spec.cpus
         machine.record_bytes -= task_size(allocation.task, allocation.attempt)
         machine.task_counts[job.id] -= 1
@@ -428,7 +430,7 @@
             del machine.task_counts[job.id]
             machine.record_bytes -= entry_size(job.id)
         if allocation.state is AllocationState.RUNNING:
-            job.running -= 1
+            job.running_count -= 1
         machine.gpus_used -= spec.gpus
         machine.memory_gb_used -= spec.ram_gb
         if not machine.allocations:
@@ -437,15 +439,15 @@
             machine.idle_since = now
         self.cpus_by_team[spec.team] -= spec.cpus
         self.gpus_by_team[spec.team] -= spec.gpus
-        del job.live[allocation.attempt]
-        job.zones[machine.zone] -= 1
-        if not job.zones[machine.zone]:
-            del job.zones[machine.zone]
-        job.held[allocation.task] -= 1
-        if not job.held[allocation.task]:
-            del job.held[allocation.task]
-            if job.open and not job.is_done(allocation.task):
-                job.pending.appendleft(allocation.task)
+        del job.allocations[allocation.attempt]
+        job.tasks_by_zone[machine.zone] -= 1
+        if not job.tasks_by_zone[machine.zone]:
+            del job.tasks_by_zone[machine.zone]
+        job.allocation_counts[allocation.task] -= 1
+        if not job.allocation_counts[allocation.task]:
+            del job.allocation_counts[allocation.task]
+            if job.is_open and not job.is_done(allocation.task):
+                job.pending_tasks.appendleft(allocation.task)
 
     def release_all(self, machine: Machine, now: timedelta) -> None:
         for allocation in list(machine.allocations.values()):
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -347,7 +347,7 @@
         if machine.state in (MachineState.DELETING, MachineState.GONE):
             return
         log.info("%s is deleted: %s", machine.name, why)
-        machine.move(MachineState.DELETING)
+        machine.transition_to(MachineState.DELETING)
 
     async def _delete(self, names: list[str]) -> None:
         try:
@@ -362,7 +362,7 @@
             machine = self._cluster.machines.get(name)
             if machine is None:
                 continue
-            machine.move(MachineState.GONE)
+            machine.transition_to(MachineState.GONE)
             self._cluster.remove_machine(machine, now)
             self._refused.pop(Kind(machine.machine_type, machine.zone, machine.spot), None)
             self._missing.pop(name, None)
--- a/src/elmthread/placement/decide.py
+++ b/src/elmthread/placement/decide.py
@@ -20,12 +20,12 @@
     spot: bool
     cpus: float
     gpus: float
-    ram: float
-    price: float = 0.0  # an hour and core
-    fetch_rate: float = 1.0
-    images: frozenset[str] | dict[str, float] = frozenset()
+    memory_gb: float
+    price_per_core: float = 0.0  # an hour and core
+    image_fetch_rate: float = 1.0
+    cached_images: frozenset[str] | dict[str, float] = frozenset()
     # Images that it fetches now, or will for tasks it has been given.
-    coming: set[str] = field(default_factory=set)
+    images_being_fetched: set[str] = field(default_factory=set)
     record_bytes_left: float = math.inf  # bytes that its record in the store may still take
     draining: bool = False
 
@@ -34,34 +34,34 @@
 class TaskRequest:
     """Tasks of one job that wait for room, all alike."""
 
-    job: str
+    job_id: str
     team: str
-    order: tuple[float, ...]
+    sort_key: tuple[float, ...]
     count: int
     cpus: float
     gpus: float
-    ram: float
+    memory_gb: float
     image: str = ""
     image_gb: float = 0.0
-    types: frozenset[str] | None = None
+    machine_types: frozenset[str] | None = None
     zone: str | None = None
     spot: bool = True
     one_zone: bool = False
     # Tasks of the job by zone, as far as they may be on machines now.
-    zones: dict[str, int] = field(default_factory=dict)
-    zone_most: float = math.inf  # for a spread job: most tasks in one zone
+    tasks_by_zone: dict[str, int] = field(default_factory=dict)
+    max_per_zone: float = math.inf  # for a spread job: most tasks in one zone
     # Machines on which the job has failed: not tried again there.
-    avoid: Collection[str] = frozenset()
+    excluded_machines: Collection[str] = frozenset()
     urgent: bool = False
-    rank: int = 0
+    priority_rank: int = 0
     # Bytes that its tasks take in a machine's record: once for the job, and for each task.
-    entry: int = 0
-    each: int = 0
+    record_bytes_per_job: int = 0
+    record_bytes_per_task: int = 0
     # Replicas that one machine is given as long as others have room: what takes the machine
     # should not take all of a service.
-    machine_most: float = math.inf
+    preferred_max_per_machine: float = math.inf
     # Tasks of the job by machine, as far as they may be there now; kept only with such a bound.
-    machines: dict[str, int] = field(default_factory=dict)
+    tasks_by_machine: dict[str, int] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
@@ -78,10 +78,10 @@
 def allowed(request: TaskRequest, machine_type: str, zone: str, spot: bool) -> bool:
     """The job's own word on types, zones and spot machines."""
     return (
-        (request.types is None or machine_type in request.types)
+        (request.machine_types is None or machine_type in request.machine_types)
         and (request.zone is None or zone == request.zone)
         and (request.spot or not spot)
-        and not (request.one_zone and request.zones and zone not in request.zones)
+        and not (request.one_zone and request.tasks_by_zone and zone not in request.tasks_by_zone)
     )
 
 
@@ -90,22 +90,25 @@
 
     `apart`: no more of them on one machine than are to stand there if others have room.
     """
-    if slot.name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
+    if slot.name in request.excluded_machines or not allowed(request, slot.machine_type, slot.zone, slot.spot):
         return 0
     count = request.count
-    if request.each > 0 and slot.record_bytes_left < request.entry + count * request.each:
-        count = int((slot.record_bytes_left - request.entry) // request.each)
-    if apart and request.machine_most < math.inf:
-        count = min(count, int(request.machine_most) - request.machines.get(slot.name, 0))
+    if (
+        request.record_bytes_per_task > 0
+        and slot.record_bytes_left < request.record_bytes_per_job + count * request.record_bytes_per_task
+    ):
+        count = int((slot.record_bytes_left - request.record_bytes_per_job) // request.record_bytes_per_task)
+    if apart and request.preferred_max_per_machine < math.inf:
+        count = min(count, int(request.preferred_max_per_machine) - request.tasks_by_machine.get(slot.name, 0))
     cpus = min(slot.cpus, allowance.cpus)
     if request.cpus > 0:
         count = min(count, int(cpus / request.cpus + TINY))
     if request.gpus > 0:
         count = min(count, int(min(slot.gpus, allowance.gpus) / request.gpus + TINY))
-    if request.ram > 0:
-        count = min(count, int(slot.ram / request.ram + TINY))
-    if request.zone_most < math.inf:
-        count = min(count, int(request.zone_most) - request.zones.get(slot.zone, 0))
+    if request.memory_gb > 0:
+        count = min(count, int(slot.memory_gb / request.memory_gb + TINY))
+    if request.max_per_zone < math.inf:
+        count = min(count, int(request.max_per_zone) - request.tasks_by_zone.get(slot.zone, 0))
     return max(0, count)
 
 
@@ -123,11 +126,11 @@
 
 
 def way_to_image(request: TaskRequest, slot: FreeCapacity) -> Fetch:
-    if request.image in slot.images:
+    if request.image in slot.cached_images:
         return Fetch.THERE
-    if request.image in slot.coming:
+    if request.image in slot.images_being_fetched:
         return Fetch.COMING
-    return Fetch.SHARED if slot.coming else Fetch.ALONE
+    return Fetch.SHARED if slot.images_being_fetched else Fetch.ALONE
 
 
 def price_penalty(request: TaskRequest, price: float, cheapest: float) -> float:
@@ -170,11 +173,11 @@
     by_kind: dict[tuple[bool, str, bool, float, float], list[FreeCapacity]] = {}
     cheapest = math.inf
     for slot in slots:
-        cheapest = min(cheapest, slot.price)
+        cheapest = min(cheapest, slot.price_per_core)
         if slot.cpus > TINY:
-            by_kind.setdefault((slot.draining, slot.machine_type, slot.spot, slot.price, slot.fetch_rate), []).append(
-                slot
-            )
+            by_kind.setdefault(
+                (slot.draining, slot.machine_type, slot.spot, slot.price_per_core, slot.image_fetch_rate), []
+            ).append(slot)
     groups = [_MachineGroup(some) for some in by_kind.values()]
     for request in requests:
         allowance = allowances.setdefault(request.team, TeamAllowance())
@@ -184,7 +187,7 @@
             if request.urgent:
                 keep_for(allowance)
             continue
-        if request.machine_most < math.inf:
+        if request.preferred_max_per_machine < math.inf:
             _give(request, groups, cheapest, allowance, True, placed)
         if request.count > 0 and allowance.cpus + TINY >= request.cpus:
             _give(request, groups, cheapest, allowance, False, placed)
@@ -207,11 +210,13 @@
         if not group.in_order():
             continue
         one = group.slots[0]
-        if (request.types is not None and one.machine_type not in request.types) or (one.spot and not request.spot):
+        if (request.machine_types is not None and one.machine_type not in request.machine_types) or (
+            one.spot and not request.spot
+        ):
             continue
         if group.slots[-1].cpus + TINY < request.cpus:
             continue
-        time, dear = request.image_gb / one.fetch_rate, price_penalty(request, one.price, cheapest)
+        time, dear = request.image_gb / one.image_fetch_rate, price_penalty(request, one.price_per_core, cheapest)
         ranks += [(one.draining, FETCH_COST[way] * time + dear, number, way) for way in Fetch]
     ranks.sort()
     ways: dict[int, dict[Fetch, list[FreeCapacity]]] = {}
@@ -239,15 +244,15 @@
 
 def take(request: TaskRequest, slot: FreeCapacity, allowance: TeamAllowance, count: int) -> None:
     request.count -= count
-    request.zones[slot.zone] = request.zones.get(slot.zone, 0) + count
+    request.tasks_by_zone[slot.zone] = request.tasks_by_zone.get(slot.zone, 0) + count
     slot.cpus -= count * request.cpus
     slot.gpus -= count * request.gpus
-    slot.ram -= count * request.ram
-    slot.record_bytes_left -= request.entry + count * request.each
-    if request.machine_most < math.inf:
-        request.machines[slot.name] = request.machines.get(slot.name, 0) + count
-    if request.image not in slot.images:
-        slot.coming.add(request.image)
+    slot.memory_gb -= count * request.memory_gb
+    slot.record_bytes_left -= request.record_bytes_per_job + count * request.record_bytes_per_task
+    if request.preferred_max_per_machine < math.inf:
+        request.tasks_by_machine[slot.name] = request.tasks_by_machine.get(slot.name, 0) + count
+    if request.image not in slot.cached_images:
+        slot.images_being_fetched.add(request.image)
     allowance.cpus -= count * request.cpus
     allowance.gpus -= count * request.gpus
 
@@ -261,9 +266,9 @@
     team: str
     cpus: float
     gpus: float
-    ram: float
+    memory_gb: float
     loss: timedelta = ZERO
-    rank: int = 9
+    priority_rank: int = 9
 
 
 def preempt(
@@ -285,13 +290,16 @@
         if slot is not None:
             slot.cpus += candidate.cpus
             slot.gpus += candidate.gpus
-            slot.ram += candidate.ram
+            slot.memory_gb += candidate.memory_gb
         chosen.append(candidate)
 
     # A team at its limit makes room for its urgent work itself, wherever its tasks run.
     if allowance.cpus + TINY < request.count * request.cpus:
         own = [
-            one for held in candidates.values() for one in held if one.team == request.team and one.rank > request.rank
+            one
+            for held in candidates.values()
+            for one in held
+            if one.team == request.team and one.priority_rank > request.priority_rank
         ]
         own.sort(key=lambda candidate: candidate.loss)
         for candidate in own:
@@ -309,7 +317,11 @@
 
     def offer(order: int, name: str) -> None:
         slot = slots.get(name)
-        if slot is None or name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
+        if (
+            slot is None
+            or name in request.excluded_machines
+            or not allowed(request, slot.machine_type, slot.zone, slot.spot)
+        ):
             return
         some = enough(request, slot, candidates[name])
         if some is not None:
@@ -323,7 +335,7 @@
         slot = slots[name]
         if not allowed(request, slot.machine_type, slot.zone, slot.spot):
             continue
-        if request.zones.get(slot.zone, 0) >= request.zone_most:
+        if request.tasks_by_zone.get(slot.zone, 0) >= request.max_per_zone:
             continue
         some = enough(request, slot, candidates[name])
         if some is None:
@@ -339,15 +351,17 @@
     request: TaskRequest, slot: FreeCapacity, held: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
     """The cheapest candidates on one machine whose room, with what is free, takes one task."""
-    cpus, gpus, ram = slot.cpus, slot.gpus, slot.ram
+    cpus, gpus, ram = slot.cpus, slot.gpus, slot.memory_gb
     some: list[PreemptionCandidate] = []
-    for candidate in sorted((one for one in held if one.rank > request.rank), key=lambda candidate: candidate.loss):
-        if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.ram:
+    for candidate in sorted(
+        (one for one in held if one.priority_rank > request.priority_rank), key=lambda candidate: candidate.loss
+    ):
+        if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.memory_gb:
             break
         some.append(candidate)
         cpus += candidate.cpus
         gpus += candidate.gpus
-        ram += candidate.ram
-    if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.ram:
+        ram += candidate.memory_gb
+    if cpus + TINY >= request.cpus and gpus + TINY >= request.gpus and ram + TINY >= request.memory_gb:
         return some
     return None
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -103,9 +103,9 @@
         left = MOST_PLACED
         for request, slot, count in place(requests, slots.values(), allowances):
             machine = self._cluster.machines[slot.name]
-            job = self._cluster.jobs[request.job]
+            job = self._cluster.jobs[request.job_id]
             for _ in range(min(count, left)):
-                task = job.pending.popleft()
+                task = job.pending_tasks.popleft()
                 self._cluster.allocate(machine, job, task, self._next_attempt(), AllocationState.PLANNED)
                 touched[machine.name] = machine
             left -= count
@@ -141,17 +141,17 @@
         requests: list[TaskRequest] = []
         put_off: list[tuple[timedelta, TaskRequest]] = []
         for job in self._cluster.open_jobs.values():
-            count = len(job.pending)
-            if not count or job.stored is not JobState.OPEN or job.retry_at > now:
+            count = len(job.pending_tasks)
+            if not count or job.durable_state is not JobState.OPEN or job.retry_at > now:
                 continue
             self._forgive(job, now)
-            due = (job.since + job.aim - now).total_seconds()
+            due = (job.submitted_at + job.target_deadline - now).total_seconds()
             first = _unbegun(job, now)
             # Urgent work by rank and deadline; then work within a guarantee; then by deadline,
             # jobs that would only make others late behind them.
             order: tuple[float, float, float]
             if job.urgent:
-                order = (0.0, job.rank, due)
+                order = (0.0, job.priority_rank, due)
             elif job.id in self._guaranteed:
                 order = (1.0, 0.0, due)
             elif job.id in self._last:
@@ -160,14 +160,14 @@
                 order = (1.0, 1.0, due)
             request = self._want(job, order, count)
             requests.append(request)
-            if first and not job.live:
+            if first and not job.allocations:
                 # Nobody is left out: whatever the load, something of every job begins.
-                requests.append(_split(request, 1, (-1.0, job.rank, due)))
-            if order[1] == 2.0 and not job.urgent and now - job.since > BEGIN:
-                put_off.append((job.since, request))
+                requests.append(_split(request, 1, (-1.0, job.priority_rank, due)))
+            if order[1] == 2.0 and not job.urgent and now - job.submitted_at > BEGIN:
+                put_off.append((job.submitted_at, request))
         if put_off:
             requests += self._part(put_off)
-        requests.sort(key=lambda request: request.order)
+        requests.sort(key=lambda request: request.sort_key)
         return requests
 
     def _part(self, put_off: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
@@ -175,22 +175,22 @@
         turns = []
         cores = PART * sum(machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable)
         for _, request in sorted(put_off, key=lambda one: one[0]):
-            cores -= len(self._cluster.jobs[request.job].live) * request.cpus
+            cores -= len(self._cluster.jobs[request.job_id].allocations) * request.cpus
             count = min(request.count, int(cores / request.cpus))
             if count > 0:
                 cores -= count * request.cpus
-                turns.append(_split(request, count, (1.0, 1.0, request.order[2])))
+                turns.append(_split(request, count, (1.0, 1.0, request.sort_key[2])))
         return turns
 
     def _fit_guarantees(self) -> set[str]:
         """Jobs that fit their team's guarantee together with the team's earlier unfinished ones."""
         used: dict[str, float] = {}
         inside: set[str] = set()
-        for job in sorted(self._cluster.open_jobs.values(), key=lambda job: job.since):
+        for job in sorted(self._cluster.open_jobs.values(), key=lambda job: job.submitted_at):
             team = self._teams.get(job.spec.team)
             if team is None or not team.cpus:
                 continue
-            total = used.get(team.name, 0.0) + job.spec.cpus * (job.total - job.count_done)
+            total = used.get(team.name, 0.0) + job.spec.cpus * (job.task_count - job.done_count)
             used[team.name] = total
             if total <= team.cpus:
                 inside.add(job.id)
@@ -211,19 +211,19 @@
             team = self._teams.get(job.spec.team)
             if team is None:
                 continue
-            if job.daemon:
-                standing[team.name] = standing.get(team.name, 0.0) + job.total * job.spec.cpus
+            if job.is_service:
+                standing[team.name] = standing.get(team.name, 0.0) + job.task_count * job.spec.cpus
                 continue
             each = self._expected(job).total_seconds()
             # Of what runs, about half is still to do.
-            work = (len(job.pending) + len(job.live) / 2) * job.spec.cpus * each
-            own = max(each, work / team.cpu_quota) if job.pending else 0.0
-            if (job.since + job.deadline - now).total_seconds() < own:
-                job.aim = job.latest
+            work = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * each
+            own = max(each, work / team.cpu_quota) if job.pending_tasks else 0.0
+            if (job.submitted_at + job.deadline - now).total_seconds() < own:
+                job.target_deadline = job.latest_deadline
             if job.urgent:
                 urgent[team.name] = urgent.get(team.name, 0.0) + work
                 continue
-            due = (job.since + job.aim - now).total_seconds()
+            due = (job.submitted_at + job.target_deadline - now).total_seconds()
             lines.setdefault(team.name, []).append(Line(job.id, due, work, own))
         last: set[str] = set()
         for name, line in lines.items():
@@ -233,35 +233,37 @@
         cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.provides_capacity(now))
         cores -= sum(standing.values())
         if cores > 0:
-            rest = [one for line in lines.values() for one in line if one.job not in last]
+            rest = [one for line in lines.values() for one in line if one.job_id not in last]
             last |= jobs_to_put_off(rest, cores, sum(urgent.values()))
         return last
 
     def _want(self, job: Job, order: tuple[float, ...], count: int) -> TaskRequest:
         spec = job.spec
         return TaskRequest(
-            job=job.id,
+            job_id=job.id,
             team=spec.team,
-            order=order,
+            sort_key=order,
             count=count,
             cpus=spec.cpus,
             gpus=spec.gpus,
-            ram=spec.ram_gb,
+            memory_gb=spec.ram_gb,
             image=spec.image,
             image_gb=spec.image_gb,
-            types=job.types,
+            machine_types=job.machine_types,
             zone=spec.zone,
             spot=spec.spot,
             one_zone=spec.one_zone,
-            zones=dict(job.zones) if spec.one_zone or spec.spread else {},
-            zone_most=math.ceil(job.total / 2) if spec.spread else math.inf,
-            avoid=job.errors,
+            tasks_by_zone=dict(job.tasks_by_zone) if spec.one_zone or spec.spread else {},
+            max_per_zone=math.ceil(job.task_count / 2) if spec.spread else math.inf,
+            excluded_machines=job.failed_machines,
             urgent=job.urgent,
-            rank=job.rank,
-            entry=entry_size(job.id),
-            each=task_size(job.total, self._attempts() + MOST_PLACED),
-            machine_most=math.ceil(job.total / APART) if job.daemon else math.inf,
-            machines=Counter(allocation.machine.name for allocation in job.live.values()) if job.daemon else {},
+            priority_rank=job.priority_rank,
+            record_bytes_per_job=entry_size(job.id),
+            record_bytes_per_task=task_size(job.task_count, self._attempts() + MOST_PLACED),
+            preferred_max_per_machine=math.ceil(job.task_count / APART) if job.is_service else math.inf,
+            tasks_by_machine=Counter(allocation.machine.name for allocation in job.allocations.values())
+            if job.is_service
+            else {},
         )
 
     def _make_room(self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance], now: timedelta) -> None:
@@ -277,17 +279,17 @@
             held = candidates[name] = []
             for allocation in machine.allocations.values():
                 spec = allocation.job.spec
-                if allocation.stop is not None:
+                if allocation.stop_mode is not None:
                     # Already on its way out: its room is not asked for twice.
                     slot.cpus += spec.cpus
                     slot.gpus += spec.gpus
-                    slot.ram += spec.ram_gb
+                    slot.memory_gb += spec.ram_gb
                     allowances[spec.team].cpus += spec.cpus
                     allowances[spec.team].gpus += spec.gpus
                 elif (
                     not allocation.job.urgent
                     and allocation.state is not AllocationState.SAVING
-                    and not (len(allocation.job.live) == 1 and _unbegun(allocation.job, now))
+                    and not (len(allocation.job.allocations) == 1 and _unbegun(allocation.job, now))
                 ):
                     held.append(
                         PreemptionCandidate(
@@ -298,7 +300,7 @@
                             spec.gpus,
                             spec.ram_gb,
                             self._loss(allocation, now),
-                            allocation.job.rank,
+                            allocation.job.priority_rank,
                         )
                     )
         place(requests, slots.values(), allowances)
@@ -307,8 +309,8 @@
                 continue
             for candidate in preempt(request, slots, candidates, allowances[request.team]):
                 allocation = self._cluster.machines[candidate.machine].allocations[candidate.attempt]
-                log.debug("%s/%s gives way to %s", allocation.job.id, allocation.task, request.job)
-                allocation.stop = Stop.SAVE
+                log.debug("%s/%s gives way to %s", allocation.job.id, allocation.task, request.job_id)
+                allocation.stop_mode = Stop.SAVE
 
     def _loss(self, allocation: Allocation, now: timedelta) -> timedelta:
         if allocation.started_at is None:
@@ -324,11 +326,11 @@
                 continue
             left = machine.interruption_at - now
             for allocation in machine.allocations.values():
-                if allocation.stop is not None or self._ends_within(allocation, left, now):
+                if allocation.stop_mode is not None or self._ends_within(allocation, left, now):
                     continue
-                if allocation.job.daemon and not self._should_move(allocation, left):
+                if allocation.job.is_service and not self._should_move(allocation, left):
                     continue
-                allocation.stop = Stop.SAVE
+                allocation.stop_mode = Stop.SAVE
 
     def _should_move(self, allocation: Allocation, left: timedelta) -> bool:
         """A replica is moved as soon as another machine has room for it; until then it serves on."""
@@ -341,8 +343,8 @@
         """Another machine has room for the task, once it is off this one."""
         request = self.request_of(allocation.job)
         zone = allocation.machine.zone
-        if zone in request.zones:
-            request.zones[zone] -= 1
+        if zone in request.tasks_by_zone:
+            request.tasks_by_zone[zone] -= 1
         return any(
             fits(request, _slot(machine, self._cluster), TeamAllowance())
             for machine in self._cluster.up_machines()
@@ -357,20 +359,20 @@
         return self._want(job, (), 1)
 
     def _ends_within(self, allocation: Allocation, left: timedelta, now: timedelta) -> bool:
-        if allocation.started_at is None or allocation.job.daemon:
+        if allocation.started_at is None or allocation.job.is_service:
             return False
         return self._expected(allocation.job) - (now - allocation.started_at) < left
 
 
 def _unbegun(job: Job, now: timedelta) -> bool:
     """A job that has waited for long and of which no task is done: its first one is not put off."""
-    return not job.count_done and now - job.since > BEGIN
+    return not job.done_count and now - job.submitted_at > BEGIN
 
 
 def _split(request: TaskRequest, count: int, order: tuple[float, ...]) -> TaskRequest:
     """Moves `count` of the tasks to another place in the order; the zones stay shared."""
     request.count -= count
-    return replace(request, order=order, count=count)
+    return replace(request, sort_key=order, count=count)
 
 
 # An allocation in one of these states has its image fetched still.
@@ -385,11 +387,11 @@
         spot=machine.spot,
         cpus=machine.free_cpus,
         gpus=machine.gpus - machine.gpus_used,
-        ram=machine.memory_gb - machine.memory_gb_used,
-        price=machine.price_per_core,
-        fetch_rate=machine.image_fetch_rate,
-        images=machine.cached_images,
-        coming={
+        memory_gb=machine.memory_gb - machine.memory_gb_used,
+        price_per_core=machine.price_per_core,
+        image_fetch_rate=machine.image_fetch_rate,
+        cached_images=machine.cached_images,
+        images_being_fetched={
             allocation.job.spec.image
             for allocation in machine.allocations.values()
             if allocation.state in _COMING and allocation.job.spec.image not in machine.cached_images
@@ -408,10 +410,10 @@
         who = "one task needs" if job.count == 1 else "its replicas together need"
         return f"{who} more than the team's limit"
     for name, cpus, gpus, ram, zones in types:
-        if job.types is not None and name not in job.types:
+        if job.machine_types is not None and name not in job.machine_types:
             continue
         if job.zone is not None and job.zone not in zones:
             continue
-        if job.cpus <= cpus and job.gpus <= gpus and job.ram <= ram:
+        if job.cpus <= cpus and job.gpus <= gpus and job.memory_gb <= ram:
             return None
     return "a task fits no allowed machine type"
--- a/src/elmthread/placement/tests/plain.py
+++ b/src/elmthread/placement/tests/plain.py
@@ -23,8 +23,8 @@
     """Small is better: machines that are to empty come last; then the time to fetch the
     image and the price; full machines first.
     """
-    fetch = FETCH_COST[way_to_image(request, slot)] * request.image_gb / slot.fetch_rate
-    return (slot.draining, fetch + price_penalty(request, slot.price, cheapest), slot.cpus, slot.name)
+    fetch = FETCH_COST[way_to_image(request, slot)] * request.image_gb / slot.image_fetch_rate
+    return (slot.draining, fetch + price_penalty(request, slot.price_per_core, cheapest), slot.cpus, slot.name)
 
 
 def place(
@@ -32,7 +32,7 @@
 ) -> list[tuple[TaskRequest, FreeCapacity, int]]:
     """Gives tasks to machines in the order of `requests`; slots, allowances and requests are used up."""
     placed: list[tuple[TaskRequest, FreeCapacity, int]] = []
-    cheapest = min((slot.price for slot in slots), default=0.0)
+    cheapest = min((slot.price_per_core for slot in slots), default=0.0)
     open_slots = [slot for slot in slots if slot.cpus > TINY]
     for request in requests:
         allowance = allowances.setdefault(request.team, TeamAllowance())
@@ -86,7 +86,7 @@
         if slot is not None:
             slot.cpus += candidate.cpus
             slot.gpus += candidate.gpus
-            slot.ram += candidate.ram
+            slot.memory_gb += candidate.memory_gb
         chosen.append(candidate)
     if chosen:
         place([request], list(slots.values()), {request.team: allowance})
@@ -94,9 +94,13 @@
         best: tuple[float, list[PreemptionCandidate], FreeCapacity] | None = None
         for name, held in by_machine.items():
             slot = slots.get(name)
-            if slot is None or name in request.avoid or not allowed(request, slot.machine_type, slot.zone, slot.spot):
+            if (
+                slot is None
+                or name in request.excluded_machines
+                or not allowed(request, slot.machine_type, slot.zone, slot.spot)
+            ):
                 continue
-            if request.zone_most < math.inf and request.zones.get(slot.zone, 0) >= request.zone_most:
+            if request.max_per_zone < math.inf and request.tasks_by_zone.get(slot.zone, 0) >= request.max_per_zone:
                 continue
             some = enough(request, slot, held)
             if some is None:
@@ -111,7 +115,7 @@
             by_machine[slot.name].remove(candidate)
             slot.cpus += candidate.cpus
             slot.gpus += candidate.gpus
-            slot.ram += candidate.ram
+            slot.memory_gb += candidate.memory_gb
         chosen += some
         take(request, slot, allowance, 1)
     return chosen
--- a/src/elmthread/placement/tests/test_decide.py
+++ b/src/elmthread/placement/tests/test_decide.py
@@ -30,7 +30,7 @@
         spot=st.booleans(),
         cpus=st.integers(0, 8).map(float),
         gpus=st.just(0.0),
-        ram=st.integers(1, 8).map(float),
+        memory_gb=st.integers(1, 8).map(float),
     ),
     max_size=5,
     unique_by=lambda slot: slot.name,
@@ -38,23 +38,23 @@
 requests = st.lists(
     st.builds(
         TaskRequest,
-        job=st.sampled_from(["j1", "j2", "j3", "j4"]),
+        job_id=st.sampled_from(["j1", "j2", "j3", "j4"]),
         team=st.sampled_from(["t1", "t2"]),
-        order=st.tuples(st.integers(0, 3).map(float)),
+        sort_key=st.tuples(st.integers(0, 3).map(float)),
         count=st.integers(1, 6),
         cpus=st.sampled_from([1.0, 1.5, 2.0]),
         gpus=st.just(0.0),
-        ram=st.sampled_from([0.5, 1.0]),
-        types=st.none() | st.just(frozenset({"l"})),
+        memory_gb=st.sampled_from([0.5, 1.0]),
+        machine_types=st.none() | st.just(frozenset({"l"})),
         zone=st.none() | st.just("x"),
         spot=st.booleans(),
         one_zone=st.booleans(),
-        zones=st.just({}).map(dict),
-        zone_most=st.sampled_from([math.inf, 2.0]),
+        tasks_by_zone=st.just({}).map(dict),
+        max_per_zone=st.sampled_from([math.inf, 2.0]),
         urgent=st.booleans(),
     ),
     max_size=4,
-    unique_by=lambda request: request.job,
+    unique_by=lambda request: request.job_id,
 )
 
 
@@ -63,9 +63,9 @@
 def test_placement_keeps_every_bound_and_leaves_no_room_unused(
     machines: list[FreeCapacity], jobs: list[TaskRequest], limit: int
 ) -> None:
-    jobs.sort(key=lambda request: request.order)
-    before = {slot.name: (slot.cpus, slot.ram) for slot in machines}
-    counts = {request.job: request.count for request in jobs}
+    jobs.sort(key=lambda request: request.sort_key)
+    before = {slot.name: (slot.cpus, slot.memory_gb) for slot in machines}
+    counts = {request.job_id: request.count for request in jobs}
     allowances = {"t1": TeamAllowance(float(limit)), "t2": TeamAllowance()}
     placed = place(jobs, machines, allowances)
     used: dict[str, float] = {}
@@ -75,19 +75,21 @@
         assert count > 0
         used[slot.name] = used.get(slot.name, 0.0) + count * request.cpus
         team += count * request.cpus if request.team == "t1" else 0.0
-        where.setdefault(request.job, []).extend([slot.zone] * count)
-        assert (request.types is None or slot.machine_type in request.types) and (request.zone in (None, slot.zone))
+        where.setdefault(request.job_id, []).extend([slot.zone] * count)
+        assert (request.machine_types is None or slot.machine_type in request.machine_types) and (
+            request.zone in (None, slot.zone)
+        )
         assert request.spot or not slot.spot
     assert team <= limit
     for name, cpus in used.items():
         assert cpus <= before[name][0]
     for request in jobs:
-        zones = where.get(request.job, [])
-        assert len(zones) <= counts[request.job]
+        zones = where.get(request.job_id, [])
+        assert len(zones) <= counts[request.job_id]
         if request.one_zone:
             assert len(set(zones)) <= 1
-        if request.zone_most < math.inf:
-            assert all(zones.count(zone) <= request.zone_most for zone in zones)
+        if request.max_per_zone < math.inf:
+            assert all(zones.count(zone) <= request.max_per_zone for zone in zones)
     # Nothing that waits could still be put anywhere, unless room is kept for urgent work.
     kept = any(request.urgent and request.count for request in jobs)
     for request in jobs:
@@ -95,28 +97,30 @@
             for slot in machines:
                 fits = (
                     slot.cpus >= request.cpus
-                    and slot.ram >= request.ram
+                    and slot.memory_gb >= request.memory_gb
                     and allowances[request.team].cpus >= request.cpus
                     and allowed(request, slot.machine_type, slot.zone, slot.spot)
-                    and request.zones.get(slot.zone, 0) < request.zone_most
+                    and request.tasks_by_zone.get(slot.zone, 0) < request.max_per_zone
                 )
                 assert not fits
 
 
 def request(job: str, count: int, cpus: float, team: str = "t", urgent: bool = False) -> TaskRequest:
-    return TaskRequest(job=job, team=team, order=(0.0,), count=count, cpus=cpus, gpus=0.0, ram=0.1, urgent=urgent)
+    return TaskRequest(
+        job_id=job, team=team, sort_key=(0.0,), count=count, cpus=cpus, gpus=0.0, memory_gb=0.1, urgent=urgent
+    )
 
 
 def test_room_under_a_limit_gathers_for_urgent_work() -> None:
     """One core at a time came free and went to one-core tasks, so the two-core urgent one starved."""
-    slot = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, ram=8.0)
+    slot = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)
     allowances = {"t": TeamAllowance(1.0)}
     urgent, other = request("u", 1, 2.0, urgent=True), request("o", 5, 1.0)
     assert place([urgent, other], [slot], allowances) == []
 
 
 def test_team_at_its_limit_makes_room_itself() -> None:
-    slots = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, ram=8.0)}
+    slots = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)}
     candidates = [PreemptionCandidate(n, "m", team, 1.0, 0.0, 0.1) for n, team in enumerate(["t", "v", "t", "t"])]
     chosen = preempt(request("u", 1, 2.0, urgent=True), slots, {"m": candidates}, TeamAllowance(0.0))
     assert [candidate.team for candidate in chosen] == ["t", "t"]
@@ -129,7 +133,7 @@
         PreemptionCandidate(n, "m", "other", float(cpus), 0.0, 0.0, timedelta(seconds=loss))
         for n, (cpus, loss) in enumerate(held)
     ]
-    slot = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, ram=9.0)
+    slot = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, memory_gb=9.0)
     chosen = preempt(request("u", 1, float(need)), {"m": slot}, {"m": list(candidates)}, TeamAllowance())
     if free + sum(cpus for cpus, _ in held) < need or free >= need:
         assert chosen == []
@@ -157,11 +161,11 @@
                 spot=spot,
                 cpus=float(rng.randint(0, int(cores))),
                 gpus=0.0,
-                ram=cores * 2,
-                price=price if spot else price * 2.5,
-                fetch_rate=rate,
-                images={f"i{n}": 1.0 for n in range(6) if rng.random() < 0.2},
-                coming={f"i{n}" for n in range(6, 8) if rng.random() < 0.2},
+                memory_gb=cores * 2,
+                price_per_core=price if spot else price * 2.5,
+                image_fetch_rate=rate,
+                cached_images={f"i{n}": 1.0 for n in range(6) if rng.random() < 0.2},
+                images_being_fetched={f"i{n}" for n in range(6, 8) if rng.random() < 0.2},
                 record_bytes_left=rng.choice([math.inf, 60]),
                 draining=rng.random() < 0.1,
             )
@@ -171,35 +175,35 @@
         urgent = rng.random() < 0.5
         requests.append(
             TaskRequest(
-                job=f"j{number}",
+                job_id=f"j{number}",
                 team=rng.choice(["t1", "t2", "t3"]),
-                order=(0.0 if urgent else 1.0, float(number)),
+                sort_key=(0.0 if urgent else 1.0, float(number)),
                 count=rng.randint(1, 60),
                 cpus=rng.choice([1.0, 2.0, 3.0]),
                 gpus=0.0,
-                ram=rng.choice([1.0, 3.0]),
+                memory_gb=rng.choice([1.0, 3.0]),
                 image=f"i{rng.randint(0, 7)}",
                 image_gb=rng.uniform(0.5, 3.0),
-                types=rng.choice([None, None, frozenset({"m", "l"})]),
+                machine_types=rng.choice([None, None, frozenset({"m", "l"})]),
                 spot=rng.random() < 0.9,
                 one_zone=rng.random() < 0.1,
-                zone_most=rng.choice([math.inf, math.inf, 9.0]),
-                avoid={f"m-{rng.randrange(machines)}" for _ in range(3)},
+                max_per_zone=rng.choice([math.inf, math.inf, 9.0]),
+                excluded_machines={f"m-{rng.randrange(machines)}" for _ in range(3)},
                 urgent=urgent,
-                entry=18,
-                each=14,
-                machine_most=rng.choice([math.inf, math.inf, 2]),
-                machines={"m-1": 1},
+                record_bytes_per_job=18,
+                record_bytes_per_task=14,
+                preferred_max_per_machine=rng.choice([math.inf, math.inf, 2]),
+                tasks_by_machine={"m-1": 1},
             )
         )
-    requests.sort(key=lambda request: request.order)
+    requests.sort(key=lambda request: request.sort_key)
     return requests, slots, {"t1": TeamAllowance(300.0), "t2": TeamAllowance(90.0), "t3": TeamAllowance()}
 
 
 def test_shelves_place_as_the_plain_way_does() -> None:
     for seed in range(60):
         one, other = crowd(random.Random(seed), 80, 30), crowd(random.Random(seed), 80, 30)
-        cheapest = min(slot.price for slot in one[1])
+        cheapest = min(slot.price_per_core for slot in one[1])
         start = {slot.name: copy.deepcopy(slot) for slot in one[1]}
         found, expected = place(*one), plain.place(*other)
 
@@ -208,7 +212,7 @@
             for request, slot, count in placed:
                 # Machines equally good but for their zone may come in any order.
                 kind = plain.preference(request, start[slot.name], cheapest)[:2]  # noqa: B023
-                kept.setdefault(request.job, []).extend([kind] * count)
+                kept.setdefault(request.job_id, []).extend([kind] * count)
             return {job: sorted(kinds) for job, kinds in kept.items()}
 
         assert [request.count for request in one[0]] == [request.count for request in other[0]]
@@ -262,8 +266,8 @@
     """A service of a low priority is urgent, but takes no room from what is as important."""
     for rank, others in ((0, [1, 2, 3]), (2, [3]), (3, [])):
         held = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
-        slot = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, ram=9.0)
+        slot = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, memory_gb=9.0)
         need = request("u", 3, 2.0, urgent=True)
-        need.rank = rank
+        need.priority_rank = rank
         chosen = preempt(need, {"m": slot}, {"m": held}, TeamAllowance())
-        assert sorted(candidate.rank for candidate in chosen) == others
+        assert sorted(candidate.priority_rank for candidate in chosen) == others
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -34,14 +34,16 @@
         )
         since = NOW - seconds(rng.uniform(0, 600))
         job = Job(spec, datetime.now(UTC), since, seconds(rng.choice([60, 120, 200])), 1.5, urgent, 64)
-        job.stored = JobState.OPEN
+        job.durable_state = JobState.OPEN
         cluster.add_job(job)
         if rng.random() < 0.4:
-            for _ in range(min(job.total, 3)):
+            for _ in range(min(job.task_count, 3)):
                 attempt += 1
-                cluster.allocate(cluster.machines["m-0"], job, job.pending.popleft(), attempt, AllocationState.READY)
+                cluster.allocate(
+                    cluster.machines["m-0"], job, job.pending_tasks.popleft(), attempt, AllocationState.READY
+                )
         if rng.random() < 0.3:
-            job.set_done(job.total - 1)
+            job.mark_done(job.task_count - 1)
     teams = {"red": Team("red", cpus=16.0, cpus_max=48.0), "blue": Team("blue")}
     placement = Placement(
         cluster,
@@ -61,37 +63,39 @@
     for seed in range(200):
         cluster, placement = make_cluster(random.Random(seed))
         requests = placement.requests(NOW)
-        waiting = Counter({job.id: len(job.pending) for job in cluster.open_jobs.values() if job.pending})
+        waiting = Counter({job.id: len(job.pending_tasks) for job in cluster.open_jobs.values() if job.pending_tasks})
         given: Counter[str] = Counter()
         for request in requests:
             assert request.count >= 0
-            given[request.job] += request.count
+            given[request.job_id] += request.count
         # Every waiting task stands in the order once.
         assert given == waiting
         places: dict[str, list[int]] = {}
         for place, request in enumerate(requests):
             if request.count:
-                places.setdefault(request.job, []).append(place)
+                places.setdefault(request.job_id, []).append(place)
         for job_id, where in places.items():
             job = cluster.jobs[job_id]
-            waited = NOW - job.since
-            begun = bool(job.live or job.count_done)
+            waited = NOW - job.submitted_at
+            begun = bool(job.allocations or job.done_count)
             first = requests[where[0]]
             if waited > BEGIN and not begun:
                 # Nothing that has begun, or came later than BEGIN, stands before it.
                 assert first.count == 1
                 for request in requests[: where[0]]:
-                    other = cluster.jobs[request.job]
-                    assert not request.count or (NOW - other.since > BEGIN and not other.live and not other.count_done)
+                    other = cluster.jobs[request.job_id]
+                    assert not request.count or (
+                        NOW - other.submitted_at > BEGIN and not other.allocations and not other.done_count
+                    )
             elif job.urgent:
                 for request in requests[: where[0]]:
-                    other = cluster.jobs[request.job]
-                    old = NOW - other.since > BEGIN and not other.live and not other.count_done
+                    other = cluster.jobs[request.job_id]
+                    old = NOW - other.submitted_at > BEGIN and not other.allocations and not other.done_count
                     assert not request.count or other.urgent or (old and request.count == 1)
         # Otherwise: urgent by rank and deadline, then what fits a guarantee, then by deadline.
-        assert [request.order for request in requests] == sorted(request.order for request in requests)
+        assert [request.sort_key for request in requests] == sorted(request.sort_key for request in requests)
         # Jobs put off that go in turn all the same share a part of the cores.
         cores = sum(machine.cpus for machine in cluster.machines.values())
-        put_off = {request.job for request in requests if request.order[:2] == (1.0, 2.0)}
-        turns = [request for request in requests if request.job in put_off and request.order[:2] == (1.0, 1.0)]
+        put_off = {request.job_id for request in requests if request.sort_key[:2] == (1.0, 2.0)}
+        turns = [request for request in requests if request.job_id in put_off and request.sort_key[:2] == (1.0, 1.0)]
         assert sum(request.count * request.cpus for request in turns) <= PART * cores
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -42,13 +42,13 @@
 
 def done_record(job: Job, chunk: int, features: ActiveFeatures) -> DoneRecord | DoneBitmapRecord:
     """The done tasks of a chunk, in the newest form that every controller reads."""
-    low = chunk * job.chunk // 8
-    marks = bytes(job.done[low : low + job.chunk // 8])
+    low = chunk * job.tasks_per_chunk // 8
+    marks = bytes(job.done_bits[low : low + job.tasks_per_chunk // 8])
     if not features.is_active(Feature.DONE_BITMAPS):
         return DoneRecord(marks.hex())
     from elmthread.store import bitmaps  # its library is loaded only where it is used
 
-    tasks = min(job.chunk, job.total - chunk * job.chunk)
+    tasks = min(job.tasks_per_chunk, job.task_count - chunk * job.tasks_per_chunk)
     bitmap = bitmaps.compress(marks, tasks)
     return DoneBitmapRecord(bitmap.text, bitmap.inverted)
 
@@ -62,9 +62,9 @@
 
 def mark_done(job: Job, chunk: int, record: DoneRecord | DoneBitmapRecord) -> None:
     """Takes in the done tasks of a chunk. Raises ValueError for what is no bitmap of such a chunk."""
-    low = chunk * job.chunk
-    for task in done_tasks(record, job.chunk):
-        job.set_done(low + task)
+    low = chunk * job.tasks_per_chunk
+    for task in done_tasks(record, job.tasks_per_chunk):
+        job.mark_done(low + task)
 
 
 def done_tasks(record: DoneRecord | DoneBitmapRecord, most: int) -> Iterator[int]:
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -89,8 +89,8 @@
         if self._types:
             self._set_types(list(self._types.values()))
         for job in list(self._cluster.open_jobs.values()):
-            job.refill()
-            if job.count_done == job.total:
+            job.rebuild_pending_tasks()
+            if job.done_count == job.task_count:
                 self._finished(job, 0, lambda: None)
         log.info(
             "loaded %s jobs, %s of them open, and %s machines",
@@ -141,18 +141,18 @@
             submitted = records.submitted_at(record)
             age = max(timedelta(), datetime.now(UTC) - submitted)
             job = self._jobs.new(record.spec, self._clock() - age, submitted)
-            job.chunk = record.chunk
-        job.state = job.stored = job.writing = state
-        if not job.open:
-            job.pending.clear()
+            job.tasks_per_chunk = record.chunk
+        job.state = job.durable_state = job.state_being_written = state
+        if not job.is_open:
+            job.pending_tasks.clear()
         if state is JobState.DONE:
-            job.count_done = job.total
+            job.done_count = job.task_count
         self._cluster.add_job(job)
 
     def _read_marks(self, key: str, value: Any) -> None:
         _, job_id, chunk = key.split("/")
         job = self._cluster.jobs.get(job_id)
-        if job is not None and job.open:
+        if job is not None and job.is_open:
             mark_done(job, int(chunk), read_done(value, self._supported))
         else:
             self._writer.delete(key)
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -63,16 +63,18 @@
 
 def job_record(job: Job) -> JobRecord:
     if job.state is JobState.OPEN:
-        return JobRecord(job.state.value, job.total, job.submitted.timestamp(), job.chunk, job.spec)
+        return JobRecord(
+            job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, job.spec
+        )
     if job.state is JobState.CANCELLED:
         # Tasks of a cancelled job may be on machines for a while: what they take, and whose
         # limit they count for, must outlive the leader that cancelled it. Where they may run
         # matters no more: a job with a long list that larger values once took must stay
         # cancellable where values have become smaller.
         spec = msgspec.structs.replace(job.spec, job_class="-", image="-", types=None, zone=None)
-        return JobRecord(job.state.value, job.total, job.submitted.timestamp(), job.chunk, spec)
+        return JobRecord(job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, spec)
     # What is over is kept for ever, so it is kept small.
-    return JobRecord(job.state.value, job.total)
+    return JobRecord(job.state.value, job.task_count)
 
 
 def submitted_at(record: JobRecord) -> datetime:
--- a/src/elmthread/workers/health.py
+++ b/src/elmthread/workers/health.py
@@ -28,23 +28,23 @@
 
 class Health:
     def failed(self, machine: Machine, job: Job, now: timedelta) -> None:
-        if len(job.errors) >= MOST_AVOIDED:
-            job.errors.clear()
-        job.errors.add(machine.name)
-        job.failed_at = now
+        if len(job.failed_machines) >= MOST_AVOIDED:
+            job.failed_machines.clear()
+        job.failed_machines.add(machine.name)
+        job.last_failure_at = now
         machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
         fine = _runs_on(job, now)
-        if not job.count_done and fine <= len(job.errors) >= MACHINES_OF_A_BAD_JOB:
+        if not job.done_count and fine <= len(job.failed_machines) >= MACHINES_OF_A_BAD_JOB:
             self._pause(job, now)
             return
         if len(machine.failures_by_job) >= FAILURES_OF_A_BAD_MACHINE or (
-            machine.failures_by_job[job.id] >= FAILURES_OF_A_BAD_MACHINE and (job.count_done or fine)
+            machine.failures_by_job[job.id] >= FAILURES_OF_A_BAD_MACHINE and (job.done_count or fine)
         ):
             machine.quarantined = True
 
     def succeeded(self, machine: Machine, job: Job) -> None:
         job.backoff = ZERO
-        job.errors.discard(machine.name)
+        job.failed_machines.discard(machine.name)
         machine.failures_by_job.clear()
 
     def steady(self, allocation: Allocation, now: timedelta) -> bool:
@@ -67,8 +67,8 @@
             job.retry_at = now + job.backoff
 
     def forgive(self, job: Job, now: timedelta) -> None:
-        if job.errors and now - job.failed_at > AVOIDED:
-            job.errors.clear()
+        if job.failed_machines and now - job.last_failure_at > AVOIDED:
+            job.failed_machines.clear()
 
     def refused(self, job: Job, now: timedelta) -> None:
         # A refusal is soon over (room being freed, a job being uploaded): a short pause.
@@ -78,14 +78,14 @@
 def _runs_on(job: Job, now: timedelta) -> int:
     """Machines on which the job's tasks have not failed and have run for a while; a few are enough."""
     fine: set[str] = set()
-    for allocation in job.live.values():
+    for allocation in job.allocations.values():
         if (
             allocation.state is AllocationState.RUNNING
             and allocation.started_at is not None
             and now - allocation.started_at >= SURVIVED
-            and allocation.machine.name not in job.errors
+            and allocation.machine.name not in job.failed_machines
         ):
             fine.add(allocation.machine.name)
-            if len(fine) > len(job.errors):
+            if len(fine) > len(job.failed_machines):
                 break
     return len(fine)
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -136,7 +136,7 @@
         for task in heartbeat.tasks:
             name = task.split()
             job = self._cluster.jobs.get(name[0]) if name and task.state != "exited" else None
-            if job is not None and not job.open:
+            if job is not None and not job.is_open:
                 stops.append(messages.halt(task.name, task.attempt, 0.0))
         return stops[:MOST_ORDERS]
 
@@ -225,7 +225,7 @@
                     allocation.state is AllocationState.PLANNED
                     and machine.allocations.get(allocation.attempt) is allocation
                 ):
-                    allocation.move(AllocationState.READY)
+                    allocation.transition_to(AllocationState.READY)
             event = self._waiting.get(machine.name)
             if event is not None:
                 event.set()
@@ -248,7 +248,7 @@
         Returns the exited tasks, to be forgotten when that is safe, and stops of what nobody knows.
         """
         if machine.state in (MachineState.BOOTING, MachineState.UNSURE):
-            machine.move(MachineState.UP)
+            machine.transition_to(MachineState.UP)
             machine.idle_since = now
             self._changed()
         if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
@@ -275,9 +275,9 @@
                 # Killed with its session, or never sent by the leader before us.
                 log.info("%s no longer has %s/%s", machine.name, allocation.job.id, allocation.task)
                 self._drop(allocation, now)
-            elif allocation.sent:
+            elif allocation.start_sent:
                 # The answer that carried its start was lost, and won't be executed any more.
-                allocation.sent = False
+                allocation.start_sent = False
                 lost = True
         machine.undelivered_starts = machine.undelivered_starts + 1 if lost else 0
         if machine.undelivered_starts >= MISSED and machine.responses_lost_since is None:
@@ -300,24 +300,24 @@
             allocation.machine.cached_images[allocation.job.spec.image] = allocation.job.spec.image_gb
             if allocation.started_at is None:
                 allocation.started_at = now
-                waited = (now - allocation.job.since).total_seconds()
+                waited = (now - allocation.job.submitted_at).total_seconds()
                 log.debug(
                     "%s/%s runs on %s after %.1f s", allocation.job.id, allocation.task, allocation.machine.name, waited
                 )
-        allocation.move(state)
+        allocation.transition_to(state)
 
     def _unexpected(self, machine: Machine, task: Task, now: timedelta) -> list[dict[str, Any]]:
         """A running task that no record names: counted while it is there, and stopped."""
         name = task.split()
         job = self._cluster.jobs.get(name[0]) if name else None
         log.info("%s has %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
-        if name is None or job is None or not 0 <= name[1] < job.total:
+        if name is None or job is None or not 0 <= name[1] < job.task_count:
             return [messages.halt(task.name, task.attempt, 0.0)]
         allocation = self._cluster.allocate(machine, job, name[1], task.attempt, AllocationState.UNSEEN)
-        allocation.stop = Stop.KILL
+        allocation.stop_mode = Stop.KILL
         self._seen(allocation, task, now)
-        if name[1] in job.pending:
-            job.pending.remove(name[1])
+        if name[1] in job.pending_tasks:
+            job.pending_tasks.remove(name[1])
         return []
 
     def _exited(self, machine: Machine, allocation: Allocation | None, task: Task, now: timedelta) -> None:
@@ -327,12 +327,18 @@
         if allocation is not None:
             log.debug("%s on %s ended: %s", task.name, machine.name, task.why)
             self._learn(machine, allocation, task, now)
-        if task.why == "done" and job is not None and not job.daemon and name is not None and 0 <= name[1] < job.total:
+        if (
+            task.why == "done"
+            and job is not None
+            and not job.is_service
+            and name is not None
+            and 0 <= name[1] < job.task_count
+        ):
             index = name[1]
-            if job.open and not job.is_done(index):
-                job.set_done(index)
-                if allocation is None and index in job.pending:
-                    job.pending.remove(index)
+            if job.is_open and not job.is_done(index):
+                job.mark_done(index)
+                if allocation is None and index in job.pending_tasks:
+                    job.pending_tasks.remove(index)
                 machine.uncommitted_completions[task.attempt] = (job.id, index)
 
                 def durable() -> None:
@@ -344,12 +350,12 @@
 
     def _learn(self, machine: Machine, allocation: Allocation, task: Task, now: timedelta) -> None:
         job = allocation.job
-        if job.daemon and (task.why == "done" or self.health.steady(allocation, now)):
+        if job.is_service and (task.why == "done" or self.health.steady(allocation, now)):
             self.health.ended(allocation, now)
         elif task.why == "done":
             machine.cached_images[job.spec.image] = job.spec.image_gb
             self.health.succeeded(machine, job)
-            if allocation.started_at is not None and allocation.stop is None:
+            if allocation.started_at is not None and allocation.stop_mode is None:
                 self._work.saw(job.spec.job_class, job.spec.expected_s, now - allocation.started_at)
         elif task.why == "error":
             log.info("%s failed on %s", task.name, machine.name)
@@ -371,10 +377,10 @@
         now = self._clock()
         for allocation in list(machine.allocations.values()):
             job = allocation.job
-            if not job.open or job.is_done(allocation.task):
-                allocation.stop = Stop.KILL
+            if not job.is_open or job.is_done(allocation.task):
+                allocation.stop_mode = Stop.KILL
             elif (
-                allocation.stop is None
+                allocation.stop_mode is None
                 and allocation.state is not AllocationState.PLANNED
                 and allocation.state is not AllocationState.READY
             ):
@@ -382,22 +388,22 @@
                 continue
             name = messages.task_name(job.id, allocation.task)
             unwanted = (
-                allocation.stop is not None
+                allocation.stop_mode is not None
                 or machine.state is not MachineState.UP
                 or machine.responses_lost_since is not None
             )
             if (
                 unwanted
                 and allocation.state in (AllocationState.PLANNED, AllocationState.READY)
-                and not allocation.sent
+                and not allocation.start_sent
             ):
                 # No start is on its way, so it is surely not there.
                 self._drop(allocation, now)
-            elif allocation.stop is not None:
-                grace = job.spec.save_s if allocation.stop is Stop.SAVE and job.spec.saves else 0.0
+            elif allocation.stop_mode is not None:
+                grace = job.spec.save_s if allocation.stop_mode is Stop.SAVE and job.spec.saves else 0.0
                 commands.append(messages.halt(name, allocation.attempt, grace))
             elif allocation.state is AllocationState.READY and leads and not unwanted:
-                allocation.sent = True
+                allocation.start_sent = True
                 starts.append(messages.start(name, allocation.attempt))
         return commands + starts
 
--- a/src/elmthread/workers/tests/test_health.py
+++ b/src/elmthread/workers/tests/test_health.py
@@ -28,9 +28,11 @@
 
     def runs(self, job: Job, machine: Machine) -> None:
         self.attempt += 1
-        allocation = self.cluster.allocate(machine, job, job.pending.popleft(), self.attempt, AllocationState.READY)
+        allocation = self.cluster.allocate(
+            machine, job, job.pending_tasks.popleft(), self.attempt, AllocationState.READY
+        )
         allocation.started_at = ZERO
-        allocation.move(AllocationState.RUNNING)
+        allocation.transition_to(AllocationState.RUNNING)
 
 
 def test_large_job_that_meets_sick_machines_is_not_put_off() -> None:
@@ -45,7 +47,7 @@
             bench.health.failed(machine, job, seconds(5))
     assert job.retry_at == ZERO
     assert all(machine.quarantined for machine in sick)
-    assert job.errors == {machine.name for machine in sick}
+    assert job.failed_machines == {machine.name for machine in sick}
 
 
 def test_bad_job_waits_ever_longer_and_blames_no_machine() -> None:
@@ -69,9 +71,9 @@
     for number in range(3):
         bench.health.failed(bench.machine(number), job, seconds(1))
     bench.health.forgive(job, seconds(30))
-    assert len(job.errors) == 3
+    assert len(job.failed_machines) == 3
     bench.health.forgive(job, seconds(62))
-    assert not job.errors
+    assert not job.failed_machines
 
 
 def test_failures_of_two_jobs_speak_against_the_machine() -> None:
@@ -90,7 +92,7 @@
     now = seconds(0)
     for _ in range(8):
         bench.runs(job, machine)
-        allocation = next(iter(job.live.values()))
+        allocation = next(iter(job.allocations.values()))
         allocation.started_at = now
         bench.health.ended(allocation, now + seconds(1))
         pauses.append((job.retry_at - now).total_seconds() - 1)
@@ -98,7 +100,7 @@
         now = job.retry_at
     assert pauses[:4] == [2, 4, 8, 16] and max(pauses) == 120
     bench.runs(job, machine)
-    allocation = next(iter(job.live.values()))
+    allocation = next(iter(job.allocations.values()))
     allocation.started_at = now
     bench.health.ended(allocation, now + STEADY)
     assert not job.backoff and job.retry_at <= now + STEADY
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -73,7 +73,7 @@
         assert await world.poll("run-000001") == "running"
         world.kill(world.leader.api._node)  # type: ignore[union-attr]
         await asyncio.sleep(10)
-        assert known(world, "run-000001").daemon and known(world, "run-000001").count_done == 0
+        assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
 
     world = day(script, machines=0, controllers=5)
     assert not any(key.startswith("d/") for slot in slots_of(world) for key in slot)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -121,7 +121,7 @@
             assert response.status == 503
         assert sorted(world.rules.where) == sorted(before)
         assert world.leader.leader is not None
-        assert len(world.leader.leader.cluster.jobs["run-000001"].live) == 3
+        assert len(world.leader.leader.cluster.jobs["run-000001"].allocations) == 3
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -74,7 +74,7 @@
         assert held == view.holds
         for job_id, marked in view.done.items():
             known = cluster.jobs[job_id]
-            assert {task for task in range(known.total) if known.is_done(task)} == marked
+            assert {task for task in range(known.task_count) if known.is_done(task)} == marked
         assert set(world.leader.leader.fleet.types) == {kind["name"] for kind in view.types}
 
     def before(world: World) -> None:
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -161,10 +161,10 @@
         self.loads += 1
         stored, finished = done_in_store(self._world), self._world.rules.finished
         for job_id, job in loader._cluster.jobs.items():
-            if not job.open:
+            if not job.is_open:
                 continue
-            marked = {task for task in range(job.total) if job.is_done(task)}
-            if marked != {task for task in stored.get(job_id, set()) if task < job.total}:
+            marked = {task for task in range(job.task_count) if job.is_done(task)}
+            if marked != {task for task in stored.get(job_id, set()) if task < job.task_count}:
                 self._break(f"{job_id} is misread: {sorted(marked)[:9]} of {sorted(stored.get(job_id, set()))[:9]}")
             if not {f"{job_id}/{task}" for task in marked} <= finished:
                 self._break(f"{job_id} has tasks marked that have not ended")
