--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -18,7 +18,7 @@
 from elmthread.store.records import job_key, job_record
 
 
-class Jobs:
+class JobFactory:
     def __init__(self, facts: Facts, operators: Operators, features: ActiveFeatures) -> None:
         self._features = features
         self._operators = operators
@@ -43,7 +43,7 @@
 
     def new(self, spec: Submission, since: timedelta, submitted: datetime | None = None) -> Job:
         within = self._within.get(spec.job_class, [0.0])
-        if spec.due_s:
+        if spec.deadline_s:
             slack = self._times.get(spec.job_class, 1.0)
         else:
             slack = max(within) / min(within) if min(within) > 0 else 1.0
@@ -56,10 +56,10 @@
             "cpus": spec.cpus,
             "cards": spec.gpus,
             "ram_gb": spec.ram_gb,
-            "expected_s": spec.expected_s,
-            "due_s": spec.due_s or 0.0,
+            "expected_s": spec.expected_run_time_s,
+            "due_s": spec.deadline_s or 0.0,
             "objective_s": self._start.get(spec.job_class, 0.0) if spec.form == DAEMON else min(within),
-            "saves": spec.saves,
+            "saves": spec.makes_checkpoints,
             "spot": spec.spot,
         }
         return Job(
@@ -87,7 +87,7 @@
             cpus=spec.cpus,
             gpus=spec.gpus,
             memory_gb=spec.ram_gb,
-            machine_types=None if spec.types is None else frozenset(spec.types),
+            machine_types=None if spec.machine_types is None else frozenset(spec.machine_types),
             zone=spec.zone,
         )
         record = job_record(self.new(spec, ZERO))
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -32,12 +32,14 @@
         "gpus": "cards",
         "image": "kit",
         "image_gb": "size_gb",
-        "types": "builds",
+        "machine_types": "builds",
         "zone": "yard",
         "spread": "scatter",
         "spot": "loaners",
-        "checkpoint_s": "snapshot_every_s",
-        "save_s": "snapshot_s",
+        "checkpoint_interval_s": "snapshot_every_s",
+        "checkpoint_duration_s": "snapshot_s",
+        "expected_run_time_s": "expected_s",
+        "deadline_s": "due_s",
     },
 ):
     id: Name
@@ -55,16 +57,16 @@
     one_zone: bool
     spread: bool
     spot: bool
-    expected_s: Amount
-    checkpoint_s: Amount
-    save_s: Amount
-    types: list[Name] | None = None
+    expected_run_time_s: Amount
+    checkpoint_interval_s: Amount
+    checkpoint_duration_s: Amount
+    machine_types: list[Name] | None = None
     zone: Name | None = None
-    due_s: Amount | None = None
+    deadline_s: Amount | None = None
 
     @property
-    def saves(self) -> bool:
-        return self.checkpoint_s > 0
+    def makes_checkpoints(self) -> bool:
+        return self.checkpoint_interval_s > 0
 
 
 # Amounts that must be finite, by the name that an error gives them.
@@ -73,10 +75,10 @@
     "cards": "gpus",
     "ram_gb": "ram_gb",
     "image_gb": "image_gb",
-    "expected_s": "expected_s",
-    "checkpoint_s": "checkpoint_s",
-    "save_s": "save_s",
-    "due_s": "due_s",
+    "expected_s": "expected_run_time_s",
+    "checkpoint_s": "checkpoint_interval_s",
+    "save_s": "checkpoint_duration_s",
+    "due_s": "deadline_s",
 }
 
 
@@ -100,7 +102,7 @@
         value = getattr(job, field)
         if value is not None and not math.isfinite(value):
             raise InvalidSubmissionError(f"{name}: not a finite number")
-    if job.types is not None and len(job.types) > 100:
+    if job.machine_types is not None and len(job.machine_types) > 100:
         raise InvalidSubmissionError("builds: too many")
     return job
 
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
-from elmthread.api.service import Intake
+from elmthread.api.service import JobService
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.load import Kind, Load
 from elmthread.leadership.election import Election
@@ -41,14 +41,14 @@
 HeartbeatHandler = Callable[[Request], Awaitable[Response]]
 
 
-class Api:
+class RequestRouter:
     def __init__(
         self,
         node: str,
         election: Election,
         peers: Peers,
         clock: Clock,
-        intake: Callable[[], Intake | None],
+        intake: Callable[[], JobService | None],
         heartbeat: HeartbeatHandler,
         load: Load,
         gate: CompatibilityGate,
@@ -157,7 +157,7 @@
             response.sure = intake.sure
         return response
 
-    async def _from(self, intake: Intake, ask: ForwardedRequest) -> Response:
+    async def _from(self, intake: JobService, ask: ForwardedRequest) -> Response:
         if ask.verb == "submit":
             job = None
             if ask.body is not None:
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -15,7 +15,7 @@
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.done_marks import done_record
 from elmthread.store.records import done_key, job_key, job_record
-from elmthread.store.writer import Rank, Writer, WriterStoppedError
+from elmthread.store.writer import Rank, RecordWriter, WriterStoppedError
 
 log = logging.getLogger(__name__)
 
@@ -30,12 +30,12 @@
 LONGEST = seconds(30)
 
 
-class Intake:
+class JobService:
     def __init__(
         self,
         cluster: ClusterState,
         term: Term,
-        writer: Writer,
+        writer: RecordWriter,
         clock: Clock,
         new_job: Callable[[Submission, timedelta], Job],
         can_run: Callable[[Submission], str | None],
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from elmthread.api.messages import Submission, read_submission
-from elmthread.api.service import DURABLE_TIME, Intake
+from elmthread.api.service import DURABLE_TIME, JobService
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
 from elmthread.net.http import Response
@@ -46,14 +46,14 @@
         return self.sure
 
 
-def intake(most: int = 5) -> tuple[SimLoop, Store, Lease, Intake]:
+def intake(most: int = 5) -> tuple[SimLoop, Store, Lease, JobService]:
     loop, store, lease = SimLoop(), Store(), Lease()
     asyncio.set_event_loop(loop)
 
     def new_job(spec: Submission, since: timedelta) -> Job:
         return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
 
-    one = Intake(
+    one = JobService(
         ClusterState(100),
         lease,  # type: ignore[arg-type]
         store,  # type: ignore[arg-type]
@@ -70,7 +70,7 @@
     return loop, store, lease, one
 
 
-def submit(one: Intake, number: int) -> Coroutine[Any, Any, Response]:
+def submit(one: JobService, number: int) -> Coroutine[Any, Any, Response]:
     spec = read_submission(wire(number))
     return one.submit(spec.id, spec, None)
 
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -10,11 +10,11 @@
 
 from elmthread.autoscaling.decide import Band, Group, Offer, Supply, band, dear, fewest, refill
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
-from elmthread.cluster.state import Allocation, ClusterState, Job, Machine, MachineState, Stop
+from elmthread.cluster.state import Allocation, ClusterState, Job, Machine, MachineState, StopMode
 from elmthread.common.clock import Clock, seconds
-from elmthread.machines.service import Fleet, Kind
-from elmthread.placement.decide import FreeCapacity, TaskRequest, TeamAllowance, allowed
-from elmthread.placement.service import Placement
+from elmthread.machines.service import Kind, MachineManager
+from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
+from elmthread.placement.service import Scheduler
 from elmthread.settings.operators import Operators
 
 log = logging.getLogger(__name__)
@@ -42,12 +42,12 @@
 MOST_AT_ONCE = 500
 
 
-class Sizing:
+class Autoscaler:
     def __init__(
         self,
         cluster: ClusterState,
-        fleet: Fleet,
-        placement: Placement,
+        fleet: MachineManager,
+        placement: Scheduler,
         expected: Callable[[Job], timedelta],
         operators: Operators,
         clock: Clock,
@@ -79,12 +79,12 @@
             if machine.provides_capacity(now):
                 self._serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
         requests = self._placement.requests(now)
-        allowances = self._placement.allowances()
+        remaining_quotas = self._placement.remaining_quotas()
         self._for_services(requests, now)
-        self._for_groups(requests, allowances, now)
-        urgent = self._urgent(requests, allowances)
+        self._for_groups(requests, remaining_quotas, now)
+        urgent = self._urgent(requests, remaining_quotas)
         self._for_band(requests, urgent, now)
-        self._fade(requests, allowances, urgent, now)
+        self._fade(requests, remaining_quotas, urgent, now)
 
     # Services
 
@@ -108,7 +108,7 @@
             for request in requests
             if (job := self._cluster.jobs[request.job_id]).is_service
         ]
-        allowances = self._placement.allowances()
+        remaining_quotas = self._placement.remaining_quotas()
         # One more like the largest there is must find room at once, spread as it may have to be.
         largest = max(daemons, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         next_one = replace(
@@ -118,9 +118,9 @@
             tasks_by_machine={},
             excluded_machines=(),
         )
-        left = unplaced([*waiting, next_one], self._soon_room([*waiting, next_one], now), allowances)
+        left = unplaced([*waiting, next_one], self._soon_room([*waiting, next_one], now), remaining_quotas)
         if left:
-            self._order(machines_for(left, self._offers(left), allowances, MOST_AT_ONCE), pool=False)
+            self._order(machines_for(left, self._offers(left), remaining_quotas, MOST_AT_ONCE), pool=False)
         # The band, over the machines of the kind that the most demanding of them may use.
         demanding = [job for job in daemons if not job.spec.spot]
         firm = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(now)]
@@ -131,7 +131,7 @@
             if not order.kind.spot and (kind := self._fleet.types.get(order.kind.machine_type)) is not None
         )
         booked = sum(m.service_cpus for m in firm)
-        booked += _usable([request for request in waiting if not request.spot], self._placement.allowances())
+        booked += _usable([request for request in waiting if not request.spot], self._placement.remaining_quotas())
         theta, delta = self._operators.theta, self._operators.delta
         # What will be booked by the time a machine rented now is up.
         boot = seconds(max(kind.boot_s for kind in self._fleet.types.values()) * BOOT) + self._operators.check
@@ -178,7 +178,9 @@
 
     # Deferrable pressure
 
-    def _for_groups(self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance], now: timedelta) -> None:
+    def _for_groups(
+        self, requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], now: timedelta
+    ) -> None:
         self._return_pool(requests, now)
         # Cores count only for work that may use them: jobs are judged together with those
         # that allow the same machines. Otherwise cores of the wrong kind, or in pieces too
@@ -207,7 +209,7 @@
         for places, together in alike.items():
             here = set(places)
             urgent = [request for others, requests in first if not here.isdisjoint(others) for request in requests]
-            self._rent_for(together, urgent, here, allowances, now)
+            self._rent_for(together, urgent, here, remaining_quotas, now)
 
     def _places(self, request: TaskRequest) -> tuple[str, ...]:
         """The machines, up or coming, that could take the tasks at all."""
@@ -226,7 +228,7 @@
         waiting: list[TaskRequest],
         urgent: list[TaskRequest],
         places: set[str],
-        allowances: dict[str, TeamAllowance],
+        remaining_quotas: dict[str, RemainingQuota],
         now: timedelta,
     ) -> None:
         offers = self._offers(waiting)
@@ -238,14 +240,14 @@
         hard = not cheap and bool(places)
         offers = cheap or offers
         boot = min(offer.boot_s for offer in offers)
-        groups, usable = self._groups(waiting, allowances, now, boot, hard)
+        groups, usable = self._groups(waiting, remaining_quotas, now, boot, hard)
         supplies = self._supplies(places, waiting[0], now)
         busy, ahead = self._running(places, now)
         for request in urgent:
             job = self._cluster.jobs[request.job_id]
             if not job.is_service:
                 ahead += request.count * request.cpus * self._each(job)
-        usable += _usable(urgent, allowances) + busy - sum(supply.cores for supply in supplies)
+        usable += _usable(urgent, remaining_quotas) + busy - sum(supply.cores for supply in supplies)
         chosen = fewest(groups, supplies, ahead, offers, usable, MOST_AT_ONCE)
         if chosen:
             log.info(
@@ -265,7 +267,12 @@
             self._fleet.order(kind, count, pool)
 
     def _groups(
-        self, waiting: list[TaskRequest], allowances: dict[str, TeamAllowance], now: timedelta, boot: float, hard: bool
+        self,
+        waiting: list[TaskRequest],
+        remaining_quotas: dict[str, RemainingQuota],
+        now: timedelta,
+        boot: float,
+        hard: bool,
     ) -> tuple[list[Group], float]:
         """Waiting deferrable tasks by deadline, and the cores they could use at once."""
         by_due: dict[int, Group] = {}
@@ -273,8 +280,8 @@
         for request in waiting:
             job = self._cluster.jobs[request.job_id]
             each = self._each(job)
-            allowance = max(0.0, allowances[request.team].cpus - team_cores.get(request.team, 0.0))
-            cores = min(allowance, request.count * request.cpus)
+            remaining_quota = max(0.0, remaining_quotas[request.team].cpus - team_cores.get(request.team, 0.0))
+            cores = min(remaining_quota, request.count * request.cpus)
             team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
             # A team at its limit still uses all of that as its running tasks end.
             usable = max(min(self._placement.limit(request.team), request.count * request.cpus), request.cpus)
@@ -383,7 +390,7 @@
         return [offer for offer in offers if not dear(offer, cheapest)]
 
     def _fade(
-        self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance], urgent: float, now: timedelta
+        self, requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], urgent: float, now: timedelta
     ) -> None:
         """Marks the machines that booked and waiting work can do without, the dearest first.
 
@@ -393,7 +400,7 @@
         """
         serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
         # What is on machines that will be taken needs room elsewhere in a moment.
-        demand = sum(m.cpus_used for m in self._cluster.up_machines()) + _usable(requests, allowances)
+        demand = sum(m.cpus_used for m in self._cluster.up_machines()) + _usable(requests, remaining_quotas)
         needed = max(demand * SLACK, urgent / max(self.theta - self._operators.delta, 0.05))
         spare = 0.0
         # Of equally dear machines the fuller are kept: the others are closer to being empty.
@@ -428,17 +435,19 @@
             moving = any(other.stop_mode is not None for other in job.allocations.values())
             if not moving and job.running_count == job.task_count and self._placement.has_room(allocation):
                 log.info("%s/%s moves off %s, which is not needed", job.id, allocation.task, machine.name)
-                allocation.stop_mode = Stop.SAVE
+                allocation.stop_mode = StopMode.CHECKPOINT
 
     def _move_away(self, machine: Machine, now: timedelta) -> None:
         allocations = list(machine.allocations.values())
         if any(allocation.stop_mode is None for allocation in allocations) and all(
-            allocation.job.spec.saves and allocation.started_at is not None and now - allocation.started_at > SETTLED
+            allocation.job.spec.makes_checkpoints
+            and allocation.started_at is not None
+            and now - allocation.started_at > SETTLED
             for allocation in allocations
         ):
             log.info("%s is emptied: its %s tasks save and go on elsewhere", machine.name, len(allocations))
             for allocation in allocations:
-                allocation.stop_mode = allocation.stop_mode or Stop.SAVE
+                allocation.stop_mode = allocation.stop_mode or StopMode.CHECKPOINT
 
     def _return_pool(self, requests: list[TaskRequest], now: timedelta) -> None:
         """An idle deferrable pool goes back whole; what of a busy one stays empty goes singly.
@@ -470,10 +479,10 @@
 
     # Urgent pressure
 
-    def _urgent(self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance]) -> float:
+    def _urgent(self, requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota]) -> float:
         """Urgent cores: booked, and waiting as far as teams' limits let them run."""
         booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
-        return booked + _usable([request for request in requests if request.urgent], allowances)
+        return booked + _usable([request for request in requests if request.urgent], remaining_quotas)
 
     def _for_band(self, requests: list[TaskRequest], urgent: float, now: timedelta) -> None:
         self._track(urgent, now)
@@ -482,7 +491,7 @@
             for m in self._cluster.machines.values()
             if not m.in_deferrable_pool
             and not m.zone_unreachable
-            and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNSURE)
+            and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNCONFIRMED)
         ]
         cores = sum(m.cpus for m in outside)
         for order in self._fleet.orders.values():
@@ -533,9 +542,9 @@
                 self._fleet.give_up(machine, "not needed")
 
 
-def _usable(requests: list[TaskRequest], allowances: dict[str, TeamAllowance]) -> float:
+def _usable(requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota]) -> float:
     """Cores that waiting tasks could use at once within their teams' limits."""
-    left = {name: allowance.cpus for name, allowance in allowances.items()}
+    left = {name: remaining_quota.cpus for name, remaining_quota in remaining_quotas.items()}
     total = 0.0
     for request in requests:
         cores = max(0.0, min(left[request.team], request.count * request.cpus))
--- a/src/elmthread/autoscaling/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -13,7 +13,7 @@
 
 from elmthread.autoscaling.decide import Offer
 from elmthread.common.clock import seconds
-from elmthread.placement.decide import TINY, FreeCapacity, TaskRequest, TeamAllowance, allowed, place
+from elmthread.placement.decide import TINY, FreeCapacity, RemainingQuota, TaskRequest, allowed, place
 
 # How far back the growth of the demand of services is looked for, and the shortest rise judged.
 TREND = seconds(60)
@@ -37,19 +37,21 @@
 
 
 def unplaced(
-    requests: Iterable[TaskRequest], slots: Sequence[FreeCapacity], allowances: dict[str, TeamAllowance]
+    requests: Iterable[TaskRequest], slots: Sequence[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[TaskRequest]:
     """What is left of the tasks once `slots` (used up) are full, as far as limits let it run."""
     left = [
         replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
         for request in requests
     ]
-    place(left, slots, allowances)
-    return [request for request in left if request.count > 0 and allowances[request.team].cpus + TINY >= request.cpus]
+    place(left, slots, remaining_quotas)
+    return [
+        request for request in left if request.count > 0 and remaining_quotas[request.team].cpus + TINY >= request.cpus
+    ]
 
 
 def machines_for(
-    requests: Iterable[TaskRequest], offers: Sequence[Offer], allowances: dict[str, TeamAllowance], most: int
+    requests: Iterable[TaskRequest], offers: Sequence[Offer], remaining_quotas: dict[str, RemainingQuota], most: int
 ) -> list[Offer]:
     """Machines on which the tasks fit, zones and memory included; each is filled before the next.
 
@@ -59,7 +61,7 @@
     chosen: list[Offer] = []
     slots: list[FreeCapacity] = []
     for request in requests:
-        place([request], slots, allowances)
+        place([request], slots, remaining_quotas)
         while request.count > 0 and len(chosen) < most:
             fit = [offer for offer in offers if _takes(request, offer)]
             if not fit:
@@ -76,7 +78,7 @@
                 f"+{len(slots)}", best.machine_type, best.zone, best.spot, best.cores, best.gpus, best.memory_gb
             )
             before = request.count
-            place([request], [slot], allowances)
+            place([request], [slot], remaining_quotas)
             if request.count == before:
                 break
             chosen.append(best)
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from elmthread.autoscaling.service import Sizing
+from elmthread.autoscaling.service import Autoscaler
 from elmthread.cluster.state import Job, Machine, MachineState
-from elmthread.machines.service import Fleet
+from elmthread.machines.service import MachineManager
 from elmthread.placement.decide import allowed
 from tests.test_world import day
 from tests.world.world import World, job
@@ -44,9 +44,9 @@
 
         monkeypatch.setattr(sizing, "_expected", counted)
         checked = 0
-        places_of, running = Sizing._places, Sizing._running
+        places_of, running = Autoscaler._places, Autoscaler._running
 
-        def places(self: Sizing, request: Any) -> tuple[str, ...]:
+        def places(self: Autoscaler, request: Any) -> tuple[str, ...]:
             nonlocal checked
             found = places_of(self, request)
             plain = {
@@ -62,7 +62,7 @@
             checked += 1
             return found
 
-        def summed(self: Sizing, names: set[str], at: Any) -> tuple[float, float]:
+        def summed(self: Autoscaler, names: set[str], at: Any) -> tuple[float, float]:
             nonlocal checked
             cores, work = running(self, names, at)
             held = [
@@ -83,8 +83,8 @@
             checked += 1
             return cores, work
 
-        monkeypatch.setattr(Sizing, "_places", places)
-        monkeypatch.setattr(Sizing, "_running", summed)
+        monkeypatch.setattr(Autoscaler, "_places", places)
+        monkeypatch.setattr(Autoscaler, "_running", summed)
         sizing.round()
         assert checked > 4 and sum(len(machine.allocations) for machine in cluster.machines.values()) > 60
         assert len(asked) == len(set(asked)) <= len(cluster.open_jobs)
@@ -97,13 +97,13 @@
         leader = await filled(world)
         await asyncio.sleep(10)
         judged: list[Machine] = []
-        expire = Fleet._expire
+        expire = MachineManager._expire
 
-        def noted(self: Fleet, machine: Machine, now: Any) -> None:
+        def noted(self: MachineManager, machine: Machine, now: Any) -> None:
             judged.append(machine)
             expire(self, machine, now)
 
-        monkeypatch.setattr(Fleet, "_expire", noted)
+        monkeypatch.setattr(MachineManager, "_expire", noted)
         up = [machine for machine in leader.cluster.machines.values() if machine.state is MachineState.UP]
         assert len(up) >= 6
         leader.fleet._judge()
--- a/src/elmthread/autoscaling/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_services.py
@@ -8,7 +8,7 @@
 from elmthread.autoscaling.decide import Offer
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
 from elmthread.common.clock import seconds
-from elmthread.placement.decide import FreeCapacity, TaskRequest, TeamAllowance, allowed
+from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
 
 
 def request(count: int, most: float = math.inf, **changes: object) -> TaskRequest:
@@ -43,9 +43,9 @@
         most = rng.choice([math.inf, math.ceil(tasks / 2)])
         wanted = request(tasks, most, tasks_by_zone={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {})
         there = dict(wanted.tasks_by_zone)
-        allowances = {"t": TeamAllowance(rng.choice([math.inf, 6.0]))}
-        limit = min(tasks, int(allowances["t"].cpus / 2) if allowances["t"].cpus < math.inf else tasks)
-        chosen = machines_for([wanted], OFFERS, allowances, 50)
+        remaining_quotas = {"t": RemainingQuota(rng.choice([math.inf, 6.0]))}
+        limit = min(tasks, int(remaining_quotas["t"].cpus / 2) if remaining_quotas["t"].cpus < math.inf else tasks)
+        chosen = machines_for([wanted], OFFERS, remaining_quotas, 50)
         assert not any(offer.spot for offer in chosen)
         # They take all that limits let run, and none is there for nothing.
         assert tasks - wanted.count == limit
@@ -62,7 +62,7 @@
             for n in range(4)
         ]
         one = request(rng.randint(1, 5), rng.choice([math.inf, 2.0]))
-        left = unplaced([one], copy.deepcopy(slots), {"t": TeamAllowance()})
+        left = unplaced([one], copy.deepcopy(slots), {"t": RemainingQuota()})
         # By brute force: the most replicas that any way of giving them out can place.
         best = 0
         each = [
@@ -76,7 +76,7 @@
 
 
 def test_a_team_at_its_limit_has_nothing_rented_for_it() -> None:
-    assert unplaced([request(3)], [], {"t": TeamAllowance(1.0)}) == []
+    assert unplaced([request(3)], [], {"t": RemainingQuota(1.0)}) == []
 
 
 def test_reserve_has_the_cores_and_no_zone_counts_for_more_than_half() -> None:
--- a/src/elmthread/autoscaling/work.py
+++ b/src/elmthread/autoscaling/work.py
@@ -30,7 +30,7 @@
         self.square += weight * (value * value - self.square)
 
 
-class WorkModel:
+class RunTimeModel:
     def __init__(self) -> None:
         self._classes: dict[str, _Fit] = {}
         self._all = _Fit()
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -79,7 +79,7 @@
         self.submission_time = submitted
         self.spec = spec
         self.task_count = spec.tasks
-        self.machine_types = None if spec.types is None else frozenset(spec.types)
+        self.machine_types = None if spec.machine_types is None else frozenset(spec.machine_types)
         self.submitted_at = since
         self.deadline = deadline
         # Once its deadline can't be met, the job is to end within `slack` times that; `aim` is
@@ -140,26 +140,26 @@
 
 class AllocationState(Enum):
     PLANNED = auto()  # not yet durable: must not be sent
-    READY = auto()  # durable: goes out with each report's answer until it is seen
-    UNSEEN = auto()  # from the store, of an earlier leader: may be there
+    COMMITTED = auto()  # durable: goes out with each report's answer until it is seen
+    UNCONFIRMED = auto()  # from the store, of an earlier leader: may be there
     FETCHING = auto()
     RUNNING = auto()
-    SAVING = auto()
+    CHECKPOINTING = auto()
 
 
-SEEN = frozenset({AllocationState.FETCHING, AllocationState.RUNNING, AllocationState.SAVING})
+SEEN = frozenset({AllocationState.FETCHING, AllocationState.RUNNING, AllocationState.CHECKPOINTING})
 ALLOCATION_STEPS = {
-    AllocationState.PLANNED: frozenset({AllocationState.READY}),
-    AllocationState.READY: SEEN,
-    AllocationState.UNSEEN: SEEN,
+    AllocationState.PLANNED: frozenset({AllocationState.COMMITTED}),
+    AllocationState.COMMITTED: SEEN,
+    AllocationState.UNCONFIRMED: SEEN,
     AllocationState.FETCHING: SEEN,
     AllocationState.RUNNING: SEEN,
-    AllocationState.SAVING: SEEN,
+    AllocationState.CHECKPOINTING: SEEN,
 }
 
 
-class Stop(Enum):
-    SAVE = auto()
+class StopMode(Enum):
+    CHECKPOINT = auto()
     KILL = auto()
 
 
@@ -172,7 +172,7 @@
         self.attempt = attempt
         self.machine = machine
         self.state = state
-        self.stop_mode: Stop | None = None
+        self.stop_mode: StopMode | None = None
         self.start_sent = False
         self.started_at: timedelta | None = None
 
@@ -185,18 +185,18 @@
 
 class MachineState(Enum):
     BOOTING = auto()  # rented, has not reported yet
-    UNSURE = auto()  # may hold what the store says; has not reported to this token
+    UNCONFIRMED = auto()  # may hold what the store says; has not reported to this token
     UP = auto()
     DELETING = auto()  # its deletion is asked for until it is answered
-    GONE = auto()
+    DELETED = auto()
 
 
 MACHINE_STEPS = {
     MachineState.BOOTING: frozenset({MachineState.UP, MachineState.DELETING}),
-    MachineState.UNSURE: frozenset({MachineState.UP, MachineState.DELETING}),
+    MachineState.UNCONFIRMED: frozenset({MachineState.UP, MachineState.DELETING}),
     MachineState.UP: frozenset({MachineState.DELETING}),
-    MachineState.DELETING: frozenset({MachineState.GONE}),
-    MachineState.GONE: frozenset[MachineState](),
+    MachineState.DELETING: frozenset({MachineState.DELETED}),
+    MachineState.DELETED: frozenset[MachineState](),
 }
 
 
@@ -326,11 +326,11 @@
     @property
     def heartbeat_expected(self) -> bool:
         """Ought to report."""
-        return self.state in (MachineState.UP, MachineState.UNSURE)
+        return self.state in (MachineState.UP, MachineState.UNCONFIRMED)
 
     def is_silent(self, now: timedelta, began: timedelta) -> bool:
         """Ought to have reported to the leader that began then, and has not of late."""
-        if self.state is MachineState.UNSURE:
+        if self.state is MachineState.UNCONFIRMED:
             return now - max(self.first_seen_at, began) > SOON_SURE
         return self.heartbeat_overdue
 
@@ -338,7 +338,7 @@
         """Takes work now, or will soon: once it has booted, or has reported to a new leader."""
         if self.zone_unreachable:
             return False
-        if self.state is MachineState.UNSURE:
+        if self.state is MachineState.UNCONFIRMED:
             return now - self.first_seen_at < SOON_SURE
         return self.state is MachineState.BOOTING or self.is_schedulable
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
-from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, Api
-from elmthread.api.service import Intake
+from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, RequestRouter
+from elmthread.api.service import JobService
 from elmthread.common.clock import Clock, seconds, steady
 from elmthread.common.load import Load
 from elmthread.leader import Leader, NodeServices
@@ -31,7 +31,7 @@
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform, split_address
-from elmthread.store.client import StateClient
+from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH, names_leader
 
@@ -84,7 +84,7 @@
             facts.workers.lease * QUIET,
             self.peers,
         )
-        self._state = StateClient(state or Client(platform.endpoints.state), self._requests, self.reachability.store)
+        self._state = KeyValueStore(state or Client(platform.endpoints.state), self._requests, self.reachability.store)
         self._cloud = cloud or Client(platform.endpoints.cloud)
         members = platform.members
         gate = CompatibilityGate(
@@ -113,7 +113,7 @@
         )
         self.load = Load(clock)
         self._features.on_change(self.peers.tell)
-        self.api = Api(
+        self.api = RequestRouter(
             platform.node,
             self.election,
             self.peers,
@@ -202,7 +202,7 @@
         self.reachability.leading.clear()
         self.peers.tell()
 
-    def _intake(self) -> Intake | None:
+    def _intake(self) -> JobService | None:
         if self.leader is not None and self.leader.loaded and self.election.leads():
             return self.leader.intake
         return None
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.api.jobs import Jobs
-from elmthread.api.service import Intake
-from elmthread.autoscaling.service import Sizing
-from elmthread.autoscaling.work import WorkModel
+from elmthread.api.jobs import JobFactory
+from elmthread.api.service import JobService
+from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.work import RunTimeModel
 from elmthread.cluster.state import ClusterState, Job
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.load import Kind, Load
@@ -18,21 +18,21 @@
     users_at_once,
 )
 from elmthread.machines.client import CloudClient
-from elmthread.machines.service import Fleet
+from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
-from elmthread.placement.service import Placement
+from elmthread.placement.service import Scheduler
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
 from elmthread.store.assignments import machine_frame
-from elmthread.store.client import StateClient
-from elmthread.store.loading import Loader
+from elmthread.store.client import KeyValueStore
+from elmthread.store.loading import StateLoader
 from elmthread.store.log import Slots, slot_bytes
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import Writer
-from elmthread.workers.service import Agents
+from elmthread.store.writer import RecordWriter
+from elmthread.workers.service import HeartbeatHandler
 
 log = logging.getLogger(__name__)
 
@@ -56,7 +56,7 @@
     platform: Platform
     operators: Operators
     election: Election
-    state: StateClient
+    state: KeyValueStore
     cloud: Caller
     clock: Clock
     load: Load
@@ -81,7 +81,7 @@
         self._clock = clock
         self.fencing_token = fencing_token
         facts = platform.facts
-        self._jobs = Jobs(facts, operators, rollout.features)
+        self._jobs = JobFactory(facts, operators, rollout.features)
         self._attempts = fencing_token * ATTEMPTS
         self._rentals = 0
         store = facts.state.kept()
@@ -98,7 +98,7 @@
             clock,
             self.term.step_down,
         )
-        self.writer = Writer(
+        self.writer = RecordWriter(
             state,
             fencing_token,
             self._slots,
@@ -107,10 +107,10 @@
             clock,
             lambda: self.term.step_down("a transaction found another leader"),
         )
-        self.work = WorkModel()
+        self.work = RunTimeModel()
         calls = TokenBucket(facts.cloud.rps * 0.9, max(1.0, facts.cloud.rps * 1.5), clock)
         unsure_until = clock() + node.election.unaccounted_for(facts.workers.lease)
-        self.fleet = Fleet(
+        self.fleet = MachineManager(
             self.cluster,
             CloudClient(node.cloud, calls, self.term.leads),
             self.writer,
@@ -125,7 +125,7 @@
             census,
             self.reachability.in_doubt,
         )
-        self.intake = Intake(
+        self.intake = JobService(
             self.cluster,
             self.term,
             self.writer,
@@ -139,7 +139,7 @@
             self.fleet.empty_by,
             rollout.features,
         )
-        self.agents = Agents(
+        self.agents = HeartbeatHandler(
             self.cluster,
             self.term,
             self.writer,
@@ -152,7 +152,7 @@
             lambda: self.placement.waiting,
             rollout.features,
         )
-        self.placement = Placement(
+        self.placement = Scheduler(
             self.cluster,
             {team.name: team for team in facts.teams},
             clock,
@@ -163,7 +163,7 @@
             self._expected,
             self.agents.health.forgive,
         )
-        self.sizing = Sizing(self.cluster, self.fleet, self.placement, self._expected, operators, clock)
+        self.sizing = Autoscaler(self.cluster, self.fleet, self.placement, self._expected, operators, clock)
         self.loaded = False
         self._change = asyncio.Event()
         self._shortfall = asyncio.Event()
@@ -196,14 +196,14 @@
         return f"r-{self.fencing_token}-{self._rentals}"
 
     def _expected(self, job: Job) -> timedelta:
-        return self.work.run_time(job.spec.job_class, job.spec.expected_s)
+        return self.work.run_time(job.spec.job_class, job.spec.expected_run_time_s)
 
     # Running
 
     async def run(self) -> None:
         """Loads the view, then serves until the term ends. Raises what the load raises."""
         rollout = TermRollout(self._rollout, self._state, self.writer, self._clock, self.fencing_token)
-        loader = Loader(
+        loader = StateLoader(
             self._state,
             self._slots,
             self.writer,
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -24,7 +24,7 @@
 from elmthread.store.client import (
     ConflictError,
     ExpiredError,
-    StateClient,
+    KeyValueStore,
     StoreError,
     StoreUnavailableError,
     UnknownOutcomeError,
@@ -96,7 +96,7 @@
     def __init__(
         self,
         node: str,
-        client: StateClient,
+        client: KeyValueStore,
         clock: Clock,
         ttl: timedelta,
         holding: timedelta,
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.election import Election, Role, Term
 from elmthread.net.http import Answer, NoResponseError
-from elmthread.store.client import StateClient
+from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from tests.world.loop import SimLoop, play
 
@@ -40,7 +40,7 @@
     loop = SimLoop()
     asyncio.set_event_loop(loop)
     caller = Renewals(loop, answer)
-    client = StateClient(caller, TokenBucket(100, 100, loop.clock))
+    client = KeyValueStore(caller, TokenBucket(100, 100, loop.clock))
     election = Election("a", client, loop.clock, TTL, HOLDING, lambda fencing_token: None, lambda: None)
     if role is not F:
         election.fencing_token = election.highest_seen_token = TOKEN
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -25,7 +25,7 @@
     rental_key,
     types_records,
 )
-from elmthread.store.writer import Rank, Writer
+from elmthread.store.writer import Rank, RecordWriter
 
 log = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True)
-class Order:
+class InstanceRequest:
     """A rental on its way: its machines count as coming."""
 
     name: str
@@ -82,12 +82,12 @@
     sent: bool = False
 
 
-class Fleet:
+class MachineManager:
     def __init__(
         self,
         cluster: ClusterState,
         cloud: CloudClient,
-        writer: Writer,
+        writer: RecordWriter,
         clock: Clock,
         lag: timedelta,
         lease: timedelta,
@@ -114,8 +114,8 @@
         self._changed = changed
         self._lacking = lacking
         self.types: dict[str, messages.MachineType] = {}
-        self.orders: dict[str, Order] = {}
-        self._ready: deque[Order] = deque()
+        self.orders: dict[str, InstanceRequest] = {}
+        self._ready: deque[InstanceRequest] = deque()
         self._refused: dict[Kind, tuple[timedelta, timedelta]] = {}
         self._missing: dict[str, int] = {}
         self._deleting: set[str] = set()
@@ -254,7 +254,7 @@
                     self.give_up(machine, "no longer listed")
 
     def _adopt(self, listed: messages.Listed, now: timedelta) -> Machine:
-        state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNSURE
+        state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNCONFIRMED
         machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
         self.describe(machine)
@@ -277,7 +277,7 @@
             count -= MOST_RENTED
         if count <= 0:
             return
-        order = Order(self._next_name(), kind, count, pool, self._clock())
+        order = InstanceRequest(self._next_name(), kind, count, pool, self._clock())
         self.orders[order.name] = order
         record = RentalRecord(kind.machine_type, kind.zone, kind.spot, pool)
         log.info("renting %s %s", count, kind)
@@ -289,7 +289,7 @@
         until = self._refused.get(kind)
         return until is not None and self._clock() < until[0]
 
-    async def _rent(self, order: Order) -> None:
+    async def _rent(self, order: InstanceRequest) -> None:
         if not self._leads():
             return
         kind = order.kind
@@ -336,7 +336,7 @@
         # Asked elsewhere at once: the next check would only find the same shortfall later.
         self._lacking()
 
-    def _over(self, order: Order) -> None:
+    def _over(self, order: InstanceRequest) -> None:
         self.orders.pop(order.name, None)
         self._writer.delete(rental_key(order.name))
         self._changed()
@@ -344,7 +344,7 @@
     # Ends
 
     def give_up(self, machine: Machine, why: str) -> None:
-        if machine.state in (MachineState.DELETING, MachineState.GONE):
+        if machine.state in (MachineState.DELETING, MachineState.DELETED):
             return
         log.info("%s is deleted: %s", machine.name, why)
         machine.transition_to(MachineState.DELETING)
@@ -362,7 +362,7 @@
             machine = self._cluster.machines.get(name)
             if machine is None:
                 continue
-            machine.transition_to(MachineState.GONE)
+            machine.transition_to(MachineState.DELETED)
             self._cluster.remove_machine(machine, now)
             self._refused.pop(Kind(machine.machine_type, machine.zone, machine.spot), None)
             self._missing.pop(name, None)
@@ -444,7 +444,7 @@
         if machine.last_response_at is None:
             return self._unsure_until
         until = machine.last_response_at + at_least(self._lease) + seconds(0.5)
-        return max(until, self._unsure_until) if machine.state is MachineState.UNSURE else until
+        return max(until, self._unsure_until) if machine.state is MachineState.UNCONFIRMED else until
 
     def _expire(self, machine: Machine, now: timedelta) -> None:
         """Releases the allocations of a machine whose lease has surely run out."""
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -9,7 +9,7 @@
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed, MachineType
-from elmthread.machines.service import MISSING, Fleet, Kind
+from elmthread.machines.service import MISSING, Kind, MachineManager
 from elmthread.net.http import Answer
 from elmthread.reachability.census import Census
 from elmthread.store.pacing import TokenBucket
@@ -51,12 +51,12 @@
         return Answer(200, {})
 
 
-def fleet(rps: float = 2.0) -> tuple[Cloud, ClusterState, Fleet]:
+def fleet(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
     cloud, cluster = Cloud(), ClusterState(100)
     asyncio.set_event_loop(cloud.loop)
     names = iter(f"r-1-{number}" for number in range(1000))
     clock = cloud.loop.clock
-    one = Fleet(
+    one = MachineManager(
         cluster,
         CloudClient(cloud, TokenBucket(rps * 0.9, rps * 1.5, clock), lambda: True),
         Store(),  # type: ignore[arg-type]
--- a/src/elmthread/placement/decide.py
+++ b/src/elmthread/placement/decide.py
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class TeamAllowance:
+class RemainingQuota:
     """What a team may still use."""
 
     cpus: float = math.inf
@@ -85,7 +85,7 @@
     )
 
 
-def fits(request: TaskRequest, slot: FreeCapacity, allowance: TeamAllowance, apart: bool = False) -> int:
+def fits(request: TaskRequest, slot: FreeCapacity, remaining_quota: RemainingQuota, apart: bool = False) -> int:
     """How many of the tasks the machine, the team's limit and the zones take.
 
     `apart`: no more of them on one machine than are to stand there if others have room.
@@ -100,11 +100,11 @@
         count = int((slot.record_bytes_left - request.record_bytes_per_job) // request.record_bytes_per_task)
     if apart and request.preferred_max_per_machine < math.inf:
         count = min(count, int(request.preferred_max_per_machine) - request.tasks_by_machine.get(slot.name, 0))
-    cpus = min(slot.cpus, allowance.cpus)
+    cpus = min(slot.cpus, remaining_quota.cpus)
     if request.cpus > 0:
         count = min(count, int(cpus / request.cpus + TINY))
     if request.gpus > 0:
-        count = min(count, int(min(slot.gpus, allowance.gpus) / request.gpus + TINY))
+        count = min(count, int(min(slot.gpus, remaining_quota.gpus) / request.gpus + TINY))
     if request.memory_gb > 0:
         count = min(count, int(slot.memory_gb / request.memory_gb + TINY))
     if request.max_per_zone < math.inf:
@@ -161,7 +161,7 @@
 
 
 def place(
-    requests: Iterable[TaskRequest], slots: Iterable[FreeCapacity], allowances: dict[str, TeamAllowance]
+    requests: Iterable[TaskRequest], slots: Iterable[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[tuple[TaskRequest, FreeCapacity, int]]:
     """Gives tasks to machines in the order of `requests`; slots, allowances and requests are used up.
 
@@ -180,19 +180,19 @@
             ).append(slot)
     groups = [_MachineGroup(some) for some in by_kind.values()]
     for request in requests:
-        allowance = allowances.setdefault(request.team, TeamAllowance())
+        remaining_quota = remaining_quotas.setdefault(request.team, RemainingQuota())
         if request.count <= 0:
             continue
-        if allowance.cpus + TINY < request.cpus:
+        if remaining_quota.cpus + TINY < request.cpus:
             if request.urgent:
-                keep_for(allowance)
+                keep_for(remaining_quota)
             continue
         if request.preferred_max_per_machine < math.inf:
-            _give(request, groups, cheapest, allowance, True, placed)
-        if request.count > 0 and allowance.cpus + TINY >= request.cpus:
-            _give(request, groups, cheapest, allowance, False, placed)
-        if request.urgent and request.count > 0 and allowance.cpus + TINY < request.cpus:
-            keep_for(allowance)
+            _give(request, groups, cheapest, remaining_quota, True, placed)
+        if request.count > 0 and remaining_quota.cpus + TINY >= request.cpus:
+            _give(request, groups, cheapest, remaining_quota, False, placed)
+        if request.urgent and request.count > 0 and remaining_quota.cpus + TINY < request.cpus:
+            keep_for(remaining_quota)
     return placed
 
 
@@ -200,7 +200,7 @@
     request: TaskRequest,
     groups: list[_MachineGroup],
     cheapest: float,
-    allowance: TeamAllowance,
+    remaining_quota: RemainingQuota,
     apart: bool,
     placed: list[tuple[TaskRequest, FreeCapacity, int]],
 ) -> None:
@@ -227,22 +227,22 @@
             for slot in group.slots:
                 ways[number].setdefault(way_to_image(request, slot), []).append(slot)
         for slot in ways[number].get(way, ()):
-            count = fits(request, slot, allowance, apart)
+            count = fits(request, slot, remaining_quota, apart)
             if count <= 0:
                 continue
-            take(request, slot, allowance, count)
+            take(request, slot, remaining_quota, count)
             group.sorted = False
             placed.append((request, slot, count))
-            if request.count <= 0 or allowance.cpus + TINY < request.cpus:
+            if request.count <= 0 or remaining_quota.cpus + TINY < request.cpus:
                 return
 
 
-def keep_for(allowance: TeamAllowance) -> None:
+def keep_for(remaining_quota: RemainingQuota) -> None:
     """What the team has left gathers for its urgent task, or smaller ones would take it each time."""
-    allowance.cpus = 0.0
+    remaining_quota.cpus = 0.0
 
 
-def take(request: TaskRequest, slot: FreeCapacity, allowance: TeamAllowance, count: int) -> None:
+def take(request: TaskRequest, slot: FreeCapacity, remaining_quota: RemainingQuota, count: int) -> None:
     request.count -= count
     request.tasks_by_zone[slot.zone] = request.tasks_by_zone.get(slot.zone, 0) + count
     slot.cpus -= count * request.cpus
@@ -253,8 +253,8 @@
         request.tasks_by_machine[slot.name] = request.tasks_by_machine.get(slot.name, 0) + count
     if request.image not in slot.cached_images:
         slot.images_being_fetched.add(request.image)
-    allowance.cpus -= count * request.cpus
-    allowance.gpus -= count * request.gpus
+    remaining_quota.cpus -= count * request.cpus
+    remaining_quota.gpus -= count * request.gpus
 
 
 @dataclass(slots=True)
@@ -275,7 +275,7 @@
     request: TaskRequest,
     slots: dict[str, FreeCapacity],
     candidates: dict[str, list[PreemptionCandidate]],
-    allowance: TeamAllowance,
+    remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
     """The tasks to stop so that `request` gets room: those that lose least for the room they give.
 
@@ -294,7 +294,7 @@
         chosen.append(candidate)
 
     # A team at its limit makes room for its urgent work itself, wherever its tasks run.
-    if allowance.cpus + TINY < request.count * request.cpus:
+    if remaining_quota.cpus + TINY < request.count * request.cpus:
         own = [
             one
             for held in candidates.values()
@@ -303,14 +303,14 @@
         ]
         own.sort(key=lambda candidate: candidate.loss)
         for candidate in own:
-            if allowance.cpus + TINY >= request.count * request.cpus:
+            if remaining_quota.cpus + TINY >= request.count * request.cpus:
                 break
-            allowance.cpus += candidate.cpus
-            allowance.gpus += candidate.gpus
+            remaining_quota.cpus += candidate.cpus
+            remaining_quota.gpus += candidate.gpus
             stop(candidate)
         if chosen:
-            place([request], slots.values(), {request.team: allowance})
-    if request.count <= 0 or allowance.cpus + TINY < request.cpus:
+            place([request], slots.values(), {request.team: remaining_quota})
+    if request.count <= 0 or remaining_quota.cpus + TINY < request.cpus:
         return chosen
     # One look at each machine, then the best again and again: only its own offer changes.
     offers: list[tuple[float, int, str]] = []
@@ -330,7 +330,7 @@
 
     for order, name in enumerate(candidates):
         offer(order, name)
-    while offers and request.count > 0 and allowance.cpus + TINY >= request.cpus:
+    while offers and request.count > 0 and remaining_quota.cpus + TINY >= request.cpus:
         _, order, name = heapq.heappop(offers)
         slot = slots[name]
         if not allowed(request, slot.machine_type, slot.zone, slot.spot):
@@ -342,7 +342,7 @@
             continue
         for candidate in some:
             stop(candidate)
-        take(request, slot, allowance, 1)
+        take(request, slot, remaining_quota, 1)
         offer(order, name)
     return chosen
 
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -15,7 +15,7 @@
     Job,
     JobState,
     Machine,
-    Stop,
+    StopMode,
     entry_size,
     task_size,
 )
@@ -23,8 +23,8 @@
 from elmthread.placement.decide import (
     FreeCapacity,
     PreemptionCandidate,
+    RemainingQuota,
     TaskRequest,
-    TeamAllowance,
     fits,
     place,
     preempt,
@@ -52,7 +52,7 @@
 LAST_CALL = 1.5
 
 
-class Placement:
+class Scheduler:
     def __init__(
         self,
         cluster: ClusterState,
@@ -92,7 +92,7 @@
         if not requests:
             self.waiting = False
             return
-        allowances = self.allowances()
+        remaining_quotas = self.remaining_quotas()
         machines = [
             machine
             for machine in self._cluster.up_machines()
@@ -101,7 +101,7 @@
         slots = {machine.name: _slot(machine, self._cluster) for machine in machines}
         touched: dict[str, Machine] = {}
         left = MOST_PLACED
-        for request, slot, count in place(requests, slots.values(), allowances):
+        for request, slot, count in place(requests, slots.values(), remaining_quotas):
             machine = self._cluster.machines[slot.name]
             job = self._cluster.jobs[request.job_id]
             for _ in range(min(count, left)):
@@ -118,14 +118,14 @@
             urgent = [request for request in requests if request.urgent and request.count > 0]
             if urgent:
                 self._preempted_at = now
-                self._make_room(urgent, allowances, now)
+                self._make_room(urgent, remaining_quotas, now)
 
     def limit(self, team: str) -> float:
         return self._teams[team].cpu_quota if team in self._teams else math.inf
 
-    def allowances(self) -> dict[str, TeamAllowance]:
+    def remaining_quotas(self) -> dict[str, RemainingQuota]:
         return {
-            name: TeamAllowance(
+            name: RemainingQuota(
                 team.cpu_quota - self._cluster.cpus_by_team.get(name, 0.0),
                 team.gpu_quota - self._cluster.gpus_by_team.get(name, 0.0),
             )
@@ -266,7 +266,9 @@
             else {},
         )
 
-    def _make_room(self, requests: list[TaskRequest], allowances: dict[str, TeamAllowance], now: timedelta) -> None:
+    def _make_room(
+        self, requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], now: timedelta
+    ) -> None:
         """Urgent work that lacks room requeues deferrable work."""
         slots = {
             machine.name: _slot(machine, self._cluster)
@@ -284,11 +286,11 @@
                     slot.cpus += spec.cpus
                     slot.gpus += spec.gpus
                     slot.memory_gb += spec.ram_gb
-                    allowances[spec.team].cpus += spec.cpus
-                    allowances[spec.team].gpus += spec.gpus
+                    remaining_quotas[spec.team].cpus += spec.cpus
+                    remaining_quotas[spec.team].gpus += spec.gpus
                 elif (
                     not allocation.job.urgent
-                    and allocation.state is not AllocationState.SAVING
+                    and allocation.state is not AllocationState.CHECKPOINTING
                     and not (len(allocation.job.allocations) == 1 and _unbegun(allocation.job, now))
                 ):
                     held.append(
@@ -303,20 +305,20 @@
                             allocation.job.priority_rank,
                         )
                     )
-        place(requests, slots.values(), allowances)
+        place(requests, slots.values(), remaining_quotas)
         for request in requests[:MOST_PREEMPTING]:
             if request.count <= 0:
                 continue
-            for candidate in preempt(request, slots, candidates, allowances[request.team]):
+            for candidate in preempt(request, slots, candidates, remaining_quotas[request.team]):
                 allocation = self._cluster.machines[candidate.machine].allocations[candidate.attempt]
                 log.debug("%s/%s gives way to %s", allocation.job.id, allocation.task, request.job_id)
-                allocation.stop_mode = Stop.SAVE
+                allocation.stop_mode = StopMode.CHECKPOINT
 
     def _loss(self, allocation: Allocation, now: timedelta) -> timedelta:
         if allocation.started_at is None:
             return ZERO
-        if allocation.job.spec.saves:
-            return seconds(allocation.job.spec.save_s)
+        if allocation.job.spec.makes_checkpoints:
+            return seconds(allocation.job.spec.checkpoint_duration_s)
         return now - allocation.started_at
 
     def _stop_for_recall(self, now: timedelta) -> None:
@@ -330,11 +332,11 @@
                     continue
                 if allocation.job.is_service and not self._should_move(allocation, left):
                     continue
-                allocation.stop_mode = Stop.SAVE
+                allocation.stop_mode = StopMode.CHECKPOINT
 
     def _should_move(self, allocation: Allocation, left: timedelta) -> bool:
         """A replica is moved as soon as another machine has room for it; until then it serves on."""
-        stopping = self._heartbeat_interval * LAST_CALL + seconds(allocation.job.spec.save_s)
+        stopping = self._heartbeat_interval * LAST_CALL + seconds(allocation.job.spec.checkpoint_duration_s)
         if allocation.started_at is None or left < stopping:
             return True
         return self.has_room(allocation)
@@ -346,7 +348,7 @@
         if zone in request.tasks_by_zone:
             request.tasks_by_zone[zone] -= 1
         return any(
-            fits(request, _slot(machine, self._cluster), TeamAllowance())
+            fits(request, _slot(machine, self._cluster), RemainingQuota())
             for machine in self._cluster.up_machines()
             if machine.is_schedulable
             and not machine.draining
@@ -376,7 +378,7 @@
 
 
 # An allocation in one of these states has its image fetched still.
-_COMING = frozenset({AllocationState.PLANNED, AllocationState.READY, AllocationState.FETCHING})
+_COMING = frozenset({AllocationState.PLANNED, AllocationState.COMMITTED, AllocationState.FETCHING})
 
 
 def _slot(machine: Machine, cluster: ClusterState) -> FreeCapacity:
--- a/src/elmthread/placement/tests/plain.py
+++ b/src/elmthread/placement/tests/plain.py
@@ -7,8 +7,8 @@
     TINY,
     FreeCapacity,
     PreemptionCandidate,
+    RemainingQuota,
     TaskRequest,
-    TeamAllowance,
     allowed,
     enough,
     fits,
@@ -28,32 +28,32 @@
 
 
 def place(
-    requests: list[TaskRequest], slots: list[FreeCapacity], allowances: dict[str, TeamAllowance]
+    requests: list[TaskRequest], slots: list[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[tuple[TaskRequest, FreeCapacity, int]]:
     """Gives tasks to machines in the order of `requests`; slots, allowances and requests are used up."""
     placed: list[tuple[TaskRequest, FreeCapacity, int]] = []
     cheapest = min((slot.price_per_core for slot in slots), default=0.0)
     open_slots = [slot for slot in slots if slot.cpus > TINY]
     for request in requests:
-        allowance = allowances.setdefault(request.team, TeamAllowance())
+        remaining_quota = remaining_quotas.setdefault(request.team, RemainingQuota())
         if request.count <= 0:
             continue
-        if allowance.cpus + TINY < request.cpus:
+        if remaining_quota.cpus + TINY < request.cpus:
             if request.urgent:
-                keep_for(allowance)
+                keep_for(remaining_quota)
             continue
         # Replicas stand apart as long as there is room for that, and wherever there is any after that.
         for apart in (True, False):
-            choice = [slot for slot in open_slots if fits(request, slot, allowance, apart)]
+            choice = [slot for slot in open_slots if fits(request, slot, remaining_quota, apart)]
             choice.sort(key=lambda slot: preference(request, slot, cheapest))
             for slot in choice:
-                count = fits(request, slot, allowance, apart)
+                count = fits(request, slot, remaining_quota, apart)
                 if count <= 0:
                     continue
-                take(request, slot, allowance, count)
+                take(request, slot, remaining_quota, count)
                 placed.append((request, slot, count))
-        if request.urgent and request.count > 0 and allowance.cpus + TINY < request.cpus:
-            keep_for(allowance)
+        if request.urgent and request.count > 0 and remaining_quota.cpus + TINY < request.cpus:
+            keep_for(remaining_quota)
         open_slots = [slot for slot in open_slots if slot.cpus > TINY]
     return placed
 
@@ -62,7 +62,7 @@
     request: TaskRequest,
     slots: dict[str, FreeCapacity],
     candidates: list[PreemptionCandidate],
-    allowance: TeamAllowance,
+    remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
     """The tasks to stop so that `request` gets room: those that lose least for the room they give.
 
@@ -77,11 +77,11 @@
     own = sorted(
         (candidate for candidate in candidates if candidate.team == request.team), key=lambda candidate: candidate.loss
     )
-    while own and allowance.cpus + TINY < request.count * request.cpus:
+    while own and remaining_quota.cpus + TINY < request.count * request.cpus:
         candidate = own.pop(0)
         by_machine[candidate.machine].remove(candidate)
-        allowance.cpus += candidate.cpus
-        allowance.gpus += candidate.gpus
+        remaining_quota.cpus += candidate.cpus
+        remaining_quota.gpus += candidate.gpus
         slot = slots.get(candidate.machine)
         if slot is not None:
             slot.cpus += candidate.cpus
@@ -89,8 +89,8 @@
             slot.memory_gb += candidate.memory_gb
         chosen.append(candidate)
     if chosen:
-        place([request], list(slots.values()), {request.team: allowance})
-    while request.count > 0 and allowance.cpus + TINY >= request.cpus:
+        place([request], list(slots.values()), {request.team: remaining_quota})
+    while request.count > 0 and remaining_quota.cpus + TINY >= request.cpus:
         best: tuple[float, list[PreemptionCandidate], FreeCapacity] | None = None
         for name, held in by_machine.items():
             slot = slots.get(name)
@@ -117,5 +117,5 @@
             slot.gpus += candidate.gpus
             slot.memory_gb += candidate.memory_gb
         chosen += some
-        take(request, slot, allowance, 1)
+        take(request, slot, remaining_quota, 1)
     return chosen
--- a/src/elmthread/placement/tests/test_decide.py
+++ b/src/elmthread/placement/tests/test_decide.py
@@ -11,8 +11,8 @@
 from elmthread.placement.decide import (
     FreeCapacity,
     PreemptionCandidate,
+    RemainingQuota,
     TaskRequest,
-    TeamAllowance,
     allowed,
     place,
     preempt,
@@ -66,8 +66,8 @@
     jobs.sort(key=lambda request: request.sort_key)
     before = {slot.name: (slot.cpus, slot.memory_gb) for slot in machines}
     counts = {request.job_id: request.count for request in jobs}
-    allowances = {"t1": TeamAllowance(float(limit)), "t2": TeamAllowance()}
-    placed = place(jobs, machines, allowances)
+    remaining_quotas = {"t1": RemainingQuota(float(limit)), "t2": RemainingQuota()}
+    placed = place(jobs, machines, remaining_quotas)
     used: dict[str, float] = {}
     team = 0.0
     where: dict[str, list[str]] = {}
@@ -98,7 +98,7 @@
                 fits = (
                     slot.cpus >= request.cpus
                     and slot.memory_gb >= request.memory_gb
-                    and allowances[request.team].cpus >= request.cpus
+                    and remaining_quotas[request.team].cpus >= request.cpus
                     and allowed(request, slot.machine_type, slot.zone, slot.spot)
                     and request.tasks_by_zone.get(slot.zone, 0) < request.max_per_zone
                 )
@@ -114,15 +114,15 @@
 def test_room_under_a_limit_gathers_for_urgent_work() -> None:
     """One core at a time came free and went to one-core tasks, so the two-core urgent one starved."""
     slot = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)
-    allowances = {"t": TeamAllowance(1.0)}
+    remaining_quotas = {"t": RemainingQuota(1.0)}
     urgent, other = request("u", 1, 2.0, urgent=True), request("o", 5, 1.0)
-    assert place([urgent, other], [slot], allowances) == []
+    assert place([urgent, other], [slot], remaining_quotas) == []
 
 
 def test_team_at_its_limit_makes_room_itself() -> None:
     slots = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)}
     candidates = [PreemptionCandidate(n, "m", team, 1.0, 0.0, 0.1) for n, team in enumerate(["t", "v", "t", "t"])]
-    chosen = preempt(request("u", 1, 2.0, urgent=True), slots, {"m": candidates}, TeamAllowance(0.0))
+    chosen = preempt(request("u", 1, 2.0, urgent=True), slots, {"m": candidates}, RemainingQuota(0.0))
     assert [candidate.team for candidate in chosen] == ["t", "t"]
 
 
@@ -134,7 +134,7 @@
         for n, (cpus, loss) in enumerate(held)
     ]
     slot = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, memory_gb=9.0)
-    chosen = preempt(request("u", 1, float(need)), {"m": slot}, {"m": list(candidates)}, TeamAllowance())
+    chosen = preempt(request("u", 1, float(need)), {"m": slot}, {"m": list(candidates)}, RemainingQuota())
     if free + sum(cpus for cpus, _ in held) < need or free >= need:
         assert chosen == []
     else:
@@ -146,7 +146,7 @@
 
 def crowd(
     rng: random.Random, machines: int, jobs: int
-) -> tuple[list[TaskRequest], list[FreeCapacity], dict[str, TeamAllowance]]:
+) -> tuple[list[TaskRequest], list[FreeCapacity], dict[str, RemainingQuota]]:
     """A cluster of three types in some zones, some machines full, some with images, and many jobs."""
     kinds = [("s", 4.0, 0.025, 0.2), ("m", 8.0, 0.031, 0.5), ("l", 64.0, 0.04, 0.6)]
     slots = []
@@ -197,7 +197,7 @@
             )
         )
     requests.sort(key=lambda request: request.sort_key)
-    return requests, slots, {"t1": TeamAllowance(300.0), "t2": TeamAllowance(90.0), "t3": TeamAllowance()}
+    return requests, slots, {"t1": RemainingQuota(300.0), "t2": RemainingQuota(90.0), "t3": RemainingQuota()}
 
 
 def test_shelves_place_as_the_plain_way_does() -> None:
@@ -217,7 +217,9 @@
 
         assert [request.count for request in one[0]] == [request.count for request in other[0]]
         assert worth(found) == worth(expected)
-        assert {team: allowance.cpus for team, allowance in one[2].items()} == {t: r.cpus for t, r in other[2].items()}
+        assert {team: remaining_quota.cpus for team, remaining_quota in one[2].items()} == {
+            t: r.cpus for t, r in other[2].items()
+        }
 
 
 def test_preemption_stops_what_the_plain_way_stops() -> None:
@@ -238,9 +240,9 @@
                 held: dict[str, list[PreemptionCandidate]] = {}
                 for candidate in candidates:
                     held.setdefault(candidate.machine, []).append(candidate)
-                chosen = preempt(need, by_name, held, TeamAllowance(rng.choice([4.0, 500.0])))
+                chosen = preempt(need, by_name, held, RemainingQuota(rng.choice([4.0, 500.0])))
             else:
-                chosen = plain.preempt(need, by_name, candidates, TeamAllowance(rng.choice([4.0, 500.0])))
+                chosen = plain.preempt(need, by_name, candidates, RemainingQuota(rng.choice([4.0, 500.0])))
             outcomes.append((sorted(candidate.attempt for candidate in chosen), need.count))
         assert outcomes[0] == outcomes[1]
 
@@ -248,7 +250,7 @@
 def test_the_work_of_a_round_does_not_grow_with_machines_times_jobs() -> None:
     """Counted in looks at a machine's room: each job looks at about what it takes, not at all machines."""
     looks = 0
-    requests, slots, allowances = crowd(random.Random(1), 600, 300)
+    requests, slots, remaining_quotas = crowd(random.Random(1), 600, 300)
 
     class Counted(FreeCapacity):
         def __getattribute__(self, name: str) -> object:
@@ -257,7 +259,7 @@
             return super().__getattribute__(name)
 
     counted = [Counted(**{name: getattr(slot, name) for name in FreeCapacity.__slots__}) for slot in slots]
-    placed = place(requests, counted, allowances)
+    placed = place(requests, counted, remaining_quotas)
     assert sum(count for _, _, count in placed) > 1000
     assert looks < 300 * 600 / 8, looks
 
@@ -269,5 +271,5 @@
         slot = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, memory_gb=9.0)
         need = request("u", 3, 2.0, urgent=True)
         need.priority_rank = rank
-        chosen = preempt(need, {"m": slot}, {"m": held}, TeamAllowance())
+        chosen = preempt(need, {"m": slot}, {"m": held}, RemainingQuota())
         assert sorted(candidate.priority_rank for candidate in chosen) == others
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -7,7 +7,7 @@
 from elmthread.api.messages import read_submission
 from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
-from elmthread.placement.service import BEGIN, PART, Placement
+from elmthread.placement.service import BEGIN, PART, Scheduler
 from elmthread.settings.platform import Team
 from tests.world.world import job as wire
 
@@ -15,7 +15,7 @@
 RUN = seconds(20)
 
 
-def make_cluster(rng: random.Random) -> tuple[ClusterState, Placement]:
+def make_cluster(rng: random.Random) -> tuple[ClusterState, Scheduler]:
     cluster = ClusterState(1000)
     for number in range(rng.randint(1, 6)):
         machine = Machine(f"m-{number}", "large", "east", False, MachineState.UP, ZERO)
@@ -40,12 +40,12 @@
             for _ in range(min(job.task_count, 3)):
                 attempt += 1
                 cluster.allocate(
-                    cluster.machines["m-0"], job, job.pending_tasks.popleft(), attempt, AllocationState.READY
+                    cluster.machines["m-0"], job, job.pending_tasks.popleft(), attempt, AllocationState.COMMITTED
                 )
         if rng.random() < 0.3:
             job.mark_done(job.task_count - 1)
     teams = {"red": Team("red", cpus=16.0, cpus_max=48.0), "blue": Team("blue")}
-    placement = Placement(
+    placement = Scheduler(
         cluster,
         teams,
         lambda: NOW,
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -13,7 +13,7 @@
 from elmthread.rollout.store import RolloutRecords, read_records
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.settings.platform import Platform
-from elmthread.store.client import StateClient, StoreError
+from elmthread.store.client import KeyValueStore, StoreError
 from elmthread.store.pacing import TokenBucket
 
 OK, FAILED = 0, 1
@@ -22,7 +22,7 @@
 
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Prints the state of the rollout."""
-    client = StateClient(
+    client = KeyValueStore(
         Client(platform.endpoints.state), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
     )
     members = platform.members
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -24,7 +24,7 @@
 from elmthread.rollout.store import read_records
 from elmthread.rollout.view import Announcement, RolloutView
 from elmthread.store import messages as store
-from elmthread.store.client import RejectedTransactionError, StateClient, StoreError
+from elmthread.store.client import KeyValueStore, RejectedTransactionError, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -75,7 +75,7 @@
         membership: Membership,
         supported: SupportedLevels,
         settings: RolloutSettings,
-        client: StateClient,
+        client: KeyValueStore,
         on_refused: Callable[[], None],
     ) -> None:
         """Without the rollout enabled a process is admitted at once, and announces nothing."""
--- a/src/elmthread/rollout/store.py
+++ b/src/elmthread/rollout/store.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from elmthread.rollout import messages
-from elmthread.store.client import StateClient, read_all
+from elmthread.store.client import KeyValueStore, read_all
 from elmthread.store.messages import Item
 
 PAGE = 200
@@ -16,7 +16,7 @@
     revision: int
 
 
-async def read_records(client: StateClient) -> RolloutRecords:
+async def read_records(client: KeyValueStore) -> RolloutRecords:
     """Reads page by page. Raises what the client raises."""
     items, revision = await read_all(client.page, messages.PREFIX, PAGE)
     return RolloutRecords(items, revision)
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -22,9 +22,9 @@
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
 from elmthread.store import messages as store
-from elmthread.store.client import ConflictError, StateClient, StoreError
+from elmthread.store.client import ConflictError, KeyValueStore, StoreError
 from elmthread.store.records import LEADER
-from elmthread.store.writer import Rank, Writer
+from elmthread.store.writer import Rank, RecordWriter
 
 log = logging.getLogger(__name__)
 
@@ -53,7 +53,7 @@
     """Reads and raises the level under one token."""
 
     def __init__(
-        self, context: RolloutContext, client: StateClient, writer: Writer, clock: Clock, fencing_token: int
+        self, context: RolloutContext, client: KeyValueStore, writer: RecordWriter, clock: Clock, fencing_token: int
     ) -> None:
         """The level counts as the first until `load`."""
         self._context = context
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -83,7 +83,7 @@
         page = await read_page(prefix, page.items[-1].key, most)
 
 
-class StateClient:
+class KeyValueStore:
     def __init__(self, caller: Caller, requests: TokenBucket, link: RoundTrips | None = None) -> None:
         """`link` is told of each request that was answered."""
         self._link = link
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from elmthread.api.jobs import Jobs
+from elmthread.api.jobs import JobFactory
 from elmthread.api.messages import BATCH, Submission
 from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import Clock, seconds
@@ -19,11 +19,11 @@
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
-from elmthread.store.client import StateClient, StoreUnavailableError, UnknownOutcomeError, read_all
+from elmthread.store.client import KeyValueStore, StoreUnavailableError, UnknownOutcomeError, read_all
 from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
 from elmthread.store.log import SLOTS, Slots, UnreadableRecordError
 from elmthread.store.records import LAYOUT
-from elmthread.store.writer import Rank, Writer
+from elmthread.store.writer import Rank, RecordWriter
 
 log = logging.getLogger(__name__)
 
@@ -33,14 +33,14 @@
 BREATH = 100
 
 
-class Loader:
+class StateLoader:
     def __init__(
         self,
-        state: StateClient,
+        state: KeyValueStore,
         slots: Slots,
-        writer: Writer,
+        writer: RecordWriter,
         cluster: ClusterState,
-        jobs: Jobs,
+        jobs: JobFactory,
         clock: Clock,
         set_types: Callable[[list[MachineType]], None],
         finished: Callable[[Job, int, Callable[[], None]], None],
@@ -167,7 +167,7 @@
     def _read_machine(self, key: str, value: Any) -> None:
         record = read_machine(value, self._supported)
         name = key.removeprefix("m/")
-        machine = Machine(name, record.machine_type, record.zone, record.spot, MachineState.UNSURE, self._clock())
+        machine = Machine(name, record.machine_type, record.zone, record.spot, MachineState.UNCONFIRMED, self._clock())
         machine.in_deferrable_pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
@@ -176,7 +176,7 @@
                 continue
             for task, attempt in zip(numbers[::2], numbers[1::2], strict=True):
                 if not job.is_done(task) and job.state is not JobState.DONE:
-                    self._cluster.allocate(machine, job, task, attempt, AllocationState.UNSEEN)
+                    self._cluster.allocate(machine, job, task, attempt, AllocationState.UNCONFIRMED)
 
 
 def _finished_spec(job_id: str, tasks: int) -> Submission:
@@ -196,9 +196,9 @@
         one_zone=False,
         spread=False,
         spot=True,
-        expected_s=0.0,
-        checkpoint_s=0.0,
-        save_s=0.0,
+        expected_run_time_s=0.0,
+        checkpoint_interval_s=0.0,
+        checkpoint_duration_s=0.0,
     )
 
 
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -71,7 +71,7 @@
         # limit they count for, must outlive the leader that cancelled it. Where they may run
         # matters no more: a job with a long list that larger values once took must stay
         # cancellable where values have become smaller.
-        spec = msgspec.structs.replace(job.spec, job_class="-", image="-", types=None, zone=None)
+        spec = msgspec.structs.replace(job.spec, job_class="-", image="-", machine_types=None, zone=None)
         return JobRecord(job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, spec)
     # What is over is kept for ever, so it is kept small.
     return JobRecord(job.state.value, job.task_count)
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from elmthread.store import messages
-from elmthread.store.client import StateClient
+from elmthread.store.client import KeyValueStore
 from elmthread.store.done_marks import chunk_tasks
 from elmthread.store.log import FRAME, SLOTS, Slots, UnreadableRecordError, pack, slot_bytes, text_of, weight
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.records import LEADER
-from elmthread.store.writer import Rank, Writer
+from elmthread.store.writer import Rank, RecordWriter
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
@@ -31,10 +31,10 @@
         self.store = StateStore(self.loop, random.Random(1), 8, VALUE)
         self.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "a"})]})
         self.trouble = Trouble()
-        client = StateClient(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
+        client = KeyValueStore(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
         self.lost: list[bool] = []
         fencing_token = self.store.items[LEADER][1]
-        self.writer = Writer(
+        self.writer = RecordWriter(
             client,
             fencing_token,
             Slots(slot_bytes(2)),
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -20,9 +20,9 @@
 from elmthread.store import messages
 from elmthread.store.client import (
     ConflictError,
+    KeyValueStore,
     RateLimitedError,
     RejectedTransactionError,
-    StateClient,
     StoreUnavailableError,
     UnknownOutcomeError,
 )
@@ -84,10 +84,10 @@
     """This leader is no more; nothing that waited was made durable by us."""
 
 
-class Writer:
+class RecordWriter:
     def __init__(
         self,
-        client: StateClient,
+        client: KeyValueStore,
         fencing_token: int,
         slots: Slots,
         changes: TokenBucket,
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from elmthread.autoscaling.work import WorkModel
+from elmthread.autoscaling.work import RunTimeModel
 from elmthread.cluster.state import (
     SEEN,
     Allocation,
@@ -23,7 +23,7 @@
     Job,
     Machine,
     MachineState,
-    Stop,
+    StopMode,
 )
 from elmthread.common.clock import Clock, at_least, seconds
 from elmthread.leadership.election import Term
@@ -32,7 +32,7 @@
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.assignments import machine_record
 from elmthread.store.records import machine_key
-from elmthread.store.writer import Rank, Writer
+from elmthread.store.writer import Rank, RecordWriter
 from elmthread.workers import messages
 from elmthread.workers.health import Health
 from elmthread.workers.messages import Heartbeat, Task
@@ -45,16 +45,20 @@
 MISSED = 3
 # A worker waits for an answer for so long.
 ANSWER_WAIT = seconds(4)
-STATES = {"fetching": AllocationState.FETCHING, "running": AllocationState.RUNNING, "saving": AllocationState.SAVING}
+STATES = {
+    "fetching": AllocationState.FETCHING,
+    "running": AllocationState.RUNNING,
+    "saving": AllocationState.CHECKPOINTING,
+}
 
 
-class Agents:
+class HeartbeatHandler:
     def __init__(
         self,
         cluster: ClusterState,
         term: Term,
-        writer: Writer,
-        work: WorkModel,
+        writer: RecordWriter,
+        work: RunTimeModel,
         clock: Clock,
         lease: timedelta,
         describe: Callable[[Machine], None],
@@ -154,7 +158,7 @@
             heartbeat.machine_type,
             heartbeat.zone,
             heartbeat.spot,
-            MachineState.UNSURE,
+            MachineState.UNCONFIRMED,
             self._clock(),
         )
         self._describe(machine)
@@ -225,7 +229,7 @@
                     allocation.state is AllocationState.PLANNED
                     and machine.allocations.get(allocation.attempt) is allocation
                 ):
-                    allocation.transition_to(AllocationState.READY)
+                    allocation.transition_to(AllocationState.COMMITTED)
             event = self._waiting.get(machine.name)
             if event is not None:
                 event.set()
@@ -247,7 +251,7 @@
 
         Returns the exited tasks, to be forgotten when that is safe, and stops of what nobody knows.
         """
-        if machine.state in (MachineState.BOOTING, MachineState.UNSURE):
+        if machine.state in (MachineState.BOOTING, MachineState.UNCONFIRMED):
             machine.transition_to(MachineState.UP)
             machine.idle_since = now
             self._changed()
@@ -313,8 +317,8 @@
         log.info("%s has %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
         if name is None or job is None or not 0 <= name[1] < job.task_count:
             return [messages.halt(task.name, task.attempt, 0.0)]
-        allocation = self._cluster.allocate(machine, job, name[1], task.attempt, AllocationState.UNSEEN)
-        allocation.stop_mode = Stop.KILL
+        allocation = self._cluster.allocate(machine, job, name[1], task.attempt, AllocationState.UNCONFIRMED)
+        allocation.stop_mode = StopMode.KILL
         self._seen(allocation, task, now)
         if name[1] in job.pending_tasks:
             job.pending_tasks.remove(name[1])
@@ -356,7 +360,7 @@
             machine.cached_images[job.spec.image] = job.spec.image_gb
             self.health.succeeded(machine, job)
             if allocation.started_at is not None and allocation.stop_mode is None:
-                self._work.saw(job.spec.job_class, job.spec.expected_s, now - allocation.started_at)
+                self._work.saw(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
         elif task.why == "error":
             log.info("%s failed on %s", task.name, machine.name)
             self.health.failed(machine, job, now)
@@ -378,11 +382,11 @@
         for allocation in list(machine.allocations.values()):
             job = allocation.job
             if not job.is_open or job.is_done(allocation.task):
-                allocation.stop_mode = Stop.KILL
+                allocation.stop_mode = StopMode.KILL
             elif (
                 allocation.stop_mode is None
                 and allocation.state is not AllocationState.PLANNED
-                and allocation.state is not AllocationState.READY
+                and allocation.state is not AllocationState.COMMITTED
             ):
                 # It runs, and is to run on: so it is with most.
                 continue
@@ -394,19 +398,23 @@
             )
             if (
                 unwanted
-                and allocation.state in (AllocationState.PLANNED, AllocationState.READY)
+                and allocation.state in (AllocationState.PLANNED, AllocationState.COMMITTED)
                 and not allocation.start_sent
             ):
                 # No start is on its way, so it is surely not there.
                 self._drop(allocation, now)
             elif allocation.stop_mode is not None:
-                grace = job.spec.save_s if allocation.stop_mode is Stop.SAVE and job.spec.saves else 0.0
+                grace = (
+                    job.spec.checkpoint_duration_s
+                    if allocation.stop_mode is StopMode.CHECKPOINT and job.spec.makes_checkpoints
+                    else 0.0
+                )
                 commands.append(messages.halt(name, allocation.attempt, grace))
-            elif allocation.state is AllocationState.READY and leads and not unwanted:
+            elif allocation.state is AllocationState.COMMITTED and leads and not unwanted:
                 allocation.start_sent = True
                 starts.append(messages.start(name, allocation.attempt))
         return commands + starts
 
 
 # An allocation in one of these states that a report leaves out is not on the machine.
-_MUST_BE_LISTED = SEEN | {AllocationState.UNSEEN}
+_MUST_BE_LISTED = SEEN | {AllocationState.UNCONFIRMED}
--- a/src/elmthread/workers/tests/test_health.py
+++ b/src/elmthread/workers/tests/test_health.py
@@ -29,7 +29,7 @@
     def runs(self, job: Job, machine: Machine) -> None:
         self.attempt += 1
         allocation = self.cluster.allocate(
-            machine, job, job.pending_tasks.popleft(), self.attempt, AllocationState.READY
+            machine, job, job.pending_tasks.popleft(), self.attempt, AllocationState.COMMITTED
         )
         allocation.started_at = ZERO
         allocation.transition_to(AllocationState.RUNNING)
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from elmthread.api.jobs import Jobs
+from elmthread.api.jobs import JobFactory
 from elmthread.api.messages import read_submission
 from elmthread.cluster.state import Job
 from elmthread.common.clock import seconds
@@ -333,7 +333,7 @@
 def test_services_are_urgent_whatever_the_operators_say() -> None:
     """Deferrable work is judged by its deadline; a service has none, and would wait beside all of it."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).facts
-    jobs = Jobs(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
+    jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
     spec = sent(daemon(1))
     assert jobs.new(read_submission(spec), seconds(0)).urgent
     assert not jobs.new(read_submission(spec | {"form": "batch"}), seconds(0)).urgent
@@ -375,6 +375,6 @@
     aims = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
     for kind, within, after in aims:
         facts.objectives.append(platform.Objective(kind, "gateway", within_s=within, after_s=after))
-        due.append(Jobs(facts, operators.load(None), ActiveFeatures()).new(spec, seconds(0)).deadline)
+        due.append(JobFactory(facts, operators.load(None), ActiveFeatures()).new(spec, seconds(0)).deadline)
     # An end is nothing that a service could be judged by.
     assert due == [seconds(3600), seconds(20), seconds(12), seconds(12)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from elmthread.api.service import Intake
-from elmthread.autoscaling.service import Sizing
+from elmthread.api.service import JobService
+from elmthread.autoscaling.service import Autoscaler
 from elmthread.leader import Leader
 from elmthread.placement import decide
-from elmthread.placement.service import Placement
+from elmthread.placement.service import Scheduler
 from elmthread.workers import messages
-from elmthread.workers.service import Agents
+from elmthread.workers.service import HeartbeatHandler
 from tests.test_world import day, set_apart
 from tests.world.counting import count_calls, count_changes
 from tests.world.world import World, job, start
@@ -195,8 +195,8 @@
     """Most of what reports list runs on as before: neither is it taken in again, nor weighed for a command."""
     work: Counter[str] = Counter()
 
-    count_calls(monkeypatch, work, Agents, "heartbeat")
-    count_calls(monkeypatch, work, Agents, "_seen")
+    count_calls(monkeypatch, work, HeartbeatHandler, "heartbeat")
+    count_calls(monkeypatch, work, HeartbeatHandler, "_seen")
     count_calls(monkeypatch, work, messages, "task_name")
 
     async def script(world: World) -> None:
@@ -219,7 +219,7 @@
 def test_an_answer_leaves_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
     """A round of decisions takes longer than an answer, and would hold it up on a small share."""
     events: list[str] = []
-    submit = Intake.submit
+    submit = JobService.submit
 
     def note(owner: type, name: str, event: str) -> None:
         real = getattr(owner, name)
@@ -235,10 +235,10 @@
         events.append("answer")
         return response
 
-    monkeypatch.setattr(Intake, "submit", answered)
+    monkeypatch.setattr(JobService, "submit", answered)
     note(Leader, "accepted", "durable")
-    note(Placement, "round", "round")
-    note(Sizing, "round", "round")
+    note(Scheduler, "round", "round")
+    note(Autoscaler, "round", "round")
 
     async def script(world: World) -> None:
         await asyncio.sleep(5)
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -19,7 +19,7 @@
 from elmthread.cluster.state import JobState
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
-from elmthread.store.loading import Loader
+from elmthread.store.loading import StateLoader
 from tests.world.earlier import newest
 from tests.world.world import World, start
 
@@ -156,7 +156,7 @@
             if rollout is not None and level not in rollout.supported and rollout.gate.admitted:
                 self._break(f"level {level} is active while {node} serves a version that does not read it")
 
-    def loaded(self, loader: Loader) -> None:
+    def loaded(self, loader: StateLoader) -> None:
         """A leader has loaded its view: it must be what the store holds, in whatever form."""
         self.loads += 1
         stored, finished = done_in_store(self._world), self._world.rules.finished
@@ -189,11 +189,11 @@
 def monitored(world: World) -> Iterator[RolloutMonitor]:
     """A monitor that sees every load of a leader as well."""
     monitor = RolloutMonitor(world)
-    load = Loader.load
+    load = StateLoader.load
 
-    async def watched(loader: Loader) -> None:
+    async def watched(loader: StateLoader) -> None:
         await load(loader)
         monitor.loaded(loader)
 
-    with mock.patch.object(Loader, "load", watched):
+    with mock.patch.object(StateLoader, "load", watched):
         yield monitor
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -19,7 +19,7 @@
 
 from elmthread.rollout.features import SUPPORTED
 from elmthread.rollout.settings import RolloutSettings
-from elmthread.store.loading import Loader
+from elmthread.store.loading import StateLoader
 from tests.world.loop import play
 from tests.world.rollouts import BEFORE, until_level
 from tests.world.world import ZONES, World, job
@@ -39,7 +39,7 @@
     world.store.limit(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
     world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else BEFORE)
-    transact, load = world.store._transact, Loader.load
+    transact, load = world.store._transact, StateLoader.load
 
     def noting(body: Any) -> Any:
         for change in body.get("then", []):
@@ -51,7 +51,7 @@
                         sizes[key[:2]].record_value(len(json.dumps(record, separators=(",", ":"))))
         return transact(body)
 
-    async def measured(loader: Loader) -> None:
+    async def measured(loader: StateLoader) -> None:
         began = time.process_time()
         await load(loader)
         counts["records in the last load"] = len(loader._slots._texts)
@@ -65,7 +65,7 @@
         world.kill(world.leader.api._node)  # type: ignore[union-attr]
         await asyncio.sleep(4)
 
-    with mock.patch.object(world.store, "_transact", noting), mock.patch.object(Loader, "load", measured):
+    with mock.patch.object(world.store, "_transact", noting), mock.patch.object(StateLoader, "load", measured):
         play(script(), world.loop)
     if world.rules.broken:
         raise AssertionError(world.rules.broken)
