--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -9,7 +9,7 @@
 from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
 from elmthread.api.service import JobService
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.common.load import Kind, Load
+from elmthread.common.load import OverloadControl, WorkClass
 from elmthread.leadership.election import Election
 from elmthread.net.http import UNSURE, MalformedBodyError, Request, Response, again, decode
 from elmthread.peers.link import Peers, PeerUnreachableError
@@ -23,7 +23,7 @@
 # Users wait 5 s for a submission and 2 s for a poll; the answer must be on its way before.
 ASK_TIME = {"submit": seconds(4), "withdraw": seconds(4), "status": seconds(1.5)}
 # What a node that has fallen behind refuses, and with what: the protocol's word for too much.
-KINDS = {"submit": Kind.SUBMITTING, "withdraw": Kind.ASKING, "status": Kind.ASKING}
+KINDS = {"submit": WorkClass.SUBMITTING, "withdraw": WorkClass.ASKING, "status": WorkClass.ASKING}
 # A node that knows a leader it can't reach leaves users to nodes that can, after this time.
 CUT_OFF = seconds(2.8)
 # Where nobody leads, no node is better than another: users are told at once when to come
@@ -50,7 +50,7 @@
         clock: Clock,
         intake: Callable[[], JobService | None],
         heartbeat: HeartbeatHandler,
-        load: Load,
+        load: OverloadControl,
         gate: CompatibilityGate,
     ) -> None:
         """The gate says whether this process may serve at all."""
@@ -114,7 +114,7 @@
     async def _ask(self, ask: ForwardedRequest) -> Response:
         if not self._gate.admitted:
             return self._elsewhere("not admitted")
-        if self._load.refuses(KINDS[ask.verb]):
+        if self._load.rejects(KINDS[ask.verb]):
             return TOO_MUCH
         if self._intake() is not None:
             return await self._here(ask)
@@ -183,7 +183,7 @@
         if ask.verb == WHICH_PROCESS:
             return ForwardedResponse(ask.number, 200, {"process": self._gate.process}, fencing_token=ask.fencing_token)
         intake = self._intake()
-        if ask.verb in KINDS and self._load.refuses(KINDS[ask.verb]):
+        if ask.verb in KINDS and self._load.rejects(KINDS[ask.verb]):
             response = TOO_MUCH
         elif intake is None or ask.fencing_token != intake.fencing_token:
             response = again(503, SOON, "not leading")
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -15,7 +15,7 @@
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.done_marks import done_record
 from elmthread.store.records import done_key, job_key, job_record
-from elmthread.store.writer import Rank, RecordWriter, WriterStoppedError
+from elmthread.store.writer import RecordWriter, WritePriority, WriterStoppedError
 
 log = logging.getLogger(__name__)
 
@@ -118,7 +118,7 @@
             job.durable_state = job.state_being_written
             self._changed()
 
-        stored = self._writer.written(job_key(job.id), Rank.USER, self._record(job), durable)
+        stored = self._writer.write_and_wait(job_key(job.id), WritePriority.USER, self._record(job), durable)
         self._storing[job.id] = stored
 
         def over(done: asyncio.Future[None]) -> None:
@@ -215,7 +215,9 @@
                 for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
                     self._writer.delete(done_key(job.id, chunk))
 
-            self._writer.write(job_key(job.id), Rank.DONE, self._record(job), stored)
+            self._writer.write(job_key(job.id), WritePriority.COMPLETION, self._record(job), stored)
             return
         chunk = task // job.tasks_per_chunk
-        self._writer.write(done_key(job.id, chunk), Rank.DONE, lambda: done_record(job, chunk, self._features), durable)
+        self._writer.write(
+            done_key(job.id, chunk), WritePriority.COMPLETION, lambda: done_record(job, chunk, self._features), durable
+        )
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.net.http import Response
 from elmthread.rollout.features import ActiveFeatures
-from elmthread.store.writer import Rank
+from elmthread.store.writer import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.world import job as wire
 
@@ -23,7 +23,9 @@
         self.waiting: list[tuple[Callable[[], Any], Callable[[], None], asyncio.Future[None]]] = []
         self.failing_since: timedelta | None = None
 
-    def written(self, key: str, rank: Rank, make: Callable[[], Any], after: Callable[[], None]) -> asyncio.Future[None]:
+    def write_and_wait(
+        self, key: str, rank: WritePriority, make: Callable[[], Any], after: Callable[[], None]
+    ) -> asyncio.Future[None]:
         stored = asyncio.get_running_loop().create_future()
         self.waiting.append((make, after, stored))
         return stored
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -12,7 +12,7 @@
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
 from elmthread.cluster.state import Allocation, ClusterState, Job, Machine, MachineState, StopMode
 from elmthread.common.clock import Clock, seconds
-from elmthread.machines.service import Kind, MachineManager
+from elmthread.machines.service import InstanceKind, MachineManager
 from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
 from elmthread.placement.service import Scheduler
 from elmthread.settings.operators import Operators
@@ -68,8 +68,8 @@
         self._whole: dict[str, float] = {}
         self._held: dict[str, tuple[float, float]] = {}
 
-    def round(self) -> None:
-        if not self._fleet.types:
+    def run_round(self) -> None:
+        if not self._fleet.machine_types:
             return
         now = self._clock()
         self._whole.clear()
@@ -127,14 +127,14 @@
         for_replicas = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in firm)
         for_replicas += sum(
             kind.cpus * order.count
-            for order in self._fleet.orders.values()
-            if not order.kind.spot and (kind := self._fleet.types.get(order.kind.machine_type)) is not None
+            for order in self._fleet.instance_requests.values()
+            if not order.kind.spot and (kind := self._fleet.machine_types.get(order.kind.machine_type)) is not None
         )
         booked = sum(m.service_cpus for m in firm)
         booked += _usable([request for request in waiting if not request.spot], self._placement.remaining_quotas())
         theta, delta = self._operators.theta, self._operators.delta
         # What will be booked by the time a machine rented now is up.
-        boot = seconds(max(kind.boot_s for kind in self._fleet.types.values()) * BOOT) + self._operators.check
+        boot = seconds(max(kind.boot_s for kind in self._fleet.machine_types.values()) * BOOT) + self._operators.check
         soon = booked + self._services.growth(now, booked) * boot.total_seconds()
         if demanding and (band(booked, for_replicas, theta, delta) is Band.RENT or soon > for_replicas):
             offers = self._offers([self._placement.request_of(job) for job in demanding])
@@ -166,8 +166,8 @@
                     m.memory_gb - m.memory_gb_used * firm_part,
                 )
             )
-        for order in self._fleet.orders.values():
-            kind = self._fleet.types.get(order.kind.machine_type)
+        for order in self._fleet.instance_requests.values():
+            kind = self._fleet.machine_types.get(order.kind.machine_type)
             if kind is not None:
                 where = (order.kind.machine_type, order.kind.zone, order.kind.spot)
                 slots += [
@@ -263,8 +263,10 @@
         self._order(chosen, pool=True)
 
     def _order(self, chosen: list[Offer], pool: bool) -> None:
-        for kind, count in Counter(Kind(offer.machine_type, offer.zone, offer.spot) for offer in chosen).items():
-            self._fleet.order(kind, count, pool)
+        for kind, count in Counter(
+            InstanceKind(offer.machine_type, offer.zone, offer.spot) for offer in chosen
+        ).items():
+            self._fleet.request_instances(kind, count, pool)
 
     def _groups(
         self,
@@ -311,13 +313,13 @@
                 # What replicas hold serves nobody else again.
                 supplies.append(Supply(0.0, machine.cpus - machine.service_cpus))
                 continue
-            kind = self._fleet.types[machine.machine_type]
+            kind = self._fleet.machine_types[machine.machine_type]
             age = (now - machine.first_seen_at).total_seconds()
             if age < kind.boot_s * 2:
                 # In whole seconds: what comes at about the same time is judged as one.
                 supplies.append(Supply(float(max(1, round(kind.boot_s * BOOT - age))), machine.cpus))
-        for order in self._fleet.orders.values():
-            coming = self._fleet.types.get(order.kind.machine_type)
+        for order in self._fleet.instance_requests.values():
+            coming = self._fleet.machine_types.get(order.kind.machine_type)
             if coming is not None and allowed(request, order.kind.machine_type, order.kind.zone, order.kind.spot):
                 supplies.append(Supply(coming.boot_s * BOOT, coming.cpus * order.count))
         return supplies
@@ -357,10 +359,10 @@
 
     def _offers(self, waiting: list[TaskRequest]) -> list[Offer]:
         offers = []
-        for kind in self._fleet.types.values():
+        for kind in self._fleet.machine_types.values():
             for zone in kind.zones:
                 for spot in (True, False):
-                    if self._fleet.refused(Kind(kind.name, zone, spot)):
+                    if self._fleet.is_unavailable(InstanceKind(kind.name, zone, spot)):
                         continue
                     if any(
                         allowed(request, kind.name, zone, spot)
@@ -386,7 +388,7 @@
 
     def _cheap(self, offers: list[Offer]) -> list[Offer]:
         """Those that don't cost much more a core than the cheapest kind, whether that can be had or not."""
-        cheapest = min(kind.spot_price / kind.cpus for kind in self._fleet.types.values() if kind.cpus)
+        cheapest = min(kind.spot_price / kind.cpus for kind in self._fleet.machine_types.values() if kind.cpus)
         return [offer for offer in offers if not dear(offer, cheapest)]
 
     def _fade(
@@ -464,7 +466,7 @@
                 and not machine.reserved
                 and now - machine.idle_since > patience
             ):
-                self._fleet.give_up(machine, "the pool is idle")
+                self._fleet.delete_machine(machine, "the pool is idle")
 
     def _idle_for(self, machine: Machine) -> timedelta:
         """Where services run, an ordinary machine is the only kind that some work may use: it is not
@@ -474,7 +476,7 @@
 
     def _patience(self, machine: Machine) -> timedelta:
         """How long an empty machine is kept: about as long as its like would take to boot."""
-        kind = self._fleet.types.get(machine.machine_type)
+        kind = self._fleet.machine_types.get(machine.machine_type)
         return max(IDLE, seconds(kind.boot_s)) if kind is not None else IDLE
 
     # Urgent pressure
@@ -494,9 +496,9 @@
             and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNCONFIRMED)
         ]
         cores = sum(m.cpus for m in outside)
-        for order in self._fleet.orders.values():
-            kind = self._fleet.types.get(order.kind.machine_type)
-            if not order.pool and kind is not None:
+        for order in self._fleet.instance_requests.values():
+            kind = self._fleet.machine_types.get(order.kind.machine_type)
+            if not order.for_deferrable_pool and kind is not None:
                 cores += kind.cpus * order.count
         match band(urgent, cores, self.theta, self._operators.delta):
             case Band.RENT:
@@ -539,7 +541,7 @@
         for machine in sorted(empty, key=lambda m: -m.price_per_core):
             if urgent <= most * (cores - machine.cpus):
                 cores -= machine.cpus
-                self._fleet.give_up(machine, "not needed")
+                self._fleet.delete_machine(machine, "not needed")
 
 
 def _usable(requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota]) -> float:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -34,7 +34,7 @@
 
     async def script(world: World) -> None:
         leader = await filled(world)
-        sizing, cluster, now = leader.sizing, leader.cluster, leader._clock()
+        sizing, cluster, now = leader.autoscaler, leader.cluster, leader._clock()
         asked: list[str] = []
         expected: Callable[[Job], timedelta] = sizing._expected
 
@@ -85,7 +85,7 @@
 
         monkeypatch.setattr(Autoscaler, "_places", places)
         monkeypatch.setattr(Autoscaler, "_running", summed)
-        sizing.round()
+        sizing.run_round()
         assert checked > 4 and sum(len(machine.allocations) for machine in cluster.machines.values()) > 60
         assert len(asked) == len(set(asked)) <= len(cluster.open_jobs)
 
@@ -106,7 +106,7 @@
         monkeypatch.setattr(MachineManager, "_expire", noted)
         up = [machine for machine in leader.cluster.machines.values() if machine.state is MachineState.UP]
         assert len(up) >= 6
-        leader.fleet._judge()
+        leader.machine_manager._judge()
         assert len(judged) <= 1
         # Silence, a notice or a doubt, and it is looked at.
         silent, noticed, quarantined = up[:3]
@@ -116,7 +116,7 @@
         quarantined.quarantined = True
         await asyncio.sleep(6)
         judged.clear()
-        leader.fleet._judge()
+        leader.machine_manager._judge()
         assert {silent.name, noticed.name, quarantined.name} <= {machine.name for machine in judged}
         assert silent.heartbeat_overdue and not noticed.heartbeat_overdue
 
--- a/src/elmthread/common/load.py
+++ b/src/elmthread/common/load.py
@@ -19,7 +19,7 @@
 TICK = seconds(0.1)
 
 
-class Kind(IntEnum):
+class WorkClass(IntEnum):
     """What may be refused, in this order."""
 
     DECIDING = 0
@@ -29,31 +29,31 @@
 
 # Behind by this much, the kind is refused. Users wait 5 s for a submission and 2 s for a poll,
 # and part of that has gone by in the queue already.
-BOUNDS = {Kind.DECIDING: seconds(0.5), Kind.SUBMITTING: seconds(1), Kind.ASKING: seconds(1.5)}
+BOUNDS = {WorkClass.DECIDING: seconds(0.5), WorkClass.SUBMITTING: seconds(1), WorkClass.ASKING: seconds(1.5)}
 # One long step, or a standstill, is over when it is seen; only what lasts is overload.
 LASTING = 3
 
 
-class Load:
+class OverloadControl:
     """How far the event loop is behind its timers, and what is refused for it."""
 
     def __init__(self, clock: Clock) -> None:
         """Nothing is behind at first."""
         self._clock = clock
         self._late: deque[timedelta] = deque([ZERO] * LASTING, maxlen=LASTING)
-        self._told: Kind | None = None
+        self._told: WorkClass | None = None
 
     async def run(self) -> None:
         """Measures for ever."""
         while True:
             began = self._clock()
             await asyncio.sleep(TICK.total_seconds())
-            self.note(self._clock() - began - TICK)
+            self.record_delay(self._clock() - began - TICK)
 
-    def note(self, late: timedelta) -> None:
+    def record_delay(self, late: timedelta) -> None:
         """A timer has fired this late."""
         self._late.append(late)
-        refused = max((kind for kind in Kind if self.refuses(kind)), default=None)
+        refused = max((kind for kind in WorkClass if self.rejects(kind)), default=None)
         if refused is not self._told:
             self._told = refused
             what = "nothing is refused" if refused is None else f"{refused.name.lower()} and less is refused"
@@ -64,6 +64,6 @@
         """The least of the last measurements: one long step counts for nothing."""
         return min(self._late)
 
-    def refuses(self, kind: Kind) -> bool:
+    def rejects(self, kind: WorkClass) -> bool:
         """Whether that kind of work is to be refused now."""
         return self.behind > BOUNDS[kind]
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -8,7 +8,7 @@
 from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, RequestRouter
 from elmthread.api.service import JobService
 from elmthread.common.clock import Clock, seconds, steady
-from elmthread.common.load import Load
+from elmthread.common.load import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
 from elmthread.limits import (
@@ -111,7 +111,7 @@
             gate.wait_admitted,
             self.reachability,
         )
-        self.load = Load(clock)
+        self.load = OverloadControl(clock)
         self._features.on_change(self.peers.tell)
         self.api = RequestRouter(
             platform.node,
@@ -204,7 +204,7 @@
 
     def _intake(self) -> JobService | None:
         if self.leader is not None and self.leader.loaded and self.election.leads():
-            return self.leader.intake
+            return self.leader.job_service
         return None
 
     async def _heartbeat(self, request: Request) -> Response:
@@ -218,7 +218,7 @@
             leader = self.leader
             if leader is None:
                 return response
-        return await leader.agents.heartbeat(request)
+        return await leader.heartbeat_handler.heartbeat(request)
 
     def hear(self, lead: LeaderAnnouncement) -> None:
         """What another node says about who leads and who comes to it."""
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -11,7 +11,7 @@
 from elmthread.autoscaling.work import RunTimeModel
 from elmthread.cluster.state import ClusterState, Job
 from elmthread.common.clock import Clock, seconds
-from elmthread.common.load import Kind, Load
+from elmthread.common.load import OverloadControl, WorkClass
 from elmthread.leadership.election import Election, Term
 from elmthread.limits import (
     LEADERS_PART,
@@ -29,7 +29,7 @@
 from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
 from elmthread.store.loading import StateLoader
-from elmthread.store.log import Slots, slot_bytes
+from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter
 from elmthread.workers.service import HeartbeatHandler
@@ -59,7 +59,7 @@
     state: KeyValueStore
     cloud: Caller
     clock: Clock
-    load: Load
+    load: OverloadControl
     reachability: Reachability
     rollout: RolloutContext
 
@@ -85,7 +85,7 @@
         self._attempts = fencing_token * ATTEMPTS
         self._rentals = 0
         store = facts.state.kept()
-        self._slots = Slots(slot_bytes(store.value_kb))
+        self._slots = RecordPages(slot_bytes(store.value_kb))
         rate = store.write_rps * LEADERS_PART
         self.cluster = ClusterState(self._slots.most, machine_frame)
         census = Census(self.cluster.machines, clock, reachability.bounds.heartbeat_timeout, clock())
@@ -94,7 +94,7 @@
             census,
             fencing_token,
             self.term.leads,
-            lambda stray: self.agents.is_news(stray),
+            lambda stray: self.heartbeat_handler.is_news(stray),
             clock,
             self.term.step_down,
         )
@@ -107,10 +107,10 @@
             clock,
             lambda: self.term.step_down("a transaction found another leader"),
         )
-        self.work = RunTimeModel()
+        self.run_times = RunTimeModel()
         calls = TokenBucket(facts.cloud.rps * 0.9, max(1.0, facts.cloud.rps * 1.5), clock)
         unsure_until = clock() + node.election.unaccounted_for(facts.workers.lease)
-        self.fleet = MachineManager(
+        self.machine_manager = MachineManager(
             self.cluster,
             CloudClient(node.cloud, calls, self.term.leads),
             self.writer,
@@ -125,45 +125,47 @@
             census,
             self.reachability.in_doubt,
         )
-        self.intake = JobService(
+        self.job_service = JobService(
             self.cluster,
             self.term,
             self.writer,
             clock,
             self._jobs.new,
-            lambda spec: self._jobs.can_run(spec, self.fleet.types.values()),
-            lambda: bool(self.fleet.types),
+            lambda spec: self._jobs.can_run(spec, self.machine_manager.machine_types.values()),
+            lambda: bool(self.machine_manager.machine_types),
             self.accepted,
             users_at_once(platform),
             facts.workers.cancel,
-            self.fleet.empty_by,
+            self.machine_manager.lease_expires_by,
             rollout.features,
         )
-        self.agents = HeartbeatHandler(
+        self.heartbeat_handler = HeartbeatHandler(
             self.cluster,
             self.term,
             self.writer,
-            self.work,
+            self.run_times,
             clock,
             facts.workers.lease,
-            self.fleet.describe,
-            self.intake.finished,
+            self.machine_manager.apply_machine_type,
+            self.job_service.finished,
             self.changed,
-            lambda: self.placement.waiting,
+            lambda: self.scheduler.has_waiting_tasks,
             rollout.features,
         )
-        self.placement = Scheduler(
+        self.scheduler = Scheduler(
             self.cluster,
             {team.name: team for team in facts.teams},
             clock,
             self._next_attempt,
             lambda: self._attempts,
             facts.workers.heartbeat_interval,
-            self.agents.assign,
+            self.heartbeat_handler.assign,
             self._expected,
-            self.agents.health.forgive,
+            self.heartbeat_handler.health.forgive,
+        )
+        self.autoscaler = Autoscaler(
+            self.cluster, self.machine_manager, self.scheduler, self._expected, operators, clock
         )
-        self.sizing = Autoscaler(self.cluster, self.fleet, self.placement, self._expected, operators, clock)
         self.loaded = False
         self._change = asyncio.Event()
         self._shortfall = asyncio.Event()
@@ -174,7 +176,7 @@
 
     def accepted(self) -> None:
         """A job came: late groups are rented for at once, not at the next check, though its answer goes first."""
-        self.placement.stale()
+        self.scheduler.invalidate_order()
         self._decide_after(ANSWER_PASSES)
 
     def _decide_after(self, passes: int) -> None:
@@ -196,7 +198,7 @@
         return f"r-{self.fencing_token}-{self._rentals}"
 
     def _expected(self, job: Job) -> timedelta:
-        return self.work.run_time(job.spec.job_class, job.spec.expected_run_time_s)
+        return self.run_times.run_time(job.spec.job_class, job.spec.expected_run_time_s)
 
     # Running
 
@@ -210,8 +212,8 @@
             self.cluster,
             self._jobs,
             self._clock,
-            self.fleet.set_types,
-            self.intake.finished,
+            self.machine_manager.set_machine_types,
+            self.job_service.finished,
             rollout,
             self._rollout.supported,
         )
@@ -221,7 +223,7 @@
         self.changed()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.writer.run())
-            group.create_task(self.fleet.run())
+            group.create_task(self.machine_manager.run())
             group.create_task(self._place())
             group.create_task(self._size())
             group.create_task(self.reachability.run())
@@ -239,13 +241,13 @@
             await self._time_to_decide()
             began = self._clock()
             if self.term.leads():
-                self.placement.round()
+                self.scheduler.run_round()
             await asyncio.sleep(self._pause(ROUND, began))
 
     async def _time_to_decide(self) -> None:
         """Decisions wait while there is not even time for answers, though not for ever."""
         for _ in range(MOST_PUT_OFF):
-            if not self._load.refuses(Kind.DECIDING):
+            if not self._load.rejects(WorkClass.DECIDING):
                 return
             await asyncio.sleep(ROUND.total_seconds())
 
@@ -262,7 +264,7 @@
             await self._time_to_decide()
             began = self._clock()
             if self.term.leads():
-                self.sizing.round()
+                self.autoscaler.run_round()
             await asyncio.sleep(self._pause(GATHER, began))
             try:
                 async with asyncio.timeout(self._operators.check.total_seconds()):
@@ -274,4 +276,4 @@
     def stop(self) -> None:
         """Ends what is under way; nothing more is written or asked of the cloud."""
         self.writer.stop()
-        self.fleet.stop()
+        self.machine_manager.stop()
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -228,7 +228,7 @@
             # Of an earlier process of this node: dead, since a node runs one process at a
             # time. Its lease need not be waited out.
             log.info("revoking the lease of an earlier process of this node")
-            await self._client.revoke(record.hold)
+            await self._client.revoke_lease(record.hold)
             return
         self.hear(item.stamp, record.node)
         self._found_fencing_token = item.stamp
@@ -251,13 +251,15 @@
     async def _win(self) -> int | None:
         """The grant of a term that was won."""
         sent = self._clock()
-        hold = await self._client.grant(self.ttl)
+        hold = await self._client.grant_lease(self.ttl)
         nonce = secrets.token_hex(8)
         value = msgspec.to_builtins(LeaderRecord(self._node, nonce, hold))
         try:
-            stamp = await self._client.commit([messages.guard(LEADER, 0)], [messages.put(LEADER, value, hold)])
+            stamp = await self._client.compare_and_swap(
+                [messages.guard(LEADER, 0)], [messages.put(LEADER, value, hold)]
+            )
         except ConflictError:
-            await self._client.revoke(hold)
+            await self._client.revoke_lease(hold)
             return None
         except UnknownOutcomeError:
             # It may have been applied: if so, the key tells, and the next round revokes it.
@@ -282,7 +284,7 @@
             pause = every
             sent = self._clock()
             try:
-                await self._client.extend(hold, timeout=self.ttl / 3)
+                await self._client.renew_lease(hold, timeout=self.ttl / 3)
             except ExpiredError:
                 self.step_down("the lease has ended")
                 break
@@ -303,7 +305,7 @@
                 pass
         self.step_down("no longer answering")
         try:
-            await self._client.revoke(hold)
+            await self._client.revoke_lease(hold)
         except (StoreUnavailableError, UnknownOutcomeError):
             log.debug("the old lease could not be given back")
 
@@ -344,7 +346,7 @@
             self._election.step_down(why)
 
 
-def _record(item: messages.Item) -> LeaderRecord:
+def _record(item: messages.KeyValue) -> LeaderRecord:
     try:
         return msgspec.convert(item.value, LeaderRecord)
     except msgspec.ValidationError as error:
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -25,7 +25,7 @@
     rental_key,
     types_records,
 )
-from elmthread.store.writer import Rank, RecordWriter
+from elmthread.store.writer import RecordWriter, WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True)
-class Kind:
+class InstanceKind:
     machine_type: str
     zone: str
     spot: bool
@@ -75,10 +75,10 @@
     """A rental on its way: its machines count as coming."""
 
     name: str
-    kind: Kind
+    kind: InstanceKind
     count: int
-    pool: bool
-    since: timedelta
+    for_deferrable_pool: bool
+    requested_at: timedelta
     sent: bool = False
 
 
@@ -113,10 +113,10 @@
         self._next_name = next_name
         self._changed = changed
         self._lacking = lacking
-        self.types: dict[str, messages.MachineType] = {}
-        self.orders: dict[str, InstanceRequest] = {}
+        self.machine_types: dict[str, messages.MachineType] = {}
+        self.instance_requests: dict[str, InstanceRequest] = {}
         self._ready: deque[InstanceRequest] = deque()
-        self._refused: dict[Kind, tuple[timedelta, timedelta]] = {}
+        self._refused: dict[InstanceKind, tuple[timedelta, timedelta]] = {}
         self._missing: dict[str, int] = {}
         self._deleting: set[str] = set()
         self._listed_at: timedelta | None = None
@@ -129,14 +129,14 @@
 
     # Machine types
 
-    def set_types(self, types: list[messages.MachineType]) -> None:
-        self.types = {kind.name: kind for kind in types}
+    def set_machine_types(self, types: list[messages.MachineType]) -> None:
+        self.machine_types = {kind.name: kind for kind in types}
         for machine in self._cluster.machines.values():
-            self.describe(machine)
+            self.apply_machine_type(machine)
         self._changed()
 
-    def describe(self, machine: Machine) -> None:
-        kind = self.types.get(machine.machine_type)
+    def apply_machine_type(self, machine: Machine) -> None:
+        kind = self.machine_types.get(machine.machine_type)
         if kind is not None:
             machine.cpus, machine.gpus, machine.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
             machine.image_fetch_rate = max(kind.fetch_gb_per_s, 0.001)
@@ -167,7 +167,7 @@
             for machine in self._cluster.machines.values()
             if machine.state is MachineState.DELETING and machine.name not in self._deleting
         ][:MOST_DELETED]
-        if not self.types and self._due(self._types_at, seconds(2)) and calls.take():
+        if not self.machine_types and self._due(self._types_at, seconds(2)) and calls.take():
             self._types_at = now
             self._spawn(self._learn_types())
         if doomed and calls.take():
@@ -179,7 +179,7 @@
             self._spawn(self._list())
         while self._ready and calls.take():
             self._spawn(self._rent(self._ready.popleft()))
-        if self.types and self._due(self._types_at, TYPES_EVERY) and calls.take(1, 1):
+        if self.machine_types and self._due(self._types_at, TYPES_EVERY) and calls.take(1, 1):
             self._types_at = now
             self._spawn(self._learn_types())
 
@@ -205,11 +205,11 @@
         except (CloudError, NoCapacityError) as error:
             log.info("types: %s", error)
             return
-        fresh = not self.types
-        self.set_types(types)
+        fresh = not self.machine_types
+        self.set_machine_types(types)
         if fresh:
             for key, some in types_records(types, self._writer.max_record_bytes).items():
-                self._writer.write(key, Rank.ASSIGN, partial(list, some))
+                self._writer.write(key, WritePriority.ASSIGNMENT, partial(list, some))
 
     # Lists
 
@@ -229,9 +229,9 @@
             log.info("list: %s", error)
             return
         if self._leads():
-            self.take_list(machines)
+            self.reconcile_with_list(machines)
 
-    def take_list(self, machines: list[messages.Listed]) -> None:
+    def reconcile_with_list(self, machines: list[messages.Listed]) -> None:
         now = self._clock()
         names = set()
         for listed in machines:
@@ -245,45 +245,47 @@
             self._missing.pop(listed.name, None)
             if listed.state == "failed":
                 # Stopped on its own. When it stopped is not known; the deletion's answer is proof.
-                self.give_up(machine, "listed as failed")
+                self.delete_machine(machine, "listed as failed")
         for machine in list(self._cluster.machines.values()):
             if machine.was_listed and machine.name not in names:
                 count = self._missing[machine.name] = self._missing.get(machine.name, 0) + 1
                 silent = machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > self._lag * 2
                 if count >= MISSING and silent:
-                    self.give_up(machine, "no longer listed")
+                    self.delete_machine(machine, "no longer listed")
 
     def _adopt(self, listed: messages.Listed, now: timedelta) -> Machine:
         state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNCONFIRMED
         machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
-        self.describe(machine)
+        self.apply_machine_type(machine)
         self._cluster.add_machine(machine)
         log.info("%s is in the list", machine.name)
         return machine
 
     # Rentals
 
-    def order(self, kind: Kind, count: int, pool: bool) -> None:
+    def request_instances(self, kind: InstanceKind, count: int, pool: bool) -> None:
         """Rents machines: the request's name is durable before it is sent, and never used again."""
         for waiting in self._ready:
             # What has not been sent yet takes more of its kind along: calls are few.
-            if waiting.kind == kind and waiting.pool == pool and not waiting.sent:
+            if waiting.kind == kind and waiting.for_deferrable_pool == pool and not waiting.sent:
                 more = min(count, MOST_RENTED - waiting.count)
                 waiting.count += more
                 count -= more
         while count > MOST_RENTED:
-            self.order(kind, MOST_RENTED, pool)
+            self.request_instances(kind, MOST_RENTED, pool)
             count -= MOST_RENTED
         if count <= 0:
             return
         order = InstanceRequest(self._next_name(), kind, count, pool, self._clock())
-        self.orders[order.name] = order
+        self.instance_requests[order.name] = order
         record = RentalRecord(kind.machine_type, kind.zone, kind.spot, pool)
         log.info("renting %s %s", count, kind)
-        self._writer.write(rental_key(order.name), Rank.ASSIGN, lambda: record, lambda: self._ready.append(order))
+        self._writer.write(
+            rental_key(order.name), WritePriority.ASSIGNMENT, lambda: record, lambda: self._ready.append(order)
+        )
 
-    def refused(self, kind: Kind) -> bool:
+    def is_unavailable(self, kind: InstanceKind) -> bool:
         if kind.zone in self._cut or self._in_doubt(kind.zone):
             return True
         until = self._refused.get(kind)
@@ -302,7 +304,7 @@
             return
         except CloudError as error:
             log.info("rental: %s", error)
-            if self._clock() - order.since < seconds(20):
+            if self._clock() - order.requested_at < seconds(20):
                 # The same name again: if it was carried out, the answer is the same.
                 self._ready.append(order)
             else:
@@ -315,16 +317,16 @@
             machine = self._cluster.machines.get(name)
             if machine is None:
                 machine = Machine(name, kind.machine_type, kind.zone, kind.spot, MachineState.BOOTING, now)
-                self.describe(machine)
+                self.apply_machine_type(machine)
                 self._cluster.add_machine(machine)
-            machine.in_deferrable_pool = order.pool
+            machine.in_deferrable_pool = order.for_deferrable_pool
         self._over(order)
         if len(names) < order.count:
             self._refuse(kind)
         else:
             self._refused.pop(kind, None)
 
-    def _refuse(self, kind: Kind) -> None:
+    def _refuse(self, kind: InstanceKind) -> None:
         _, pause = self._refused.get(kind, (None, REFUSED / 2))
         pause = min(pause * 2, REFUSED_MOST)
         log.info("no capacity for %s", kind)
@@ -337,13 +339,13 @@
         self._lacking()
 
     def _over(self, order: InstanceRequest) -> None:
-        self.orders.pop(order.name, None)
+        self.instance_requests.pop(order.name, None)
         self._writer.delete(rental_key(order.name))
         self._changed()
 
     # Ends
 
-    def give_up(self, machine: Machine, why: str) -> None:
+    def delete_machine(self, machine: Machine, why: str) -> None:
         if machine.state in (MachineState.DELETING, MachineState.DELETED):
             return
         log.info("%s is deleted: %s", machine.name, why)
@@ -364,7 +366,7 @@
                 continue
             machine.transition_to(MachineState.DELETED)
             self._cluster.remove_machine(machine, now)
-            self._refused.pop(Kind(machine.machine_type, machine.zone, machine.spot), None)
+            self._refused.pop(InstanceKind(machine.machine_type, machine.zone, machine.spot), None)
             self._missing.pop(name, None)
             self._writer.delete(machine_key(name))
         self._changed()
@@ -392,21 +394,21 @@
                 continue
             kept = CUT_KEPT if machine.zone_unreachable or self._in_doubt(machine.zone) else ZERO
             if machine.state is MachineState.BOOTING:
-                kind = self.types.get(machine.machine_type)
+                kind = self.machine_types.get(machine.machine_type)
                 bound = seconds(kind.boot_s) * BOOTS + BOOT_SLACK if kind else seconds(300)
                 if now - machine.first_seen_at > bound + kept:
-                    self.give_up(machine, "has not come up")
+                    self.delete_machine(machine, "has not come up")
                 continue
             machine.heartbeat_overdue = self._silence(machine, now) > quiet_after
             self._expire(machine, now)
             if machine.interruption_at is not None and now >= machine.interruption_at - TAKEN:
-                self.give_up(machine, "taken back")
+                self.delete_machine(machine, "taken back")
             elif machine.responses_lost_since is not None and now - machine.responses_lost_since > self._lease * DEAF:
-                self.give_up(machine, "our answers do not reach it")
+                self.delete_machine(machine, "our answers do not reach it")
             elif machine.quarantined and not machine.allocations:
-                self.give_up(machine, "fails tasks")
+                self.delete_machine(machine, "fails tasks")
             elif self._silence(machine, now) > self._lease + self._lag * 2 + kept:
-                self.give_up(machine, "silent")
+                self.delete_machine(machine, "silent")
             elif (
                 machine.service_cpus > 0
                 and not kept
@@ -414,7 +416,7 @@
                 and machine.state is MachineState.UP
                 and self._silence(machine, now) > self._lease * LIKELY_DEAD
             ):
-                self.give_up(machine, "silent, and its replicas are to return")
+                self.delete_machine(machine, "silent, and its replicas are to return")
 
     def _find_cut(self) -> None:
         total = self._census.total()
@@ -435,7 +437,7 @@
             last = self._unsure_until - self._lease
         return now - last
 
-    def empty_by(self, machine: Machine) -> timedelta:
+    def lease_expires_by(self, machine: Machine) -> timedelta:
         """When the machine's lease has surely run out, if no answer reaches it from now on.
 
         An earlier leader may have answered it for as long as it might hold, so a machine that
@@ -448,7 +450,7 @@
 
     def _expire(self, machine: Machine, now: timedelta) -> None:
         """Releases the allocations of a machine whose lease has surely run out."""
-        if machine.allocations and now > self.empty_by(machine):
+        if machine.allocations and now > self.lease_expires_by(machine):
             log.info("the lease of %s has run out", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id[0]
             self._cluster.release_all(machine, now)
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -9,20 +9,22 @@
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed, MachineType
-from elmthread.machines.service import MISSING, Kind, MachineManager
+from elmthread.machines.service import MISSING, InstanceKind, MachineManager
 from elmthread.net.http import Answer
 from elmthread.reachability.census import Census
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import Rank
+from elmthread.store.writer import WritePriority
 from tests.world.loop import SimLoop, play
 
-KIND = Kind("small", "east", True)
+KIND = InstanceKind("small", "east", True)
 
 
 class Store:
     """A writer that is durable at once."""
 
-    def write(self, key: str, rank: Rank, make: Callable[[], Any], after: Callable[[], None] | None = None) -> None:
+    def write(
+        self, key: str, rank: WritePriority, make: Callable[[], Any], after: Callable[[], None] | None = None
+    ) -> None:
         make()
         if after is not None:
             after()
@@ -71,7 +73,7 @@
         Census(cluster.machines, clock, seconds(4), clock()),
         lambda zone: False,
     )
-    one.set_types([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
+    one.set_machine_types([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
     return cloud, cluster, one
 
 
@@ -87,9 +89,9 @@
     async def main() -> None:
         running = asyncio.create_task(one.run())
         for number in range(500_000, 500_300):
-            one.give_up(machine(cluster, number), "silent")
+            one.delete_machine(machine(cluster, number), "silent")
         for _ in range(40):
-            one.order(KIND, 7, pool=True)
+            one.request_instances(KIND, 7, pool=True)
         await asyncio.sleep(12)
         running.cancel()
 
@@ -110,23 +112,23 @@
     cloud, cluster, one = fleet()
     up, booting = machine(cluster, 1), machine(cluster, 2, MachineState.BOOTING)
     seen = Listed(up.name, "small", "east", True, "running", 10.0)
-    one.take_list([seen])
+    one.reconcile_with_list([seen])
     # New ones are missing at first, and an older list may follow a newer one.
-    one.take_list([])
-    one.take_list([seen])
+    one.reconcile_with_list([])
+    one.reconcile_with_list([seen])
     for _ in range(MISSING - 1):
-        one.take_list([])
+        one.reconcile_with_list([])
     assert up.state is MachineState.UP and booting.state is MachineState.BOOTING
     # Left out again and again while it reports: it lives.
     up.last_heartbeat_at = cloud.loop.clock()
-    one.take_list([])
+    one.reconcile_with_list([])
     assert up.state is MachineState.UP
     cloud.loop.now = 30.0
-    one.take_list([])
+    one.reconcile_with_list([])
     assert up.state.name == "DELETING"
     # One that was deleted is no news when a late list still names it.
     cluster.remove_machine(up, cloud.loop.clock())
-    one.take_list([seen])
+    one.reconcile_with_list([seen])
     assert up.name not in cluster.machines
     # Names are not kept for ever.
     cluster.remove_machine(booting, cloud.loop.clock() + REMEMBERED * 2)
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -79,18 +79,18 @@
         self._ordered_at: timedelta | None = None
         self._preempted_at = ZERO
         # Tasks were left without room: a worker that has some may wait a moment for them.
-        self.waiting = False
+        self.has_waiting_tasks = False
 
-    def stale(self) -> None:
+    def invalidate_order(self) -> None:
         """Jobs came or went: their order is judged anew in the next round."""
         self._ordered_at = None
 
-    def round(self) -> None:
+    def run_round(self) -> None:
         now = self._clock()
         self._stop_for_recall(now)
         requests = self.requests(now)
         if not requests:
-            self.waiting = False
+            self.has_waiting_tasks = False
             return
         remaining_quotas = self.remaining_quotas()
         machines = [
@@ -113,7 +113,7 @@
                 break
         for machine in touched.values():
             self._assign(machine)
-        self.waiting = left <= 0 or any(request.count > 0 for request in requests)
+        self.has_waiting_tasks = left <= 0 or any(request.count > 0 for request in requests)
         if left > 0 and now - self._preempted_at >= PREEMPT_EVERY:
             urgent = [request for request in requests if request.urgent and request.count > 0]
             if urgent:
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -180,4 +180,4 @@
         key = messages.node_key(self._membership.node)
         # Without the first comparison a process could come up unseen beside an activation.
         guards = [store.guard(messages.LEVEL_KEY, view.level_stamp), store.guard(key, own_stamp)]
-        await self._client.commit(guards, [store.put(key, msgspec.to_builtins(record))])
+        await self._client.compare_and_swap(guards, [store.put(key, msgspec.to_builtins(record))])
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -13,7 +13,7 @@
 
 from elmthread.rollout.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
-from elmthread.store.messages import Item
+from elmthread.store.messages import KeyValue
 
 PREFIX = "rollout/"
 LEVEL_KEY = f"{PREFIX}level"
@@ -73,7 +73,7 @@
         raise UnreadableLevelError(f"{FENCE_KEY}: {error}") from error
 
 
-def read_view(items: Iterable[Item]) -> RolloutView:
+def read_view(items: Iterable[KeyValue]) -> RolloutView:
     """The rollout's state from all records under its prefix. Raises UnreadableLevelError."""
     level, level_stamp = FIRST_LEVEL, 0
     announcements: dict[str, Announcement | UnreadableAnnouncement] = {}
@@ -85,7 +85,7 @@
     return RolloutView(level, level_stamp, announcements)
 
 
-def _read_announcement(item: Item) -> Announcement | UnreadableAnnouncement:
+def _read_announcement(item: KeyValue) -> Announcement | UnreadableAnnouncement:
     try:
         record = msgspec.convert(item.value, AnnouncementRecord)
     except msgspec.ValidationError as error:
--- a/src/elmthread/rollout/store.py
+++ b/src/elmthread/rollout/store.py
@@ -4,7 +4,7 @@
 
 from elmthread.rollout import messages
 from elmthread.store.client import KeyValueStore, read_all
-from elmthread.store.messages import Item
+from elmthread.store.messages import KeyValue
 
 PAGE = 200
 
@@ -12,7 +12,7 @@
 class RolloutRecords(msgspec.Struct, frozen=True):
     """All records under the rollout's prefix, and a revision from which a watch sees what changes."""
 
-    items: list[Item]
+    items: list[KeyValue]
     revision: int
 
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -24,7 +24,7 @@
 from elmthread.store import messages as store
 from elmthread.store.client import ConflictError, KeyValueStore, StoreError
 from elmthread.store.records import LEADER
-from elmthread.store.writer import Rank, RecordWriter
+from elmthread.store.writer import RecordWriter, WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -73,7 +73,7 @@
         """Whether the level is read and raised. Without that, only the fence says what may be met and written."""
         return self._context.settings.enabled
 
-    def load(self, items: Iterable[store.Item], records: Mapping[str, Any]) -> None:
+    def load(self, items: Iterable[store.KeyValue], records: Mapping[str, Any]) -> None:
         """Takes in the active level. Raises IncompatibleLevelError and UnreadableLevelError."""
         if messages.FENCE_KEY in records:
             self._fence = messages.read_fence(records[messages.FENCE_KEY]).level
@@ -134,7 +134,7 @@
             return
         record = msgspec.to_builtins(messages.LevelRecord(plan.level, self._fencing_token))
         try:
-            await self._client.commit(guards, [store.put(messages.LEVEL_KEY, record)])
+            await self._client.compare_and_swap(guards, [store.put(messages.LEVEL_KEY, record)])
         except ConflictError as lost:
             log.info("compatibility level %s: not raised, as these have changed: %s", plan.level, lost.failed)
             self._planned = None
@@ -173,7 +173,7 @@
             self._fence = level
             self._context.features.learn(level)
 
-        self._writer.write(messages.FENCE_KEY, Rank.USER, lambda: messages.FenceRecord(level), durable)
+        self._writer.write(messages.FENCE_KEY, WritePriority.USER, lambda: messages.FenceRecord(level), durable)
 
     def _tell(self, obstacles: tuple[Obstacle, ...]) -> None:
         if obstacles == self._told:
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -68,12 +68,12 @@
 ReadPage = Callable[[str, str | None, int], Awaitable[messages.Page]]
 
 
-async def read_all(read_page: ReadPage, prefix: str, most: int) -> tuple[list[messages.Item], int]:
+async def read_all(read_page: ReadPage, prefix: str, most: int) -> tuple[list[messages.KeyValue], int]:
     """All records under a prefix, `most` to a page, and the revision of the first page.
 
     A watch from that revision sees whatever changes while the other pages are read. Raises what `read_page` raises.
     """
-    items: list[messages.Item] = []
+    items: list[messages.KeyValue] = []
     page = await read_page(prefix, None, most)
     first_revision = page.revision
     while True:
@@ -90,18 +90,18 @@
         self._caller = caller
         self._requests = requests
 
-    async def get(self, key: str) -> messages.Item | None:
+    async def get(self, key: str) -> messages.KeyValue | None:
         answer = await self._call("GET", f"/store/{key}")
         if answer.status == 404:
             return None
-        return _read(answer, messages.Item)
+        return _read(answer, messages.KeyValue)
 
     async def page(self, prefix: str, after: str | None, most: int) -> messages.Page:
         since = "" if after is None else f"&since={quote(after, safe='/')}"
         answer = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={most}")
         return _read(answer, messages.Page)
 
-    async def commit(
+    async def compare_and_swap(
         self, guards: list[dict[str, Any]], then: list[dict[str, Any]], timeout: timedelta = READ_TIME
     ) -> int:
         answer = await self._call("POST", "/txn", {"guards": guards, "then": then}, timeout)
@@ -111,29 +111,29 @@
             raise RejectedTransactionError(str(answer.body))
         return _read(answer, messages.Revision).revision
 
-    async def grant(self, ttl: timedelta) -> int:
+    async def grant_lease(self, ttl: timedelta) -> int:
         answer = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
-        return _read(answer, messages.Grant).hold
+        return _read(answer, messages.LeaseGrant).hold
 
-    async def extend(self, hold: int, timeout: timedelta) -> None:
+    async def renew_lease(self, hold: int, timeout: timedelta) -> None:
         # Renewals skip the pacing: room for them is kept by everything else.
         answer = await self._raw("POST", f"/grants/{hold}/extend", {}, timeout)
         if answer.status == 404:
             raise ExpiredError(f"grant {hold}")
         _known(answer, 200)
 
-    async def revoke(self, hold: int) -> None:
+    async def revoke_lease(self, hold: int) -> None:
         answer = await self._raw("DELETE", f"/grants/{hold}", None, READ_TIME)
         if answer.status != 404:
             _known(answer, 200)
 
-    async def watch(self, prefix: str, since: int, block: timedelta) -> messages.News:
+    async def watch(self, prefix: str, since: int, block: timedelta) -> messages.WatchEvents:
         ms = round(block.total_seconds() * 1000)
         path = f"/watch?starts={prefix}&since={since}&block_ms={ms}"
         answer = await self._call("GET", path, None, block + READ_TIME)
         if answer.status == 410:
             raise ExpiredError("watch")
-        return _read(answer, messages.News)
+        return _read(answer, messages.WatchEvents)
 
     async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = READ_TIME) -> Answer:
         if not self._requests.take():
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -21,9 +21,9 @@
 from elmthread.store.assignments import read_machine
 from elmthread.store.client import KeyValueStore, StoreUnavailableError, UnknownOutcomeError, read_all
 from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
-from elmthread.store.log import SLOTS, Slots, UnreadableRecordError
+from elmthread.store.log import SLOTS, RecordPages, UnreadableRecordError
 from elmthread.store.records import LAYOUT
-from elmthread.store.writer import Rank, RecordWriter
+from elmthread.store.writer import RecordWriter, WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         state: KeyValueStore,
-        slots: Slots,
+        slots: RecordPages,
         writer: RecordWriter,
         cluster: ClusterState,
         jobs: JobFactory,
@@ -110,15 +110,15 @@
             nonlocal left
             left -= 1
             if left <= 0:
-                self._writer.write(LAYOUT, Rank.TIDY, lambda: 2)
+                self._writer.write(LAYOUT, WritePriority.MAINTENANCE, lambda: 2)
 
         for item in found:
             view[item.key] = item.value
-            self._writer.write(item.key, Rank.TIDY, partial(_same, item.value), taken_over)
+            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), taken_over)
         if not found:
             taken_over()
 
-    async def _all(self, prefix: str) -> list[messages.Item]:
+    async def _all(self, prefix: str) -> list[messages.KeyValue]:
         items, _ = await read_all(self._page, prefix, PAGE)
         return items
 
--- a/src/elmthread/store/log.py
+++ b/src/elmthread/store/log.py
@@ -21,7 +21,7 @@
 FRAME = 64
 
 
-class SlotRecord(msgspec.Struct):
+class PageRecord(msgspec.Struct):
     number: int
     text: str
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Slot:
+class RecordPage:
     key: str
     stamp: int = 0
     # Every record that stands in it, current or not.
@@ -69,17 +69,17 @@
     live: int = 0
 
 
-class Slots:
+class RecordPages:
     """Where each record's newest durable version stands, and which slots may be written over."""
 
     def __init__(self, most: int) -> None:
         """`most` bytes of records go into one slot (`slot_bytes`)."""
         self.most = most
         self.number = 0
-        self._slots: dict[str, Slot] = {}
-        self._free: list[Slot] = []
+        self._slots: dict[str, RecordPage] = {}
+        self._free: list[RecordPage] = []
         self._taken: set[str] = set()
-        self._where: dict[str, Slot] = {}
+        self._where: dict[str, RecordPage] = {}
         self._texts: dict[str, str] = {}
         # Bytes of all that is current, and slots of larger values than are allowed now.
         self._live = 0
@@ -94,14 +94,14 @@
         read = []
         for key, value, stamp in items:
             try:
-                slot = msgspec.convert(value, SlotRecord)
+                slot = msgspec.convert(value, PageRecord)
                 records: dict[str, msgspec.Raw] = msgspec.json.decode(slot.text, type=dict[str, msgspec.Raw])
             except msgspec.MsgspecError as error:
                 raise UnreadableRecordError(f"{key}: {error}") from error
             read.append((slot.number, key, stamp, {name: bytes(raw).decode() for name, raw in records.items()}))
         read.sort(key=lambda one: one[0])
         for number, key, stamp, texts in read:
-            self._put(self._slots.setdefault(key, Slot(key)), stamp, texts)
+            self._put(self._slots.setdefault(key, RecordPage(key)), stamp, texts)
             self.number = max(self.number, number)
         return {name: msgspec.json.decode(text) for name, text in self._texts.items() if text != "null"}
 
@@ -110,13 +110,13 @@
     def __contains__(self, key: str) -> bool:
         return self._texts.get(key, "null") != "null"
 
-    def take(self) -> Slot:
+    def take(self) -> RecordPage:
         """A slot that may be written over; `written` must follow."""
         slot = self._free.pop() if self._free else self._new()
         self._taken.add(slot.key)
         return slot
 
-    def _new(self) -> Slot:
+    def _new(self) -> RecordPage:
         """A slot of a name that no other has.
 
         Numbers may be missing: of two transactions under way, the one that was to fill the earlier
@@ -125,15 +125,15 @@
         """
         names = (f"{SLOTS}{number:04d}" for number in count())
         key = next(name for name in names if name not in self._slots)
-        slot = self._slots[key] = Slot(key)
+        slot = self._slots[key] = RecordPage(key)
         return slot
 
-    def give_back(self, slot: Slot) -> None:
+    def give_back(self, slot: RecordPage) -> None:
         """A slot that was taken, and surely was not and will not be filled."""
         self._taken.discard(slot.key)
         self._free.append(slot)
 
-    def written(self, slot: Slot, stamp: int, texts: dict[str, str]) -> None:
+    def written(self, slot: RecordPage, stamp: int, texts: dict[str, str]) -> None:
         self._taken.discard(slot.key)
         self._put(slot, stamp, texts)
 
@@ -141,7 +141,7 @@
         self.number += 1
         return self.number
 
-    def _put(self, slot: Slot, stamp: int, texts: dict[str, str]) -> None:
+    def _put(self, slot: RecordPage, stamp: int, texts: dict[str, str]) -> None:
         before, slot.stamp, slot.keys = slot.keys, stamp, frozenset(texts)
         for key, text in texts.items():
             self._copies[key] = self._copies.get(key, 0) + 1
@@ -162,7 +162,7 @@
         if not slot.current and slot.key not in self._taken and slot not in self._free:
             self._free.append(slot)
 
-    def _outdate(self, slot: Slot, key: str) -> None:
+    def _outdate(self, slot: RecordPage, key: str) -> None:
         slot.current.discard(key)
         slot.live -= weight(key, self._texts[key])
         self._live -= weight(key, self._texts[key])
@@ -210,7 +210,7 @@
 
     def least_filled(self, busy: set[str], room: int) -> dict[str, str]:
         """Current records of the slot with the fewest bytes of them, if they fit into `room`."""
-        best: Slot | None = None
+        best: RecordPage | None = None
         for slot in self._slots.values():
             if (
                 slot.current
--- a/src/elmthread/store/messages.py
+++ b/src/elmthread/store/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Item(msgspec.Struct, rename={"key": "k"}):
+class KeyValue(msgspec.Struct, rename={"key": "k"}):
     key: str
     value: Any
     stamp: int
@@ -13,7 +13,7 @@
 
 
 class Page(msgspec.Struct, rename={"items": "pairs", "more": "has_next", "revision": "ledger_rev"}):
-    items: list[Item]
+    items: list[KeyValue]
     revision: int
     more: bool = False
 
@@ -27,11 +27,11 @@
     revision: int = 0
 
 
-class Grant(msgspec.Struct):
+class LeaseGrant(msgspec.Struct):
     hold: int
 
 
-class News(msgspec.Struct, rename={"revision": "ledger_rev"}):
+class WatchEvents(msgspec.Struct, rename={"revision": "ledger_rev"}):
     revision: int
     news: list[dict[str, Any]] = []
 
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -13,10 +13,10 @@
 from elmthread.store import messages
 from elmthread.store.client import KeyValueStore
 from elmthread.store.done_marks import chunk_tasks
-from elmthread.store.log import FRAME, SLOTS, Slots, UnreadableRecordError, pack, slot_bytes, text_of, weight
+from elmthread.store.log import FRAME, SLOTS, RecordPages, UnreadableRecordError, pack, slot_bytes, text_of, weight
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.records import LEADER
-from elmthread.store.writer import Rank, RecordWriter
+from elmthread.store.writer import RecordWriter, WritePriority
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
@@ -37,7 +37,7 @@
         self.writer = RecordWriter(
             client,
             fencing_token,
-            Slots(slot_bytes(2)),
+            RecordPages(slot_bytes(2)),
             TokenBucket(rate, rate, self.loop.clock),
             8,
             self.loop.clock,
@@ -49,7 +49,7 @@
 
     def read(self) -> dict[str, Any]:
         """What a new leader would find."""
-        return Slots(slot_bytes(2)).load(self.slots())
+        return RecordPages(slot_bytes(2)).load(self.slots())
 
 
 def test_many_changes_go_in_few_transactions_within_the_rate() -> None:
@@ -58,7 +58,7 @@
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
         for number in range(1200):
-            bench.writer.write(f"k/{number}", Rank.ASSIGN, lambda: {"text": "x" * 20})
+            bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
         assert len(bench.slots()) <= 20  # a burst of one second's worth, and a second's
         await asyncio.sleep(6)
@@ -76,10 +76,10 @@
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
         for number in range(1200):
-            bench.writer.write(f"k/{number}", Rank.TIDY, lambda: {"text": "x" * 20})
+            bench.writer.write(f"k/{number}", WritePriority.MAINTENANCE, lambda: {"text": "x" * 20})
         await asyncio.sleep(5.5)
         asked = bench.loop.now
-        await bench.writer.written("j/1", Rank.USER, lambda: {"n": 1}, lambda: None)
+        await bench.writer.write_and_wait("j/1", WritePriority.USER, lambda: {"n": 1}, lambda: None)
         assert bench.loop.now - asked < 0.3
         assert bench.writer._waiting
         task.cancel()
@@ -97,11 +97,11 @@
         for number in range(1, 30):
             value["n"] = number
             bench.trouble.late = 0.4
-            bench.writer.write("k/1", Rank.USER, lambda: dict(value))
+            bench.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
         bench.trouble.late = 0.0
         # The last writing is durable at the latest now; late copies go on arriving.
-        await bench.writer.written("k/1", Rank.USER, lambda: {"n": 99}, lambda: None)
+        await bench.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
             await asyncio.sleep(0.5)
             assert bench.read()["k/1"] == {"n": 99}
@@ -126,7 +126,7 @@
         bench.store.apply = noting  # type: ignore[method-assign]
         task = bench.loop.create_task(bench.writer.run())
         for number in range(60):
-            bench.writer.write(f"k/{number % 7}", Rank.USER, lambda number=number: {"n": number})  # type: ignore[misc]
+            bench.writer.write(f"k/{number % 7}", WritePriority.USER, lambda number=number: {"n": number})  # type: ignore[misc]
             if number % 5 == 4:
                 bench.writer.delete(f"k/{number % 3}")
             await asyncio.sleep(0.2)
@@ -146,7 +146,7 @@
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
         bench.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "b"})]})
-        bench.writer.write("k/1", Rank.USER, lambda: {"n": 1})
+        bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.lost and bench.read() == {}
         task.cancel()
@@ -171,14 +171,14 @@
                 bench.writer.delete(name)
             else:
                 plain[name] = {"n": number, "text": '"' * size}
-                bench.writer.write(name, Rank.ASSIGN, lambda value=plain[name]: value)  # type: ignore[misc]
+                bench.writer.write(name, WritePriority.ASSIGNMENT, lambda value=plain[name]: value)  # type: ignore[misc]
             if number % 9 == 0:
                 await asyncio.sleep(0.3)
         bench.trouble.lost = 0.0
         await asyncio.sleep(30)
         assert bench.read() == plain
         # A new leader's slots go on from there.
-        again = Slots(VALUE)
+        again = RecordPages(VALUE)
         again.load(bench.slots())
         assert all((name in again) == (name in plain) for name in (f"k/{key}" for key in range(41)))
         task.cancel()
@@ -194,8 +194,8 @@
         task = bench.loop.create_task(bench.writer.run())
         for number in range(2000):
             # Some records are written once and stay, most are written again and again.
-            bench.writer.write(f"cold/{number // 20}", Rank.USER, lambda: {"n": 1})
-            bench.writer.write(f"hot/{number % 10}", Rank.USER, lambda: {"text": "x" * 100})
+            bench.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
+            bench.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
             await asyncio.sleep(0.05)
         assert len(bench.read()) == 110
         assert len(bench.slots()) < 40
@@ -207,7 +207,7 @@
 def test_a_slot_that_cannot_be_read_is_named() -> None:
     for value in ({"number": 1, "text": "{"}, {"text": "{}"}, "{}", {"number": 1, "text": "[]"}):
         with pytest.raises(UnreadableRecordError, match="s/0003"):
-            Slots(VALUE).load([("s/0003", value, 5)])
+            RecordPages(VALUE).load([("s/0003", value, 5)])
 
 
 def test_record_larger_than_a_value_holds_up_nothing() -> None:
@@ -215,8 +215,8 @@
 
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
-        bench.writer.write("k/1", Rank.USER, lambda: {"text": "x" * VALUE})
-        bench.writer.write("k/2", Rank.USER, lambda: {"n": 1})
+        bench.writer.write("k/1", WritePriority.USER, lambda: {"text": "x" * VALUE})
+        bench.writer.write("k/2", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.read() == {"k/2": {"n": 1}}
         task.cancel()
@@ -249,7 +249,7 @@
         task = bench.loop.create_task(bench.writer.run())
         for number in range(12):
             key, text = f"k/{number}", "x" * (1500 if number == 5 else 100)
-            bench.writer.write(key, Rank.ASSIGN, partial(str, text), partial(stored.append, key))
+            bench.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
         await asyncio.sleep(20)
         assert not task.done()
         task.cancel()
@@ -269,7 +269,7 @@
         bench.store.limit(2.0, 8, 4.0)
         task = bench.loop.create_task(bench.writer.run())
         for number in range(200):
-            bench.writer.write(f"k/{number}", Rank.ASSIGN, lambda: "x" * 150)
+            bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
         assert len(bench.read()) == 200
         assert not task.done() and not bench.lost
@@ -281,12 +281,12 @@
 
 def test_large_slots_are_emptied_record_by_record() -> None:
     """What larger values held is carried into slots of the new size, whatever its size."""
-    large = Slots(slot_bytes(16))
+    large = RecordPages(slot_bytes(16))
     texts = {f"j/{number}": text_of("x" * 300) for number in range(40)}
     texts["j/long"] = text_of("y" * 3000)
     slot = large.take()
     large.written(slot, 5, texts)
-    small = Slots(slot_bytes(2))
+    small = RecordPages(slot_bytes(2))
     small.load([(slot.key, {"number": 7, "text": pack(texts)}, 5)])
     moved: dict[str, str] = {}
     for stamp in range(6, 40):
@@ -320,7 +320,7 @@
         assert writer._slots.load(bench.slots()) == {"k/0": 0, "k/1": 1, "k/3": 3}
         task = bench.loop.create_task(writer.run())
         for number in range(10, 14):
-            bench.writer.write(f"k/{number}", Rank.USER, lambda: "x" * 1500)
+            bench.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
         await asyncio.sleep(2)
         assert not bench.lost
         found = bench.read()
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -26,7 +26,7 @@
     StoreUnavailableError,
     UnknownOutcomeError,
 )
-from elmthread.store.log import Slot, SlotRecord, Slots, pack, text_of, weight
+from elmthread.store.log import PageRecord, RecordPage, RecordPages, pack, text_of, weight
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.records import LEADER
 
@@ -44,17 +44,22 @@
 ALONE = seconds(30)
 
 
-class Rank(IntEnum):
+class WritePriority(IntEnum):
     """What is written first, and (see GATHERED) how long it may gather."""
 
     USER = 0
-    ASSIGN = 1
-    DONE = 2
-    TIDY = 3
+    ASSIGNMENT = 1
+    COMPLETION = 2
+    MAINTENANCE = 3
 
 
 # What has waited for this long makes a transaction; whatever else waits goes with it.
-GATHERED = {Rank.USER: ZERO, Rank.ASSIGN: seconds(0.1), Rank.DONE: seconds(0.4), Rank.TIDY: seconds(5)}
+GATHERED = {
+    WritePriority.USER: ZERO,
+    WritePriority.ASSIGNMENT: seconds(0.1),
+    WritePriority.COMPLETION: seconds(0.4),
+    WritePriority.MAINTENANCE: seconds(5),
+}
 
 Make = Callable[[], Any]
 
@@ -64,7 +69,7 @@
     """A record whose value is made when it is written; None deletes it."""
 
     key: str
-    rank: Rank
+    rank: WritePriority
     make: Make
     since: timedelta
     after: list[Callable[[], None]] = field(default_factory=list)
@@ -74,7 +79,7 @@
 class Filled:
     """A slot on its way to the store."""
 
-    slot: Slot
+    slot: RecordPage
     number: int
     texts: dict[str, str] = field(default_factory=dict)
     size: int = 0
@@ -89,7 +94,7 @@
         self,
         client: KeyValueStore,
         fencing_token: int,
-        slots: Slots,
+        slots: RecordPages,
         changes: TokenBucket,
         most_ops: int,
         clock: Clock,
@@ -117,7 +122,7 @@
         """Bytes that one record may take in a slot."""
         return self._slots.most
 
-    def write(self, key: str, rank: Rank, make: Make, after: Callable[[], None] | None = None) -> None:
+    def write(self, key: str, rank: WritePriority, make: Make, after: Callable[[], None] | None = None) -> None:
         """Writes make()'s value soon; `after` is called once that, or something newer, is durable."""
         change = self._waiting.get(key)
         if change is None:
@@ -131,9 +136,11 @@
 
     def delete(self, key: str) -> None:
         if key in self._slots or key in self._waiting or key in self._busy:
-            self.write(key, Rank.TIDY, lambda: None)
+            self.write(key, WritePriority.MAINTENANCE, lambda: None)
 
-    def written(self, key: str, rank: Rank, make: Make, after: Callable[[], None]) -> asyncio.Future[None]:
+    def write_and_wait(
+        self, key: str, rank: WritePriority, make: Make, after: Callable[[], None]
+    ) -> asyncio.Future[None]:
         """Done once make()'s value is durable; `after` is called at that very moment."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self._stopped:
@@ -254,11 +261,11 @@
         then = []
         for one in filled:
             guards.append(messages.guard(one.slot.key, one.slot.stamp))
-            then.append(messages.put(one.slot.key, msgspec.to_builtins(SlotRecord(one.number, pack(one.texts)))))
+            then.append(messages.put(one.slot.key, msgspec.to_builtins(PageRecord(one.number, pack(one.texts)))))
         unsure = False
         while not self._stopped:
             try:
-                revision = await self._client.commit(guards, then)
+                revision = await self._client.compare_and_swap(guards, then)
             except StoreUnavailableError as error:
                 log.info("not written: %s", error)
                 self._failed()
@@ -341,7 +348,7 @@
             except (StoreUnavailableError, UnknownOutcomeError):
                 await asyncio.sleep(PAUSE.total_seconds())
                 continue
-            mine = item is not None and msgspec.convert(item.value, SlotRecord).number == one.number
+            mine = item is not None and msgspec.convert(item.value, PageRecord).number == one.number
             return item.stamp if mine and item is not None else None
         return None
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -32,7 +32,7 @@
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.assignments import machine_record
 from elmthread.store.records import machine_key
-from elmthread.store.writer import Rank, RecordWriter
+from elmthread.store.writer import RecordWriter, WritePriority
 from elmthread.workers import messages
 from elmthread.workers.health import Health
 from elmthread.workers.messages import Heartbeat, Task
@@ -235,7 +235,10 @@
                 event.set()
 
         self._writer.write(
-            machine_key(machine.name), Rank.ASSIGN, lambda: machine_record(machine, self._features), durable
+            machine_key(machine.name),
+            WritePriority.ASSIGNMENT,
+            lambda: machine_record(machine, self._features),
+            durable,
         )
 
     def is_news(self, stray: Stray) -> bool:
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -324,7 +324,7 @@
         assert await world.submit(daemon(1, true_s=35.0))
         await asyncio.sleep(150)
         assert world.leader is not None and world.leader.leader is not None
-        work = world.leader.leader.work
+        work = world.leader.leader.run_times
         assert work.correction("gateway") == 1.0 and work.correction("nightly") == 1.0
 
     day(script, machines=0)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.store.log import SLOTS, Slots, slot_bytes
+from elmthread.store.log import SLOTS, RecordPages, slot_bytes
 from tests.test_world import HISTORIES, TROUBLES, befall, day, restore
 from tests.world.world import NEXT, NODES, ZONES, World, daemon, job, start
 
@@ -53,7 +53,7 @@
 
 def records(world: World) -> dict[str, Any]:
     slots = [(k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)]
-    return Slots(slot_bytes(8)).load(slots)
+    return RecordPages(slot_bytes(8)).load(slots)
 
 
 @settings(HISTORIES, max_examples=25)
@@ -185,7 +185,7 @@
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large slots may still stand there until they are written over, but nothing in them is current.
-        slots = Slots(slot_bytes(NEXT["value_kb"]))
+        slots = RecordPages(slot_bytes(NEXT["value_kb"]))
         slots.load((k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS))
         assert not slots._large
         after = records(world)
@@ -256,7 +256,7 @@
         await asyncio.sleep(6)
         assert await world.submit(job(2, pieces=1), 5)
         assert world.leader is not None and world.leader.leader is not None
-        assert len(world.leader.leader.fleet.types) == TYPES_MANY + 2
+        assert len(world.leader.leader.machine_manager.machine_types) == TYPES_MANY + 2
         world.cloud.down = False
 
     def before(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -237,8 +237,8 @@
 
     monkeypatch.setattr(JobService, "submit", answered)
     note(Leader, "accepted", "durable")
-    note(Scheduler, "round", "round")
-    note(Autoscaler, "round", "round")
+    note(Scheduler, "run_round", "round")
+    note(Autoscaler, "run_round", "round")
 
     async def script(world: World) -> None:
         await asyncio.sleep(5)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from elmthread.store.log import SLOTS, Slots
+from elmthread.store.log import SLOTS, RecordPages
 from tests.test_world import day
 from tests.world.faults import errors_logged
 from tests.world.loop import play
@@ -32,7 +32,7 @@
         await asyncio.sleep(8)
         assert await world.poll("run-000002") == "done"
         slots = [(k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)]
-        assert Slots(8 * 1024).load(slots)["j/run-000002"] == {"state": "done", "tasks": 4}
+        assert RecordPages(8 * 1024).load(slots)["j/run-000002"] == {"state": "done", "tasks": 4}
 
     def before(world: World) -> None:
         spec = job(1, true_s=4.0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
-from elmthread.store.log import SLOTS, Slots, slot_bytes
+from elmthread.store.log import SLOTS, RecordPages, slot_bytes
 from tests.test_rollout import begin_old, fall, upgrade
 from tests.test_world import befall, day, restore
 from tests.world import earlier
@@ -75,7 +75,7 @@
         for job_id, marked in view.done.items():
             known = cluster.jobs[job_id]
             assert {task for task in range(known.task_count) if known.is_done(task)} == marked
-        assert set(world.leader.leader.fleet.types) == {kind["name"] for kind in view.types}
+        assert set(world.leader.leader.machine_manager.machine_types) == {kind["name"] for kind in view.types}
 
     def before(world: World) -> None:
         world.limits = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
@@ -132,7 +132,7 @@
                 over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
                 assert (machine, task) in view.holds or over, (machine, task)
             if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
-                known = Slots(slot_bytes(8)).load(
+                known = RecordPages(slot_bytes(8)).load(
                     (k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)
                 )
                 assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -21,7 +21,7 @@
 from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
-from elmthread.store.log import SlotRecord
+from elmthread.store.log import PageRecord
 from elmthread.store.records import JobRecord, RentalRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
@@ -32,7 +32,7 @@
 # By the name of a form, the type that the code writes and reads it with.
 FORMS: dict[str, Any] = {
     "leader": LeaderRecord,
-    "slot": SlotRecord,
+    "slot": PageRecord,
     "job": JobRecord,
     "done": DoneRecord | DoneBitmapRecord,
     "machine": MachineRecord | AssignmentRunsRecord,
