--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -150,7 +150,7 @@
     async def _here(self, ask: ForwardedRequest) -> Response:
         """Answers as the leader, with a view that is complete and a lease that surely holds."""
         intake = self._intake()
-        if intake is None or not self._election.leads():
+        if intake is None or not self._election.holds_lease():
             return again(503, SOON, "not leading")
         response = await self._from(intake, ask)
         if response.status != 503:
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -67,7 +67,7 @@
 
     def sure(self) -> bool:
         """Asked right before an answer leaves."""
-        return self._term.leads()
+        return self._term.holds_lease()
 
     async def submit(self, job_id: str, job: Submission | None, fault: str | None) -> Response:
         known = self._cluster.jobs.get(job_id)
@@ -91,7 +91,7 @@
             failed = await self._stored(known.id)
             if failed is not None:
                 return failed
-        if not self._term.leads():
+        if not self._term.holds_lease():
             return again(503, SOON, "not leading")
         return self._tell(known, Response(201 if created else 200, self._describe(known)))
 
@@ -173,7 +173,7 @@
                 return failed
             if job.durable_state is not job.state:
                 return again(503, SOON, "not durable yet")
-        if not self._term.leads():
+        if not self._term.holds_lease():
             return again(503, SOON, "not leading")
         assert job.durable_state is not None
         return self._tell(job, Response(200, messages.status(job.id, job.durable_state.value)))
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -155,7 +155,7 @@
         """
         while True:
             await asyncio.sleep(CHECK_EVERY.total_seconds())
-            if self.election.role is not Role.HOLDING:
+            if self.election.role is not Role.LEASE_UNCERTAIN:
                 continue
             asked, fencing_token = self._clock(), self.election.fencing_token
             asks = [self._confirms_no_later_term(other.node, fencing_token) for other in self._platform.others]
@@ -203,7 +203,7 @@
         self.peers.tell()
 
     def _intake(self) -> JobService | None:
-        if self.leader is not None and self.leader.loaded and self.election.leads():
+        if self.leader is not None and self.leader.loaded and self.election.holds_lease():
             return self.leader.job_service
         return None
 
@@ -222,7 +222,7 @@
 
     def hear(self, lead: LeaderAnnouncement) -> None:
         """What another node says about who leads and who comes to it."""
-        self.election.hear(lead.fencing_token, lead.leader)
+        self.election.observe_term(lead.fencing_token, lead.leader)
         if lead.level is not msgspec.UNSET:
             self._hear_level(lead.level)
         if lead.node:
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -93,7 +93,7 @@
             reachability,
             census,
             fencing_token,
-            self.term.leads,
+            self.term.holds_lease,
             lambda stray: self.heartbeat_handler.is_news(stray),
             clock,
             self.term.step_down,
@@ -109,16 +109,16 @@
         )
         self.run_times = RunTimeModel()
         calls = TokenBucket(facts.cloud.rps * 0.9, max(1.0, facts.cloud.rps * 1.5), clock)
-        unsure_until = clock() + node.election.unaccounted_for(facts.workers.lease)
+        unsure_until = clock() + node.election.failover_delay(facts.workers.lease)
         self.machine_manager = MachineManager(
             self.cluster,
-            CloudClient(node.cloud, calls, self.term.leads),
+            CloudClient(node.cloud, calls, self.term.holds_lease),
             self.writer,
             clock,
             facts.cloud.list_lag,
             facts.workers.lease,
             unsure_until,
-            self.term.leads,
+            self.term.holds_lease,
             self._next_rental,
             self.changed,
             self._lacking,
@@ -240,7 +240,7 @@
             self._change.clear()
             await self._time_to_decide()
             began = self._clock()
-            if self.term.leads():
+            if self.term.holds_lease():
                 self.scheduler.run_round()
             await asyncio.sleep(self._pause(ROUND, began))
 
@@ -263,7 +263,7 @@
             self._shortfall.clear()
             await self._time_to_decide()
             began = self._clock()
-            if self.term.leads():
+            if self.term.holds_lease():
                 self.autoscaler.run_round()
             await asyncio.sleep(self._pause(GATHER, began))
             try:
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -44,13 +44,13 @@
 
     FOLLOWER = auto()
     LEADING = auto()
-    HOLDING = auto()
+    LEASE_UNCERTAIN = auto()
 
 
 ROLE_STEPS = {
     Role.FOLLOWER: frozenset({Role.LEADING}),
-    Role.LEADING: frozenset({Role.HOLDING, Role.FOLLOWER}),
-    Role.HOLDING: frozenset({Role.LEADING, Role.FOLLOWER}),
+    Role.LEADING: frozenset({Role.LEASE_UNCERTAIN, Role.FOLLOWER}),
+    Role.LEASE_UNCERTAIN: frozenset({Role.LEADING, Role.FOLLOWER}),
 }
 
 
@@ -82,12 +82,12 @@
         return usual
 
 
-class LeaderRecord(msgspec.Struct):
+class LeaderRecord(msgspec.Struct, rename={"lease_id": "hold"}):
     """The value of the leader key."""
 
     node: str
     nonce: str
-    hold: int
+    lease_id: int
 
 
 class Election:
@@ -112,7 +112,7 @@
         self._client = client
         self._clock = clock
         self.ttl = ttl
-        self.holding = holding
+        self.grace_period = holding
         self._won = won
         self._lost = lost
         self.role = Role.FOLLOWER
@@ -133,20 +133,20 @@
     def _move(self, new: Role) -> None:
         self.role = step(self._node, ROLE_STEPS, self.role, new)
 
-    def leads(self) -> bool:
+    def holds_lease(self) -> bool:
         """The lease surely holds now: this node may write, start and answer users."""
         if self.role is Role.LEADING and self._clock() >= self._sure_until:
-            self._move(Role.HOLDING)
+            self._move(Role.LEASE_UNCERTAIN)
         return self.role is Role.LEADING
 
-    def answers_workers(self) -> bool:
+    def may_answer_workers(self) -> bool:
         """Whether workers may be answered: the lease surely holds, or the holding time is not over."""
-        if self.leads():
+        if self.holds_lease():
             return True
         since = max(self._sure_until, self._no_later_term_at)
-        if self.role is Role.HOLDING and self._clock() >= since + at_most(self.holding):
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + at_most(self.grace_period):
             self.step_down("held for as long as allowed")
-        return self.role is Role.HOLDING
+        return self.role is Role.LEASE_UNCERTAIN
 
     # Who else may have won
 
@@ -168,11 +168,11 @@
         if self.fencing_token == fencing_token:
             self._no_later_term_at = max(self._no_later_term_at, asked)
 
-    def unaccounted_for(self, lease: timedelta) -> timedelta:
+    def failover_delay(self, lease: timedelta) -> timedelta:
         """How long after winning a silent machine may still keep what an earlier leader gave it."""
-        return at_least(self.holding + lease) + seconds(1)
+        return at_least(self.grace_period + lease) + seconds(1)
 
-    def hear(self, fencing_token: int, leader: str | None) -> None:
+    def observe_term(self, fencing_token: int, leader: str | None) -> None:
         """A peer or a worker tells of a leadership."""
         if fencing_token <= self.highest_seen_token:
             if fencing_token == self.highest_seen_token and leader is not None:
@@ -228,10 +228,10 @@
             # Of an earlier process of this node: dead, since a node runs one process at a
             # time. Its lease need not be waited out.
             log.info("revoking the lease of an earlier process of this node")
-            await self._client.revoke_lease(record.hold)
+            await self._client.revoke_lease(record.lease_id)
             return
-        self.hear(item.stamp, record.node)
-        self._found_fencing_token = item.stamp
+        self.observe_term(item.mod_revision, record.node)
+        self._found_fencing_token = item.mod_revision
         revision = page.revision
         while True:
             news = await self._client.watch(LEADER, revision, self._standing.watch_time(WATCH))
@@ -242,49 +242,49 @@
     async def _stand(self) -> None:
         self._stands = True
         try:
-            hold = await self._win()
+            lease_id = await self._win()
         finally:
             self._stands = False
-        if hold is not None:
-            await self._keep(hold)
+        if lease_id is not None:
+            await self._keep(lease_id)
 
     async def _win(self) -> int | None:
         """The grant of a term that was won."""
         sent = self._clock()
-        hold = await self._client.grant_lease(self.ttl)
+        lease_id = await self._client.grant_lease(self.ttl)
         nonce = secrets.token_hex(8)
-        value = msgspec.to_builtins(LeaderRecord(self._node, nonce, hold))
+        value = msgspec.to_builtins(LeaderRecord(self._node, nonce, lease_id))
         try:
-            stamp = await self._client.compare_and_swap(
-                [messages.guard(LEADER, 0)], [messages.put(LEADER, value, hold)]
+            mod_revision = await self._client.compare_and_swap(
+                [messages.compare(LEADER, 0)], [messages.put(LEADER, value, lease_id)]
             )
         except ConflictError:
-            await self._client.revoke_lease(hold)
+            await self._client.revoke_lease(lease_id)
             return None
         except UnknownOutcomeError:
             # It may have been applied: if so, the key tells, and the next round revokes it.
             log.info("standing for leader: outcome unknown")
             return None
-        if stamp < self.highest_seen_token:
+        if mod_revision < self.highest_seen_token:
             return None
         self._sure_until = sent + at_most(self.ttl) - MARGIN
-        self.fencing_token = self.highest_seen_token = self._found_fencing_token = stamp
+        self.fencing_token = self.highest_seen_token = self._found_fencing_token = mod_revision
         self.leader = self._node
         self._given_up.clear()
         self._vacant_since = None
         self._move(Role.LEADING)
-        log.info("leading with token %s", stamp)
-        self._won(stamp)
-        return hold
+        log.info("leading with token %s", mod_revision)
+        self._won(mod_revision)
+        return lease_id
 
-    async def _keep(self, hold: int) -> None:
+    async def _keep(self, lease_id: int) -> None:
         """Renews until leadership is given up."""
         every = self.ttl / 5
-        while self.answers_workers():
+        while self.may_answer_workers():
             pause = every
             sent = self._clock()
             try:
-                await self._client.renew_lease(hold, timeout=self.ttl / 3)
+                await self._client.renew_lease(lease_id, timeout=self.ttl / 3)
             except ExpiredError:
                 self.step_down("the lease has ended")
                 break
@@ -296,7 +296,7 @@
                     break
                 # Answered: the grant has not ended since, so nobody else has led meanwhile.
                 self._sure_until = max(self._sure_until, sent + at_most(self.ttl) - MARGIN)
-                if self.role is Role.HOLDING and self._clock() < self._sure_until:
+                if self.role is Role.LEASE_UNCERTAIN and self._clock() < self._sure_until:
                     self._move(Role.LEADING)
             try:
                 async with asyncio.timeout(pause.total_seconds()):
@@ -305,7 +305,7 @@
                 pass
         self.step_down("no longer answering")
         try:
-            await self._client.revoke_lease(hold)
+            await self._client.revoke_lease(lease_id)
         except (StoreUnavailableError, UnknownOutcomeError):
             log.debug("the old lease could not be given back")
 
@@ -328,17 +328,17 @@
         """Who leads, as far as this node knows."""
         return self._election.leader
 
-    def leads(self) -> bool:
+    def holds_lease(self) -> bool:
         """Whether this very term's lease surely holds."""
-        return self._election.fencing_token == self.fencing_token and self._election.leads()
+        return self._election.fencing_token == self.fencing_token and self._election.holds_lease()
 
-    def answers_workers(self) -> bool:
+    def may_answer_workers(self) -> bool:
         """Whether this very term may still answer workers."""
-        return self._election.fencing_token == self.fencing_token and self._election.answers_workers()
+        return self._election.fencing_token == self.fencing_token and self._election.may_answer_workers()
 
-    def hear(self, fencing_token: int) -> None:
+    def observe_token(self, fencing_token: int) -> None:
         """A worker has seen that token."""
-        self._election.hear(fencing_token, None)
+        self._election.observe_term(fencing_token, None)
 
     def step_down(self, why: str) -> None:
         """Ends this term, if it is still the present one."""
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -16,7 +16,7 @@
 from tests.world.loop import SimLoop, play
 
 TTL, HOLDING, TOKEN = seconds(3), seconds(10), 20
-F, L, H = Role.FOLLOWER, Role.LEADING, Role.HOLDING
+F, L, H = Role.FOLLOWER, Role.LEADING, Role.LEASE_UNCERTAIN
 
 
 class Renewals:
@@ -49,27 +49,27 @@
         election._move(L)
     if role is H:
         loop.now = 4.0
-        assert not election.leads()
+        assert not election.holds_lease()
     return loop, election, caller
 
 
 # What becomes of each state: time passes within the sure time, past it, past the holding time;
 # an older, the own and a newer leadership are heard of; leadership is given up.
 EVENTS: dict[str, tuple[Callable[[SimLoop, Election], object], dict[Role, Role]]] = {
-    "asked now": (lambda loop, one: one.answers_workers(), {F: F, L: L, H: H}),
+    "asked now": (lambda loop, one: one.may_answer_workers(), {F: F, L: L, H: H}),
     "past the sure time": (lambda loop, one: _later(loop, one, 5.0), {F: F, L: H, H: H}),
     "past the holding time": (lambda loop, one: _later(loop, one, 20.0), {F: F, L: F, H: F}),
-    "an older leadership": (lambda loop, one: one.hear(TOKEN - 1, "b"), {F: F, L: L, H: H}),
-    "its own leadership": (lambda loop, one: one.hear(TOKEN, "a"), {F: F, L: L, H: H}),
-    "a newer leadership": (lambda loop, one: one.hear(TOKEN + 1, "b"), {F: F, L: F, H: F}),
-    "a newer token, no name": (lambda loop, one: one.hear(TOKEN + 1, None), {F: F, L: F, H: F}),
+    "an older leadership": (lambda loop, one: one.observe_term(TOKEN - 1, "b"), {F: F, L: L, H: H}),
+    "its own leadership": (lambda loop, one: one.observe_term(TOKEN, "a"), {F: F, L: L, H: H}),
+    "a newer leadership": (lambda loop, one: one.observe_term(TOKEN + 1, "b"), {F: F, L: F, H: F}),
+    "a newer token, no name": (lambda loop, one: one.observe_term(TOKEN + 1, None), {F: F, L: F, H: F}),
     "given up": (lambda loop, one: one.step_down("told to"), {F: F, L: F, H: F}),
 }
 
 
 def _later(loop: SimLoop, election: Election, now: float) -> None:
     loop.now = now
-    election.answers_workers()
+    election.may_answer_workers()
 
 
 @pytest.mark.parametrize(("role", "event"), product(Role, EVENTS))
@@ -79,11 +79,11 @@
     act(loop, election)
     assert election.role is after[role]
     # Whatever happens, it acts as leader in LEADING alone and answers workers in no other but HOLDING.
-    assert election.leads() == (after[role] is L)
-    assert election.answers_workers() == (after[role] is not F)
-    assert Term(election, TOKEN).leads() == (after[role] is L)
+    assert election.holds_lease() == (after[role] is L)
+    assert election.may_answer_workers() == (after[role] is not F)
+    assert Term(election, TOKEN).holds_lease() == (after[role] is L)
     # An earlier leadership of the same node never speaks for this one.
-    assert not Term(election, TOKEN - 1).leads() and not Term(election, TOKEN - 1).answers_workers()
+    assert not Term(election, TOKEN - 1).holds_lease() and not Term(election, TOKEN - 1).may_answer_workers()
     loop.close()
 
 
@@ -98,7 +98,7 @@
     async def main() -> None:
         keeping = asyncio.create_task(election._keep(7))
         await asyncio.sleep(4)
-        election.leads()
+        election.holds_lease()
         assert election.role is after
         keeping.cancel()
 
@@ -120,7 +120,7 @@
             asked = len(caller.asked)
             await asyncio.sleep(0.01)
             assert len(caller.asked) >= asked
-            assert election.leads() == (still < TTL.total_seconds())
+            assert election.holds_lease() == (still < TTL.total_seconds())
             keeping.cancel()
 
         return run()
@@ -132,7 +132,7 @@
     _, one, _ = made(F)
     assert not one.has_won_no_later_term(TOKEN)
     # Hearsay may be older than a win of the process before this one.
-    one.hear(TOKEN, "b")
+    one.observe_term(TOKEN, "b")
     assert not one.has_won_no_later_term(TOKEN)
     one._found_fencing_token = TOKEN - 5
     assert (
@@ -143,7 +143,7 @@
     one._stands = True
     assert not one.has_won_no_later_term(TOKEN)
     one._stands = False
-    one.hear(TOKEN + 1, "c")
+    one.observe_term(TOKEN + 1, "c")
     assert not one.has_won_no_later_term(TOKEN) and one.has_won_no_later_term(TOKEN + 1)
 
 
@@ -155,6 +155,6 @@
     one.note_no_later_term(TOKEN + 1, seconds(20))
     one.note_no_later_term(TOKEN, seconds(1))
     loop.now = 21.9
-    assert one.answers_workers()
+    assert one.may_answer_workers()
     loop.now = 22.1
-    assert not one.answers_workers() and one.role is F
+    assert not one.may_answer_workers() and one.role is F
--- a/src/elmthread/rollout/decide.py
+++ b/src/elmthread/rollout/decide.py
@@ -43,7 +43,7 @@
     """The level may be raised, if the view's stamps still stand when the transaction is carried out."""
 
     level: int
-    level_stamp: int
+    level_mod_revision: int
     announcements: tuple[tuple[str, Announcement], ...]
 
 
@@ -62,7 +62,7 @@
         return Wait((*unfit, *_limits(readable, view.level + 1)))
     target = min([supported.highest, *map(_highest, readable.values())])
     if target > view.level:
-        return Activate(target, view.level_stamp, tuple(readable.items()))
+        return Activate(target, view.level_mod_revision, tuple(readable.items()))
     if view.level >= supported.highest:
         return Wait()
     return Wait(tuple(_limits(readable, view.level + 1)))
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -165,10 +165,10 @@
         if isinstance(own, Announcement) and own.process == self.process:
             # Of an earlier sending without an answer; what remains of it fails on this stamp.
             return
-        await self._write(view, 0 if own is None else own.stamp)
+        await self._write(view, 0 if own is None else own.mod_revision)
         log.info("levels %s to %s are announced", self._supported.lowest, self._supported.highest)
 
-    async def _write(self, view: RolloutView, own_stamp: int) -> None:
+    async def _write(self, view: RolloutView, own_mod_revision: int) -> None:
         record = messages.AnnouncementRecord(
             lowest=self._supported.lowest,
             highest=self._supported.highest,
@@ -179,5 +179,5 @@
         )
         key = messages.node_key(self._membership.node)
         # Without the first comparison a process could come up unseen beside an activation.
-        guards = [store.guard(messages.LEVEL_KEY, view.level_stamp), store.guard(key, own_stamp)]
-        await self._client.compare_and_swap(guards, [store.put(key, msgspec.to_builtins(record))])
+        comparisons = [store.compare(messages.LEVEL_KEY, view.level_mod_revision), store.compare(key, own_mod_revision)]
+        await self._client.compare_and_swap(comparisons, [store.put(key, msgspec.to_builtins(record))])
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -75,27 +75,27 @@
 
 def read_view(items: Iterable[KeyValue]) -> RolloutView:
     """The rollout's state from all records under its prefix. Raises UnreadableLevelError."""
-    level, level_stamp = FIRST_LEVEL, 0
+    level, level_mod_revision = FIRST_LEVEL, 0
     announcements: dict[str, Announcement | UnreadableAnnouncement] = {}
     for item in items:
         if item.key == LEVEL_KEY:
-            level, level_stamp = read_level(item.value).level, item.stamp
+            level, level_mod_revision = read_level(item.value).level, item.mod_revision
         elif item.key.startswith(NODES_PREFIX):
             announcements[item.key.removeprefix(NODES_PREFIX)] = _read_announcement(item)
-    return RolloutView(level, level_stamp, announcements)
+    return RolloutView(level, level_mod_revision, announcements)
 
 
 def _read_announcement(item: KeyValue) -> Announcement | UnreadableAnnouncement:
     try:
         record = msgspec.convert(item.value, AnnouncementRecord)
     except msgspec.ValidationError as error:
-        return UnreadableAnnouncement(item.stamp, str(error))
+        return UnreadableAnnouncement(item.mod_revision, str(error))
     if record.lowest > record.highest:
-        return UnreadableAnnouncement(item.stamp, "the lowest level is above the highest")
+        return UnreadableAnnouncement(item.mod_revision, "the lowest level is above the highest")
     return Announcement(
         levels=SupportedLevels(record.lowest, record.highest),
         members=frozenset(record.members),
-        stamp=item.stamp,
+        mod_revision=item.mod_revision,
         process=record.process,
         announced_at=record.announced_at,
         hold_at=record.hold_at,
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -44,7 +44,7 @@
     gate: CompatibilityGate
     features: ActiveFeatures
     # Conditions that one transaction may have.
-    most_guards: int
+    max_comparisons: int
     # Which process another node runs now; raises PeerUnreachableError.
     process_of: Callable[[str], Awaitable[str | None]]
 
@@ -126,15 +126,20 @@
             self._tell(strangers)
             await asyncio.sleep(WATCH.total_seconds())
             return
-        guards = [store.guard(LEADER, self._fencing_token), store.guard(messages.LEVEL_KEY, plan.level_stamp)]
-        guards += [store.guard(messages.node_key(node), found.stamp) for node, found in plan.announcements]
-        if len(guards) > self._context.most_guards:
-            log.error("%s controllers are more than one transaction can compare: the level stays", len(guards) - 2)
+        comparisons = [
+            store.compare(LEADER, self._fencing_token),
+            store.compare(messages.LEVEL_KEY, plan.level_mod_revision),
+        ]
+        comparisons += [
+            store.compare(messages.node_key(node), found.mod_revision) for node, found in plan.announcements
+        ]
+        if len(comparisons) > self._context.max_comparisons:
+            log.error("%s controllers are more than one transaction can compare: the level stays", len(comparisons) - 2)
             await asyncio.sleep(LOOK_AGAIN.total_seconds())
             return
         record = msgspec.to_builtins(messages.LevelRecord(plan.level, self._fencing_token))
         try:
-            await self._client.compare_and_swap(guards, [store.put(messages.LEVEL_KEY, record)])
+            await self._client.compare_and_swap(comparisons, [store.put(messages.LEVEL_KEY, record)])
         except ConflictError as lost:
             log.info("compatibility level %s: not raised, as these have changed: %s", plan.level, lost.failed)
             self._planned = None
--- a/src/elmthread/rollout/tests/test_decide.py
+++ b/src/elmthread/rollout/tests/test_decide.py
@@ -35,7 +35,7 @@
             Announcement,
             levels=levels,
             members=st.sampled_from([MEMBERS, MEMBERS, MEMBERS, frozenset({"a", "b"})]),
-            stamp=st.integers(1, 99),
+            mod_revision=st.integers(1, 99),
             hold_at=st.sampled_from([None, None, None, 1, 2, 3]),
         )
     ]
@@ -54,7 +54,7 @@
     if isinstance(plan, Activate):
         assert plan.level == expected > level
         # All that the decision rests on is compared by the transaction.
-        assert plan.level_stamp == 7
+        assert plan.level_mod_revision == 7
         assert dict(plan.announcements) == view.announcements
     else:
         assert expected == level
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -17,7 +17,7 @@
     async def page(self, prefix: str, after: str | None, most: int) -> Page:
         return Page([], 1)
 
-    async def compare_and_swap(self, guards: Any, then: Any) -> int:
+    async def compare_and_swap(self, comparisons: Any, then: Any) -> int:
         await asyncio.sleep(0.05)
         return 2
 
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -12,7 +12,7 @@
 
     levels: SupportedLevels
     members: frozenset[str]
-    stamp: int
+    mod_revision: int
     process: str = ""
     announced_at: float = 0.0
     # An operator's wish: no level above this one is to be activated.
@@ -22,7 +22,7 @@
 class UnreadableAnnouncement(msgspec.Struct, frozen=True):
     """A record under a node's key that is no announcement."""
 
-    stamp: int
+    mod_revision: int
     reason: str
 
 
@@ -30,5 +30,5 @@
     """The active level and all announcements, with the stamps by which a transaction compares them."""
 
     level: int
-    level_stamp: int
+    level_mod_revision: int
     announcements: Mapping[str, Announcement | UnreadableAnnouncement]
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -102,9 +102,9 @@
         return _read(answer, messages.Page)
 
     async def compare_and_swap(
-        self, guards: list[dict[str, Any]], then: list[dict[str, Any]], timeout: timedelta = READ_TIME
+        self, comparisons: list[dict[str, Any]], then: list[dict[str, Any]], timeout: timedelta = READ_TIME
     ) -> int:
-        answer = await self._call("POST", "/txn", {"guards": guards, "then": then}, timeout)
+        answer = await self._call("POST", "/txn", {"guards": comparisons, "then": then}, timeout)
         if answer.status == 409:
             raise ConflictError(_read(answer, messages.Conflict, 409).failed)
         if answer.status == 400:
@@ -113,17 +113,17 @@
 
     async def grant_lease(self, ttl: timedelta) -> int:
         answer = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
-        return _read(answer, messages.LeaseGrant).hold
+        return _read(answer, messages.LeaseGrant).lease_id
 
-    async def renew_lease(self, hold: int, timeout: timedelta) -> None:
+    async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         # Renewals skip the pacing: room for them is kept by everything else.
-        answer = await self._raw("POST", f"/grants/{hold}/extend", {}, timeout)
+        answer = await self._raw("POST", f"/grants/{lease_id}/extend", {}, timeout)
         if answer.status == 404:
-            raise ExpiredError(f"grant {hold}")
+            raise ExpiredError(f"grant {lease_id}")
         _known(answer, 200)
 
-    async def revoke_lease(self, hold: int) -> None:
-        answer = await self._raw("DELETE", f"/grants/{hold}", None, READ_TIME)
+    async def revoke_lease(self, lease_id: int) -> None:
+        answer = await self._raw("DELETE", f"/grants/{lease_id}", None, READ_TIME)
         if answer.status != 404:
             _known(answer, 200)
 
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -62,7 +62,7 @@
     async def load(self) -> None:
         """Rebuilds the view: jobs, done tasks, assignments, rentals in doubt, machine types."""
         level = await self._all(rollout_messages.PREFIX) if self._rollout.enabled else []
-        view = self._slots.load((item.key, item.value, item.stamp) for item in await self._all(SLOTS))
+        view = self._slots.load((item.key, item.value, item.mod_revision) for item in await self._all(SLOTS))
         # Before anything else is read: on a level that is not known here, nothing may be.
         self._rollout.load(level, view)
         view.pop(rollout_messages.FENCE_KEY, None)
--- a/src/elmthread/store/log.py
+++ b/src/elmthread/store/log.py
@@ -61,7 +61,7 @@
 @dataclass(slots=True, eq=False)
 class RecordPage:
     key: str
-    stamp: int = 0
+    mod_revision: int = 0
     # Every record that stands in it, current or not.
     keys: frozenset[str] = frozenset()
     # Those of them of which no newer version is durable, and the bytes they take.
@@ -92,16 +92,16 @@
     def load(self, items: Iterable[tuple[str, Any, int]]) -> dict[str, Any]:
         """Takes in all slots as (key, value, stamp); returns the newest version of each record."""
         read = []
-        for key, value, stamp in items:
+        for key, value, mod_revision in items:
             try:
                 slot = msgspec.convert(value, PageRecord)
                 records: dict[str, msgspec.Raw] = msgspec.json.decode(slot.text, type=dict[str, msgspec.Raw])
             except msgspec.MsgspecError as error:
                 raise UnreadableRecordError(f"{key}: {error}") from error
-            read.append((slot.number, key, stamp, {name: bytes(raw).decode() for name, raw in records.items()}))
+            read.append((slot.number, key, mod_revision, {name: bytes(raw).decode() for name, raw in records.items()}))
         read.sort(key=lambda one: one[0])
-        for number, key, stamp, texts in read:
-            self._put(self._slots.setdefault(key, RecordPage(key)), stamp, texts)
+        for number, key, mod_revision, texts in read:
+            self._put(self._slots.setdefault(key, RecordPage(key)), mod_revision, texts)
             self.number = max(self.number, number)
         return {name: msgspec.json.decode(text) for name, text in self._texts.items() if text != "null"}
 
@@ -133,16 +133,16 @@
         self._taken.discard(slot.key)
         self._free.append(slot)
 
-    def written(self, slot: RecordPage, stamp: int, texts: dict[str, str]) -> None:
+    def written(self, slot: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
         self._taken.discard(slot.key)
-        self._put(slot, stamp, texts)
+        self._put(slot, mod_revision, texts)
 
     def next_number(self) -> int:
         self.number += 1
         return self.number
 
-    def _put(self, slot: RecordPage, stamp: int, texts: dict[str, str]) -> None:
-        before, slot.stamp, slot.keys = slot.keys, stamp, frozenset(texts)
+    def _put(self, slot: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
+        before, slot.mod_revision, slot.keys = slot.keys, mod_revision, frozenset(texts)
         for key, text in texts.items():
             self._copies[key] = self._copies.get(key, 0) + 1
             old = self._where.get(key)
--- a/src/elmthread/store/messages.py
+++ b/src/elmthread/store/messages.py
@@ -5,11 +5,11 @@
 import msgspec
 
 
-class KeyValue(msgspec.Struct, rename={"key": "k"}):
+class KeyValue(msgspec.Struct, rename={"key": "k", "mod_revision": "stamp", "lease_id": "hold"}):
     key: str
     value: Any
-    stamp: int
-    hold: int | None = None
+    mod_revision: int
+    lease_id: int | None = None
 
 
 class Page(msgspec.Struct, rename={"items": "pairs", "more": "has_next", "revision": "ledger_rev"}):
@@ -27,8 +27,8 @@
     revision: int = 0
 
 
-class LeaseGrant(msgspec.Struct):
-    hold: int
+class LeaseGrant(msgspec.Struct, rename={"lease_id": "hold"}):
+    lease_id: int
 
 
 class WatchEvents(msgspec.Struct, rename={"revision": "ledger_rev"}):
@@ -36,14 +36,14 @@
     news: list[dict[str, Any]] = []
 
 
-def guard(key: str, stamp: int) -> dict[str, Any]:
-    return {"k": key, "stamp": stamp}
+def compare(key: str, mod_revision: int) -> dict[str, Any]:
+    return {"k": key, "stamp": mod_revision}
 
 
-def put(key: str, value: Any, hold: int | None = None) -> dict[str, Any]:
+def put(key: str, value: Any, lease_id: int | None = None) -> dict[str, Any]:
     change = {"put": key, "value": value}
-    if hold is not None:
-        change["hold"] = hold
+    if lease_id is not None:
+        change["hold"] = lease_id
     return change
 
 
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -45,7 +45,11 @@
         )
 
     def slots(self) -> list[tuple[str, Any, int]]:
-        return [(key, value, stamp) for key, (value, stamp, _) in self.store.items.items() if key.startswith(SLOTS)]
+        return [
+            (key, value, mod_revision)
+            for key, (value, mod_revision, _) in self.store.items.items()
+            if key.startswith(SLOTS)
+        ]
 
     def read(self) -> dict[str, Any]:
         """What a new leader would find."""
@@ -289,12 +293,12 @@
     small = RecordPages(slot_bytes(2))
     small.load([(slot.key, {"number": 7, "text": pack(texts)}, 5)])
     moved: dict[str, str] = {}
-    for stamp in range(6, 40):
+    for mod_revision in range(6, 40):
         some = small.too_large(set(), small.most)
         if not some:
             break
         assert sum(weight(key, text) for key, text in some.items()) <= small.most
-        small.written(small.take(), stamp, some)
+        small.written(small.take(), mod_revision, some)
         moved |= some
     # All but what is itself too large, which stays readable where it is.
     assert set(texts) - set(moved) <= {"j/long"} | {key for key in texts if key not in moved}
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -257,15 +257,15 @@
             self._busy.update(moved)
 
     async def _commit(self, filled: list[Filled], batch: list[Change]) -> None:
-        guards = [messages.guard(LEADER, self._fencing_token)]
+        comparisons = [messages.compare(LEADER, self._fencing_token)]
         then = []
         for one in filled:
-            guards.append(messages.guard(one.slot.key, one.slot.stamp))
+            comparisons.append(messages.compare(one.slot.key, one.slot.mod_revision))
             then.append(messages.put(one.slot.key, msgspec.to_builtins(PageRecord(one.number, pack(one.texts)))))
         unsure = False
         while not self._stopped:
             try:
-                revision = await self._client.compare_and_swap(guards, then)
+                revision = await self._client.compare_and_swap(comparisons, then)
             except StoreUnavailableError as error:
                 log.info("not written: %s", error)
                 self._failed()
@@ -349,7 +349,7 @@
                 await asyncio.sleep(PAUSE.total_seconds())
                 continue
             mine = item is not None and msgspec.convert(item.value, PageRecord).number == one.number
-            return item.stamp if mine and item is not None else None
+            return item.mod_revision if mine and item is not None else None
         return None
 
     def _failed(self) -> None:
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -93,8 +93,8 @@
             log.info("report dropped (%s so far): %s", self.dropped, error)
             return Response(400, {"error": "malformed report"})
         if heartbeat.fencing_token > self._term.fencing_token:
-            self._term.hear(heartbeat.fencing_token)
-        if not self._term.answers_workers():
+            self._term.observe_token(heartbeat.fencing_token)
+        if not self._term.may_answer_workers():
             return Response(421, messages.elsewhere(self._term.leader))
         if heartbeat.machine in self._cluster.deleted_machines:
             # Its deletion was answered: a late report of a machine that is no more.
@@ -120,7 +120,7 @@
         exits, commands = self._take(machine, heartbeat, now)
         if machine.is_schedulable and self._may_come(machine):
             await self._wait_for_starts(machine)
-            if not self._term.answers_workers():
+            if not self._term.may_answer_workers():
                 return Response(421, messages.elsewhere(self._term.leader))
         commands += [
             messages.reap(task.name, task.attempt)
@@ -149,7 +149,7 @@
         body = messages.orders(self._term.fencing_token, commands)
         # Judged once more when the bytes leave: a start sent after the lease is one too many.
         starts = any(command["verb"] == messages.START for command in commands)
-        return Response(200, body, sure=self._term.leads if starts else self._term.answers_workers)
+        return Response(200, body, sure=self._term.holds_lease if starts else self._term.may_answer_workers)
 
     def _adopt(self, heartbeat: Heartbeat) -> Machine:
         """A machine nobody told us of: rented by a late request or by an earlier leader."""
@@ -378,7 +378,7 @@
     # What the worker is told
 
     def _commands(self, machine: Machine) -> list[dict[str, Any]]:
-        leads = self._term.leads()
+        leads = self._term.holds_lease()
         commands: list[dict[str, Any]] = []
         starts: list[dict[str, Any]] = []
         now = self._clock()
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -24,7 +24,7 @@
     while True:
         await asyncio.sleep(0.2)
         world.rules.check_cancelled()
-        held = [one for one in world.controllers.values() if one.election.role is Role.HOLDING]
+        held = [one for one in world.controllers.values() if one.election.role is Role.LEASE_UNCERTAIN]
         seen["two hold"] += len(held) > 1
         for job_id in world.rules.cancelled_at:
             if any(task.startswith(job_id) for _, task in world.rules.where):
@@ -205,7 +205,7 @@
             world.kill(next(node for node in world.nodes if node != leader.api._node))
         await asyncio.sleep(110)
         if all_there:
-            assert sorted(world.rules.where) == before and leader.election.role is Role.HOLDING
+            assert sorted(world.rules.where) == before and leader.election.role is Role.LEASE_UNCERTAIN
         else:
             assert not world.rules.where and leader.election.role is Role.FOLLOWER
         restore(world)
@@ -234,7 +234,7 @@
         world.apart.add(name)
         await asyncio.sleep(4)
         assert await world.withdraw("run-000001", 5.0) == "cancelled"
-        assert world.rules.where and old.election.role is Role.HOLDING
+        assert world.rules.where and old.election.role is Role.LEASE_UNCERTAIN
         world.store.outage(True)
         world.kill(other)
         world.apart.discard(name)
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -45,7 +45,7 @@
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
             total = leader.leader.reachability._census.total()
-            if leader.election.leads() and total.confirmed * 2 > total.expected:
+            if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
     raise AssertionError(f"no leader hears most machines {patience} s after the last cut")
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("guard", ["sure lease", "holding time", "vacancy ends a rest"])
-def test_the_checks_see_a_guard_that_is_missing(guard: str) -> None:
+def test_the_checks_see_a_guard_that_is_missing(compare: str) -> None:
     async def no_store(world: World, history: History) -> None:
         await world.play_faults([cut("leader", "store", length=40.0), cut("leader", "peers", length=40.0)])
 
@@ -398,12 +398,12 @@
     def whole_rest(self: LeadershipBackoff, vacant_for: timedelta) -> timedelta:
         return self._until - self._clock()
 
-    guards: dict[str, tuple[Any, str, Any, Script, str]] = {
+    comparisons: dict[str, tuple[Any, str, Any, Script, str]] = {
         "sure lease": (Election, "leads", always_sure, no_store, "without a sure lease"),
-        "holding time": (Election, "answers_workers", always_sure, no_store, "past the holding time"),
+        "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
         "vacancy ends a rest": (LeadershipBackoff, "wait_before_standing", whole_rest, alone, "no leader hears most"),
     }
-    owner, name, without, script, told = guards[guard]
+    owner, name, without, script, told = comparisons[compare]
     cut_day(script)
     with mock.patch.object(owner, name, without), pytest.raises(AssertionError, match=told):
         cut_day(script)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -52,7 +52,7 @@
 
 
 def records(world: World) -> dict[str, Any]:
-    slots = [(k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)]
+    slots = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)]
     return RecordPages(slot_bytes(8)).load(slots)
 
 
@@ -186,7 +186,7 @@
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large slots may still stand there until they are written over, but nothing in them is current.
         slots = RecordPages(slot_bytes(NEXT["value_kb"]))
-        slots.load((k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS))
+        slots.load((k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS))
         assert not slots._large
         after = records(world)
         assert {key: after[key] for key in before} == before
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -314,7 +314,7 @@
 
         def end_the_leader(before: int, level: int) -> None:
             written(before, level)
-            node = next(one.api._node for one in world.controllers.values() if one.election.leads())
+            node = next(one.api._node for one in world.controllers.values() if one.election.holds_lease())
             ended.append(node)
             world.loop.call_soon(world.kill, node)
 
@@ -562,7 +562,7 @@
     able = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
     if view.level < 2 and len(able) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
-        return Activate(2, view.level_stamp, tuple((node, found[node]) for node in able))
+        return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in able))
     return plan_activation(view, members, supported)
 
 
@@ -572,9 +572,9 @@
     def __init__(self, left_out: str) -> None:
         self._left_out, self.put = left_out, store.put
 
-    def guard(self, key: str, stamp: int) -> dict[str, Any]:
+    def compare(self, key: str, mod_revision: int) -> dict[str, Any]:
         """The comparison, of a key that never exists where it is left out."""
-        return store.guard("never", 0) if self._left_out in key else store.guard(key, stamp)
+        return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
 
 
 async def upgrade_most(world: World) -> None:
@@ -590,10 +590,10 @@
     """The transaction by which a process of the version before announces itself."""
     key = f"rollout/nodes/{node}"
     record = world.store.items[key][0] | {"lowest": 1, "highest": 1, "process": "rolled back"}
-    guards = [store.guard(key, world.store.items[key][1])]
+    comparisons = [store.compare(key, world.store.items[key][1])]
     if "rollout/level" in world.store.items:
-        guards.append(store.guard("rollout/level", world.store.items["rollout/level"][1]))
-    return {"guards": guards, "then": [store.put(key, record)]}
+        comparisons.append(store.compare("rollout/level", world.store.items["rollout/level"][1]))
+    return {"guards": comparisons, "then": [store.put(key, record)]}
 
 
 def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -31,7 +31,7 @@
         world.leader.election.step_down("told to")
         await asyncio.sleep(8)
         assert await world.poll("run-000002") == "done"
-        slots = [(k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)]
+        slots = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)]
         assert RecordPages(8 * 1024).load(slots)["j/run-000002"] == {"state": "done", "tasks": 4}
 
     def before(world: World) -> None:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -593,7 +593,7 @@
 
         async def overtaken(*args: Any) -> Any:
             reply = await ask(*args)
-            other.election.hear(asked.fencing_token + 5, leader.api._node)
+            other.election.observe_term(asked.fencing_token + 5, leader.api._node)
             return reply
 
         other.peers.ask = overtaken  # type: ignore[method-assign,assignment]
@@ -625,7 +625,7 @@
         else:
             # Nobody else can lead: after one try it goes on, and is there when the machines are back.
             await asyncio.sleep(30)
-            assert first.election.leads() and first.election.fencing_token > fencing_token
+            assert first.election.holds_lease() and first.election.fencing_token > fencing_token
             won = first.election.fencing_token
             await asyncio.sleep(40)
             assert first.election.fencing_token == won
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -79,10 +79,10 @@
 
     def before(world: World) -> None:
         world.limits = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
-        for key, value, stamp in SAMPLES["store"]:
+        for key, value, mod_revision in SAMPLES["store"]:
             if key != "leader":
-                world.store.items[key] = (value, stamp, None)
-                world.store.revision = max(world.store.revision, stamp)
+                world.store.items[key] = (value, mod_revision, None)
+                world.store.revision = max(world.store.revision, mod_revision)
         for job_id, record in view.jobs.items():
             world.rules.submitted({**job(1), **record.get("spec", {}), "name_id": job_id, "pieces": record["tasks"]})
         world.rules.finished |= set(SAMPLES["done"])
@@ -133,7 +133,7 @@
                 assert (machine, task) in view.holds or over, (machine, task)
             if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
                 known = RecordPages(slot_bytes(8)).load(
-                    (k, v, stamp) for k, (v, stamp, _) in world.store.items.items() if k.startswith(SLOTS)
+                    (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)
                 )
                 assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -110,6 +110,6 @@
         election, now = controller.election, self.world.loop.now
         # The node's own record of when the others confirmed that they had won nothing later.
         confirmed = (self.world.loop.clock(self.world.drift[node]) - election._no_later_term_at).total_seconds()
-        until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.holding.total_seconds()
+        until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.grace_period.total_seconds()
         if now > until + 1e-6:
             self.broken.append(f"{now:.2f} {node}: a worker is answered past the holding time")
--- a/tests/world/services.py
+++ b/tests/world/services.py
@@ -139,7 +139,7 @@
 
     def _end(self, grant: int) -> None:
         del self.grants[grant]
-        gone = [key for key, (_, _, hold) in self.items.items() if hold == grant]
+        gone = [key for key, (_, _, lease_id) in self.items.items() if lease_id == grant]
         if gone:
             self.revision += 1
         for key in gone:
@@ -187,8 +187,8 @@
             key = parts.path.removeprefix("/store/")
             if key not in self.items:
                 return Answer(404, {"ledger_rev": self.revision})
-            value, stamp, hold = self.items[key]
-            return Answer(200, {"k": key, "value": value, "stamp": stamp, "hold": hold})
+            value, mod_revision, lease_id = self.items[key]
+            return Answer(200, {"k": key, "value": value, "stamp": mod_revision, "hold": lease_id})
         if parts.path == "/txn":
             return self._transact(body)
         if parts.path == "/grants":
