--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -4,17 +4,17 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.api.messages import DAEMON, Submission
 from elmthread.cluster.state import Job
 from elmthread.common.clock import ZERO
-from elmthread.machines.messages import MachineType
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.rollout.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts
 from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.job_spec import SERVICE, JobSpec
 from elmthread.store.log import slot_bytes, text_of, weight
+from elmthread.store.machine_type import MachineType
 from elmthread.store.records import job_key, job_record
 
 
@@ -41,7 +41,7 @@
             elif aim.job_class and aim.kind == "deadline" and aim.times:
                 self._times[aim.job_class] = max(aim.times, self._times.get(aim.job_class, 1.0))
 
-    def new(self, spec: Submission, since: timedelta, submitted: datetime | None = None) -> Job:
+    def new(self, spec: JobSpec, since: timedelta, submitted: datetime | None = None) -> Job:
         within = self._within.get(spec.job_class, [0.0])
         if spec.deadline_s:
             slack = self._times.get(spec.job_class, 1.0)
@@ -58,7 +58,7 @@
             "ram_gb": spec.ram_gb,
             "expected_s": spec.expected_run_time_s,
             "due_s": spec.deadline_s or 0.0,
-            "objective_s": self._start.get(spec.job_class, 0.0) if spec.form == DAEMON else min(within),
+            "objective_s": self._start.get(spec.job_class, 0.0) if spec.form == SERVICE else min(within),
             "saves": spec.makes_checkpoints,
             "spot": spec.spot,
         }
@@ -69,11 +69,11 @@
             self._operators.deadline(fields),
             slack,
             # Replicas have no end to be late with: they are urgent whatever the operators say.
-            spec.form == DAEMON or self._operators.urgent(fields),
+            spec.form == SERVICE or self._operators.urgent(fields),
             self._bitmap_chunk if self._features.is_active(Feature.DONE_BITMAPS) else self._chunk,
         )
 
-    def can_run(self, spec: Submission, kinds: Iterable[MachineType]) -> str | None:
+    def can_run(self, spec: JobSpec, kinds: Iterable[MachineType]) -> str | None:
         """Why the job can never run, or None."""
         team = self._teams.get(spec.team)
         if team is None:
@@ -83,7 +83,7 @@
             team=spec.team,
             sort_key=(),
             # A batch's tasks may take turns, replicas can't.
-            count=spec.tasks if spec.form == DAEMON else 1,
+            count=spec.tasks if spec.form == SERVICE else 1,
             cpus=spec.cpus,
             gpus=spec.gpus,
             memory_gb=spec.ram_gb,
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -2,73 +2,19 @@
 
 import math
 import re
-from typing import Annotated, Any, Literal
+from typing import Any
 
 import msgspec
 
-BATCH: Literal["batch"] = "batch"
-DAEMON: Literal["daemon"] = "daemon"
-JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,64}\Z")
-MOST_TASKS = 100_000
+from elmthread.store.job_spec import JobSpec
 
-Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,64}\Z")
 
 
 class InvalidSubmissionError(Exception):
     """The body can't be a submission; says which field is wrong."""
 
 
-class Submission(
-    msgspec.Struct,
-    frozen=True,
-    omit_defaults=True,
-    rename={
-        "id": "name_id",
-        "job_class": "docket",
-        "team": "crew",
-        "priority": "urgency",
-        "tasks": "pieces",
-        "gpus": "cards",
-        "image": "kit",
-        "image_gb": "size_gb",
-        "machine_types": "builds",
-        "zone": "yard",
-        "spread": "scatter",
-        "spot": "loaners",
-        "checkpoint_interval_s": "snapshot_every_s",
-        "checkpoint_duration_s": "snapshot_s",
-        "expected_run_time_s": "expected_s",
-        "deadline_s": "due_s",
-    },
-):
-    id: Name
-    job_class: Name
-    team: Name
-    # A daemon's tasks are replicas, which run until it is withdrawn; a batch's run to completion.
-    form: Literal["batch", "daemon"]
-    priority: Literal["production", "high", "normal", "best_effort"]
-    tasks: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)]
-    cpus: Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
-    gpus: Amount
-    ram_gb: Amount
-    image: Name
-    image_gb: Amount
-    one_zone: bool
-    spread: bool
-    spot: bool
-    expected_run_time_s: Amount
-    checkpoint_interval_s: Amount
-    checkpoint_duration_s: Amount
-    machine_types: list[Name] | None = None
-    zone: Name | None = None
-    deadline_s: Amount | None = None
-
-    @property
-    def makes_checkpoints(self) -> bool:
-        return self.checkpoint_interval_s > 0
-
-
 # Amounts that must be finite, by the name that an error gives them.
 _AMOUNTS = {
     "cpus": "cpus",
@@ -92,10 +38,10 @@
     return name
 
 
-def read_submission(body: Any) -> Submission:
+def read_submission(body: Any) -> JobSpec:
     job_id_of(body)
     try:
-        job = msgspec.convert(body, Submission)
+        job = msgspec.convert(body, JobSpec)
     except (msgspec.ValidationError, TypeError, ValueError, OverflowError) as error:
         raise InvalidSubmissionError(str(error)) from error
     for name, field in _AMOUNTS.items():
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from elmthread.api import messages
-from elmthread.api.messages import Submission
 from elmthread.cluster.state import ClusterState, Job, JobState, Machine
 from elmthread.common.clock import ZERO, Clock, at_most, seconds
 from elmthread.leadership.election import Term
 from elmthread.net.http import Response, again
 from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.done_marks import done_record
+from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import done_key, job_key, job_record
 from elmthread.store.writer import RecordWriter, WritePriority, WriterStoppedError
 
@@ -37,8 +37,8 @@
         term: Term,
         writer: RecordWriter,
         clock: Clock,
-        new_job: Callable[[Submission, timedelta], Job],
-        can_run: Callable[[Submission], str | None],
+        new_job: Callable[[JobSpec, timedelta], Job],
+        can_run: Callable[[JobSpec], str | None],
         types_known: Callable[[], bool],
         changed: Callable[[], None],
         most_waiting: int,
@@ -69,7 +69,7 @@
         """Asked right before an answer leaves."""
         return self._term.holds_lease()
 
-    async def submit(self, job_id: str, job: Submission | None, fault: str | None) -> Response:
+    async def submit(self, job_id: str, job: JobSpec | None, fault: str | None) -> Response:
         known = self._cluster.jobs.get(job_id)
         if known is None:
             if fault is not None or job is None:
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -5,12 +5,13 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.api.messages import Submission, read_submission
+from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
 from elmthread.net.http import Response
 from elmthread.rollout.features import ActiveFeatures
+from elmthread.store.job_spec import JobSpec
 from elmthread.store.writer import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.world import job as wire
@@ -44,7 +45,7 @@
     def __init__(self) -> None:
         self.sure = True
 
-    def leads(self) -> bool:
+    def holds_lease(self) -> bool:
         return self.sure
 
 
@@ -52,7 +53,7 @@
     loop, store, lease = SimLoop(), Store(), Lease()
     asyncio.set_event_loop(loop)
 
-    def new_job(spec: Submission, since: timedelta) -> Job:
+    def new_job(spec: JobSpec, since: timedelta) -> Job:
         return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
 
     one = JobService(
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -10,9 +10,9 @@
 from datetime import datetime, timedelta
 from enum import Enum, auto
 
-from elmthread.api.messages import DAEMON, Submission
 from elmthread.common.clock import ZERO, seconds
 from elmthread.common.states import step
+from elmthread.store.job_spec import SERVICE, JobSpec
 
 
 class JobState(Enum):
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        spec: Submission,
+        spec: JobSpec,
         submitted: datetime,
         since: timedelta,
         deadline: timedelta,
@@ -75,7 +75,7 @@
     ) -> None:
         self.id = spec.id
         # Its tasks are replicas: whatever one ends with, it is started again, and none is ever done.
-        self.is_service = spec.form == DAEMON
+        self.is_service = spec.form == SERVICE
         self.submission_time = submitted
         self.spec = spec
         self.task_count = spec.tasks
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -9,6 +9,7 @@
 from elmthread.common.clock import seconds
 from elmthread.machines import messages
 from elmthread.net.http import Answer, Caller, NoResponseError
+from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 
 log = logging.getLogger(__name__)
@@ -35,7 +36,7 @@
         # The cloud knows no leaders: what changes something is judged right before it leaves.
         self._sure = sure
 
-    async def types(self) -> list[messages.MachineType]:
+    async def types(self) -> list[MachineType]:
         return _read(await self._call("GET", "/flavors"), messages.Types).types
 
     async def rent(self, name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -19,6 +19,7 @@
 from elmthread.machines import messages
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
 from elmthread.reachability.census import Census
+from elmthread.store.machine_type import MachineType
 from elmthread.store.records import (
     RentalRecord,
     machine_key,
@@ -113,7 +114,7 @@
         self._next_name = next_name
         self._changed = changed
         self._lacking = lacking
-        self.machine_types: dict[str, messages.MachineType] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.instance_requests: dict[str, InstanceRequest] = {}
         self._ready: deque[InstanceRequest] = deque()
         self._refused: dict[InstanceKind, tuple[timedelta, timedelta]] = {}
@@ -129,7 +130,7 @@
 
     # Machine types
 
-    def set_machine_types(self, types: list[messages.MachineType]) -> None:
+    def set_machine_types(self, types: list[MachineType]) -> None:
         self.machine_types = {kind.name: kind for kind in types}
         for machine in self._cluster.machines.values():
             self.apply_machine_type(machine)
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -8,10 +8,11 @@
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
-from elmthread.machines.messages import Listed, MachineType
+from elmthread.machines.messages import Listed
 from elmthread.machines.service import MISSING, InstanceKind, MachineManager
 from elmthread.net.http import Answer
 from elmthread.reachability.census import Census
+from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import WritePriority
 from tests.world.loop import SimLoop, play
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -6,13 +6,13 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT
 
 # Workers send a report every `heartbeat_interval`, give or take a quarter.
 LONGEST_HEARTBEAT_INTERVAL = 1.25
 # The part of a worker's lease that an overdue report may take of it, whatever the interval.
 OVERDUE_PART = 0.3
-# A worker gives a controller up after this time without an answer, and turns to the next one after another second.
-ANSWER_WAIT = seconds(4)
+# A worker that has given a controller up turns to the next one after this time.
 NEXT_CONTROLLER = seconds(1)
 # For a report's way and for the node's own work before it is read.
 HEARTBEAT_SLACK = seconds(0.5)
@@ -79,12 +79,12 @@
 
         By then the workers that turned to one node in vain have come to the next.
         """
-        return ANSWER_WAIT + NEXT_CONTROLLER
+        return HEARTBEAT_RESPONSE_TIMEOUT + NEXT_CONTROLLER
 
     @property
     def heartbeat_hold_time(self) -> timedelta:
         """How long a report may wait here for a leader: its sender still listens after it."""
-        return ANSWER_WAIT / 2
+        return HEARTBEAT_RESPONSE_TIMEOUT / 2
 
     @property
     def least_rest(self) -> timedelta:
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -12,6 +12,7 @@
 
 from elmthread.cluster.state import Machine
 from elmthread.rollout.features import ActiveFeatures, Feature, SupportedLevels
+from elmthread.store.job_spec import MAX_TASKS_PER_JOB
 from elmthread.store.log import text_of, weight
 from elmthread.store.records import machine_key
 
@@ -93,12 +94,8 @@
 
 def _expanded(numbers: list[int], base: int) -> Iterator[int]:
     for task, attempt, count in zip(numbers[::3], numbers[1::3], numbers[2::3], strict=True):
-        if min(task, attempt) < 0 or not 1 <= count <= MOST_IN_A_RUN:
+        if min(task, attempt) < 0 or not 1 <= count <= MAX_TASKS_PER_JOB:
             raise ValueError(f"not a run of tasks: {task}, {attempt}, {count}")
         for step in range(count):
             yield task + step
             yield base + attempt + step
-
-
-# More tasks than this no job has.
-MOST_IN_A_RUN = 100_000
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -10,10 +10,8 @@
 import msgspec
 
 from elmthread.api.jobs import JobFactory
-from elmthread.api.messages import BATCH, Submission
 from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import Clock, seconds
-from elmthread.machines.messages import MachineType
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.term import TermRollout
@@ -21,7 +19,9 @@
 from elmthread.store.assignments import read_machine
 from elmthread.store.client import KeyValueStore, StoreUnavailableError, UnknownOutcomeError, read_all
 from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
+from elmthread.store.job_spec import BATCH, JobSpec
 from elmthread.store.log import SLOTS, RecordPages, UnreadableRecordError
+from elmthread.store.machine_type import MachineType
 from elmthread.store.records import LAYOUT
 from elmthread.store.writer import RecordWriter, WritePriority
 
@@ -179,9 +179,9 @@
                     self._cluster.allocate(machine, job, task, attempt, AllocationState.UNCONFIRMED)
 
 
-def _finished_spec(job_id: str, tasks: int) -> Submission:
+def _finished_spec(job_id: str, tasks: int) -> JobSpec:
     """Of a job that is over only its end is kept; this fills the form."""
-    return Submission(
+    return JobSpec(
         id=job_id,
         job_class="-",
         team="-",
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from elmthread.api.messages import Submission
 from elmthread.cluster.state import Job, JobState
-from elmthread.machines.messages import MachineType
+from elmthread.store.job_spec import JobSpec
 from elmthread.store.log import text_of, weight
+from elmthread.store.machine_type import MachineType
 
 LEADER = "leader"
 TYPES = "t/types"
@@ -51,7 +51,7 @@
     tasks: int
     at: float = 0.0
     chunk: int = 0
-    spec: Submission | None = None
+    spec: JobSpec | None = None
 
 
 class RentalRecord(msgspec.Struct, rename={"machine_type": "build"}):
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -5,8 +5,12 @@
 
 import msgspec
 
+from elmthread.common.clock import seconds
+
 # Where workers report to.
 HEARTBEAT_PATH = "/agent/beat"
+# A worker gives a controller up after this time without a response.
+HEARTBEAT_RESPONSE_TIMEOUT = seconds(4)
 # Counts, versions, tokens and attempts are smaller than this.
 MOST = 1 << 64
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -35,7 +35,7 @@
 from elmthread.store.writer import RecordWriter, WritePriority
 from elmthread.workers import messages
 from elmthread.workers.health import Health
-from elmthread.workers.messages import Heartbeat, Task
+from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat, Task
 
 log = logging.getLogger(__name__)
 
@@ -43,8 +43,6 @@
 START_WAIT = seconds(0.4)
 # Answers that started something in vain, one after the other, before a machine is taken for deaf.
 MISSED = 3
-# A worker waits for an answer for so long.
-ANSWER_WAIT = seconds(4)
 STATES = {
     "fetching": AllocationState.FETCHING,
     "running": AllocationState.RUNNING,
@@ -178,7 +176,7 @@
         machine.receives_responses = answered_at is not None or (
             last_heartbeat_at is not None
             and heartbeat.sequence == machine.last_heartbeat_id[1] + 1
-            and now - last_heartbeat_at < ANSWER_WAIT
+            and now - last_heartbeat_at < HEARTBEAT_RESPONSE_TIMEOUT
         )
         incarnation = machine.last_heartbeat_id[0]
         if heartbeat.incarnation != incarnation:
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("guard", ["sure lease", "holding time", "vacancy ends a rest"])
-def test_the_checks_see_a_guard_that_is_missing(compare: str) -> None:
+def test_the_checks_see_a_guard_that_is_missing(guard: str) -> None:
     async def no_store(world: World, history: History) -> None:
         await world.play_faults([cut("leader", "store", length=40.0), cut("leader", "peers", length=40.0)])
 
@@ -398,12 +398,12 @@
     def whole_rest(self: LeadershipBackoff, vacant_for: timedelta) -> timedelta:
         return self._until - self._clock()
 
-    comparisons: dict[str, tuple[Any, str, Any, Script, str]] = {
-        "sure lease": (Election, "leads", always_sure, no_store, "without a sure lease"),
+    guards: dict[str, tuple[Any, str, Any, Script, str]] = {
+        "sure lease": (Election, "holds_lease", always_sure, no_store, "without a sure lease"),
         "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
         "vacancy ends a rest": (LeadershipBackoff, "wait_before_standing", whole_rest, alone, "no leader hears most"),
     }
-    owner, name, without, script, told = comparisons[compare]
+    owner, name, without, script, told = guards[guard]
     cut_day(script)
     with mock.patch.object(owner, name, without), pytest.raises(AssertionError, match=told):
         cut_day(script)
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -28,7 +28,7 @@
 # A task's run time, and how long jobs are submitted for.
 TASK_S, SUBMITTED_FOR_S = 18.0, 45.0
 # Machines for each job, and the sizes of jobs: the median, the spread of the logarithm, the largest.
-MACHINES_PER_JOB, MEDIAN_TASKS, SPREAD, MOST_TASKS = 10, 90.0, 1.3, 2500
+MACHINES_PER_JOB, MEDIAN_TASKS, SPREAD, MAX_TASKS_PER_JOB = 10, 90.0, 1.3, 2500
 
 
 def measure(level: int, machines: int, value_kb: float) -> list[str]:
@@ -87,7 +87,7 @@
     if level > 1:
         await until_level(world, level)
     for number in range(machines // MACHINES_PER_JOB):
-        pieces = min(MOST_TASKS, int(rng.lognormvariate(0, SPREAD) * MEDIAN_TASKS) + 1)
+        pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, SPREAD) * MEDIAN_TASKS) + 1)
         spec = job(number, pieces=pieces, true_s=TASK_S, expected_s=TASK_S, kit=f"img-{number % 7}")
         if not await world.submit(spec):
             raise AssertionError(f"{spec['name_id']} is not accepted")
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -14,7 +14,6 @@
 import msgspec
 
 from elmthread.leadership.election import LeaderRecord
-from elmthread.machines.messages import MachineType
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.features import SUPPORTED
@@ -22,6 +21,7 @@
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
 from elmthread.store.log import PageRecord
+from elmthread.store.machine_type import MachineType
 from elmthread.store.records import JobRecord, RentalRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
