--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -2,20 +2,22 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
+from dataclasses import dataclass
 from datetime import timedelta
 from typing import Any
 
 from elmthread.api import messages
-from elmthread.cluster.state import ClusterState, Job, JobState, Machine
-from elmthread.common.clock import ZERO, Clock, at_most, seconds
-from elmthread.leadership.election import Term
+from elmthread.api.completion import record_maker
+from elmthread.api.jobs import JobFactory
+from elmthread.cluster.state import Job, JobState
+from elmthread.common.clock import ZERO, at_most, seconds
+from elmthread.leadership.context import TermContext
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import Response, again
-from elmthread.rollout.features import ActiveFeatures
-from elmthread.store.done_marks import done_record
 from elmthread.store.job_spec import JobSpec
-from elmthread.store.records import done_key, job_key, job_record
-from elmthread.store.writer import RecordWriter, WritePriority, WriterStoppedError
+from elmthread.store.records import job_key
+from elmthread.store.writer import WritePriority, WriterStoppedError
+from elmthread.workers.leases import WorkerLeases
 
 log = logging.getLogger(__name__)
 
@@ -30,34 +32,35 @@
 LONGEST = seconds(30)
 
 
+@dataclass(frozen=True)
+class RequestLimits:
+    """What users' requests are held to."""
+
+    # Submissions and cancellations that may wait for the store at a time.
+    max_waiting: int
+    # How soon after a confirmed cancellation no task may run any more.
+    cancellation_time: timedelta
+
+
 class JobService:
     def __init__(
         self,
-        cluster: ClusterState,
-        term: Term,
-        writer: RecordWriter,
-        clock: Clock,
-        new_job: Callable[[JobSpec, timedelta], Job],
-        can_run: Callable[[JobSpec], str | None],
-        types_known: Callable[[], bool],
-        changed: Callable[[], None],
-        most_waiting: int,
-        cancel: timedelta,
-        empty_by: Callable[[Machine], timedelta],
-        features: ActiveFeatures,
+        context: TermContext,
+        factory: JobFactory,
+        catalog: MachineTypeCatalog,
+        leases: WorkerLeases,
+        limits: RequestLimits,
     ) -> None:
-        self._features = features
-        self._most_waiting = most_waiting
-        self._cancel = cancel
-        self._empty_by = empty_by
-        self._cluster = cluster
-        self._term = term
-        self._writer = writer
-        self._clock = clock
-        self._new_job = new_job
-        self._can_run = can_run
-        self._types_known = types_known
-        self._changed = changed
+        """`leases` says when a machine that is not reached has ended its tasks."""
+        self._cluster = context.cluster
+        self._term = context.term
+        self._writer = context.writer
+        self._clock = context.clock
+        self._events = context.events
+        self._factory = factory
+        self._catalog = catalog
+        self._leases = leases
+        self._limits = limits
         # Submissions and withdrawals on their way to the store, by job.
         self._storing: dict[str, asyncio.Future[None]] = {}
 
@@ -74,15 +77,15 @@
         if known is None:
             if fault is not None or job is None:
                 return Response(400, {"error": fault or "malformed"})
-            if not self._types_known():
+            if not self._catalog.is_known:
                 return again(503, SOON, "machine types not known yet")
-            reason = self._can_run(job)
+            reason = self._factory.can_run(job, self._catalog.types.values())
             if reason is not None:
                 return Response(422, {"error": reason})
             busy = self._too_busy()
             if busy is not None:
                 return busy
-            known = self._new_job(job, self._clock())
+            known = self._factory.new(job, self._clock())
             self._cluster.add_job(known)
             log.info("%s: %s of %s, %s tasks of %s cpus", job.id, job.job_class, job.team, job.tasks, job.cpus)
             self._store(known)
@@ -99,26 +102,17 @@
         failing = self._writer.failing_since
         if failing is not None and self._clock() - failing > FAILING:
             return again(503, seconds(2), "the state service does not answer")
-        if len(self._storing) >= self._most_waiting:
+        if len(self._storing) >= self._limits.max_waiting:
             log.info("%s submissions and withdrawals wait for the store: no more are taken", len(self._storing))
             return again(429, seconds(2), "too many submissions at once")
         return None
 
-    def _record(self, job: Job) -> Callable[[], Any]:
-        """Makes the job's record when it is written, and notes which state went into it."""
-
-        def make() -> Any:
-            job.state_being_written = job.state
-            return job_record(job)
-
-        return make
-
     def _store(self, job: Job) -> None:
         def durable() -> None:
             job.durable_state = job.state_being_written
-            self._changed()
+            self._events.notify_jobs_changed()
 
-        stored = self._writer.write_and_wait(job_key(job.id), WritePriority.USER, self._record(job), durable)
+        stored = self._writer.write_and_wait(job_key(job.id), WritePriority.USER, record_maker(job), durable)
         self._storing[job.id] = stored
 
         def over(done: asyncio.Future[None]) -> None:
@@ -164,7 +158,7 @@
                 return busy
             self._cluster.close_job(job, JobState.CANCELLED)
             self._store(job)
-            self._changed()
+            self._events.notify_jobs_changed()
         if job.durable_state is not job.state:
             if job_id not in self._storing:
                 self._store(job)
@@ -187,8 +181,10 @@
         state told: an earlier leader may have told this one.
         """
         if job.durable_state is JobState.CANCELLED:
-            gone = max((self._empty_by(allocation.machine) for allocation in job.allocations.values()), default=ZERO)
-            early = gone - self._clock() - at_most(self._cancel) + LATE
+            gone = max(
+                (self._leases.expires_by(allocation.machine) for allocation in job.allocations.values()), default=ZERO
+            )
+            early = gone - self._clock() - at_most(self._limits.cancellation_time) + LATE
             if early > ZERO:
                 log.info("%s is cancelled, which can't be told for %.1f s", job.id, early.total_seconds())
                 return again(503, min(max(early, SOON), LONGEST), "its tasks may not be gone in time")
@@ -203,21 +199,3 @@
             )
         done = job.task_count if stored is JobState.DONE else job.done_count
         return messages.status(job.id, stored.value, done, 0)
-
-    def finished(self, job: Job, task: int, durable: Callable[[], None]) -> None:
-        """A task is done: recorded before the worker may forget it, and before users hear."""
-        if job.done_count == job.task_count:
-            self._cluster.close_job(job, JobState.DONE)
-
-            def stored() -> None:
-                job.durable_state = job.state_being_written
-                durable()
-                for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
-                    self._writer.delete(done_key(job.id, chunk))
-
-            self._writer.write(job_key(job.id), WritePriority.COMPLETION, self._record(job), stored)
-            return
-        chunk = task // job.tasks_per_chunk
-        self._writer.write(
-            done_key(job.id, chunk), WritePriority.COMPLETION, lambda: done_record(job, chunk, self._features), durable
-        )
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -6,14 +6,17 @@
 from typing import Any
 
 from elmthread.api.messages import read_submission
-from elmthread.api.service import DURABLE_TIME, JobService
+from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import Response
-from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.job_spec import JobSpec
+from elmthread.store.machine_type import MachineType
 from elmthread.store.writer import WritePriority
+from elmthread.workers.leases import WorkerLeases
 from tests.world.loop import SimLoop, play
+from tests.world.term import SureTerm, term_context
 from tests.world.world import job as wire
 
 
@@ -39,38 +42,26 @@
         self.waiting.clear()
 
 
-class Lease:
-    fencing_token = 7
+class Jobs:
+    """Takes all jobs but those of one team."""
 
-    def __init__(self) -> None:
-        self.sure = True
+    def new(self, spec: JobSpec, since: timedelta) -> Job:
+        return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
 
-    def holds_lease(self) -> bool:
-        return self.sure
+    def can_run(self, spec: JobSpec, types: object) -> str | None:
+        return "unknown team" if spec.team == "green" else None
 
 
-def intake(most: int = 5) -> tuple[SimLoop, Store, Lease, JobService]:
-    loop, store, lease = SimLoop(), Store(), Lease()
+def intake(most: int = 5) -> tuple[SimLoop, Store, SureTerm, JobService]:
+    loop, store, term = SimLoop(), Store(), SureTerm(7)
     asyncio.set_event_loop(loop)
-
-    def new_job(spec: JobSpec, since: timedelta) -> Job:
-        return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
-
-    one = JobService(
-        ClusterState(100),
-        lease,  # type: ignore[arg-type]
-        store,  # type: ignore[arg-type]
-        loop.clock,
-        new_job,
-        lambda spec: "unknown team" if spec.team == "green" else None,
-        lambda: True,
-        lambda: None,
-        most,
-        seconds(30),
-        lambda machine: machine.first_seen_at,
-        ActiveFeatures(),
-    )
-    return loop, store, lease, one
+    context = term_context(loop.clock, ClusterState(100), store, term)
+    catalog = MachineTypeCatalog(context.cluster, context.events)
+    catalog.replace([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
+    leases = WorkerLeases(seconds(17), seconds(0))
+    limits = RequestLimits(most, seconds(30))
+    one = JobService(context, Jobs(), catalog, leases, limits)  # type: ignore[arg-type]
+    return loop, store, term, one
 
 
 def submit(one: JobService, number: int) -> Coroutine[Any, Any, Response]:
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -3,15 +3,16 @@
 import logging
 import math
 from collections import Counter, deque
-from collections.abc import Callable
 from dataclasses import replace
 from datetime import timedelta
 from typing import Any
 
 from elmthread.autoscaling.decide import Band, Group, Offer, Supply, band, dear, fewest, refill
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
-from elmthread.cluster.state import Allocation, ClusterState, Job, Machine, MachineState, StopMode
-from elmthread.common.clock import Clock, seconds
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.cluster.state import Allocation, Job, Machine, MachineState, StopMode
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
 from elmthread.machines.service import InstanceKind, MachineManager
 from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
 from elmthread.placement.service import Scheduler
@@ -45,19 +46,20 @@
 class Autoscaler:
     def __init__(
         self,
-        cluster: ClusterState,
-        fleet: MachineManager,
-        placement: Scheduler,
-        expected: Callable[[Job], timedelta],
+        context: TermContext,
+        machines: MachineManager,
+        scheduler: Scheduler,
+        run_times: RunTimeModel,
         operators: Operators,
-        clock: Clock,
     ) -> None:
-        self._cluster = cluster
-        self._fleet = fleet
-        self._placement = placement
-        self._expected = expected
+        """`machines` carries out what is decided; `scheduler` says what waits for room."""
+        self._cluster = context.cluster
+        self._clock = context.clock
+        self._machines = machines
+        self._catalog = machines.catalog
+        self._scheduler = scheduler
+        self._run_times = run_times
         self._operators = operators
-        self._clock = clock
         self._demand: deque[tuple[timedelta, float]] = deque()
         self.theta = operators.theta
         self._services = Trend()
@@ -69,7 +71,7 @@
         self._held: dict[str, tuple[float, float]] = {}
 
     def run_round(self) -> None:
-        if not self._fleet.machine_types:
+        if not self._catalog.types:
             return
         now = self._clock()
         self._whole.clear()
@@ -78,8 +80,8 @@
         for machine in self._cluster.machines.values():
             if machine.provides_capacity(now):
                 self._serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
-        requests = self._placement.requests(now)
-        remaining_quotas = self._placement.remaining_quotas()
+        requests = self._scheduler.requests(now)
+        remaining_quotas = self._scheduler.remaining_quotas()
         self._for_services(requests, now)
         self._for_groups(requests, remaining_quotas, now)
         urgent = self._urgent(requests, remaining_quotas)
@@ -108,11 +110,11 @@
             for request in requests
             if (job := self._cluster.jobs[request.job_id]).is_service
         ]
-        remaining_quotas = self._placement.remaining_quotas()
+        remaining_quotas = self._scheduler.remaining_quotas()
         # One more like the largest there is must find room at once, spread as it may have to be.
         largest = max(daemons, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         next_one = replace(
-            self._placement.request_of(largest),
+            self._scheduler.request_of(largest),
             count=largest.task_count,
             tasks_by_zone={},
             tasks_by_machine={},
@@ -127,17 +129,17 @@
         for_replicas = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in firm)
         for_replicas += sum(
             kind.cpus * order.count
-            for order in self._fleet.instance_requests.values()
-            if not order.kind.spot and (kind := self._fleet.machine_types.get(order.kind.machine_type)) is not None
+            for order in self._machines.instance_requests.values()
+            if not order.kind.spot and (kind := self._catalog.types.get(order.kind.machine_type)) is not None
         )
         booked = sum(m.service_cpus for m in firm)
-        booked += _usable([request for request in waiting if not request.spot], self._placement.remaining_quotas())
+        booked += _usable([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
         theta, delta = self._operators.theta, self._operators.delta
         # What will be booked by the time a machine rented now is up.
-        boot = seconds(max(kind.boot_s for kind in self._fleet.machine_types.values()) * BOOT) + self._operators.check
+        boot = seconds(max(kind.boot_s for kind in self._catalog.types.values()) * BOOT) + self._operators.check
         soon = booked + self._services.growth(now, booked) * boot.total_seconds()
         if demanding and (band(booked, for_replicas, theta, delta) is Band.RENT or soon > for_replicas):
-            offers = self._offers([self._placement.request_of(job) for job in demanding])
+            offers = self._offers([self._scheduler.request_of(job) for job in demanding])
             self._order(refill(offers, max(booked / theta, soon) - for_replicas, MOST_AT_ONCE), pool=False)
         # Those that hold replicas stay in any case, so their room comes first, then the cheapest.
         firm.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
@@ -166,8 +168,8 @@
                     m.memory_gb - m.memory_gb_used * firm_part,
                 )
             )
-        for order in self._fleet.instance_requests.values():
-            kind = self._fleet.machine_types.get(order.kind.machine_type)
+        for order in self._machines.instance_requests.values():
+            kind = self._catalog.types.get(order.kind.machine_type)
             if kind is not None:
                 where = (order.kind.machine_type, order.kind.zone, order.kind.spot)
                 slots += [
@@ -266,7 +268,7 @@
         for kind, count in Counter(
             InstanceKind(offer.machine_type, offer.zone, offer.spot) for offer in chosen
         ).items():
-            self._fleet.request_instances(kind, count, pool)
+            self._machines.request_instances(kind, count, pool)
 
     def _groups(
         self,
@@ -286,7 +288,7 @@
             cores = min(remaining_quota, request.count * request.cpus)
             team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
             # A team at its limit still uses all of that as its running tasks end.
-            usable = max(min(self._placement.limit(request.team), request.count * request.cpus), request.cpus)
+            usable = max(min(self._scheduler.limit(request.team), request.count * request.cpus), request.cpus)
             work = request.count * request.cpus * each
             due = (
                 job.submitted_at + (job.latest_deadline if hard else job.target_deadline * MARGIN) - now
@@ -313,13 +315,13 @@
                 # What replicas hold serves nobody else again.
                 supplies.append(Supply(0.0, machine.cpus - machine.service_cpus))
                 continue
-            kind = self._fleet.machine_types[machine.machine_type]
+            kind = self._catalog.types[machine.machine_type]
             age = (now - machine.first_seen_at).total_seconds()
             if age < kind.boot_s * 2:
                 # In whole seconds: what comes at about the same time is judged as one.
                 supplies.append(Supply(float(max(1, round(kind.boot_s * BOOT - age))), machine.cpus))
-        for order in self._fleet.instance_requests.values():
-            coming = self._fleet.machine_types.get(order.kind.machine_type)
+        for order in self._machines.instance_requests.values():
+            coming = self._catalog.types.get(order.kind.machine_type)
             if coming is not None and allowed(request, order.kind.machine_type, order.kind.zone, order.kind.spot):
                 supplies.append(Supply(coming.boot_s * BOOT, coming.cpus * order.count))
         return supplies
@@ -354,15 +356,15 @@
         """What a task of the job takes, judged once a round."""
         each = self._whole.get(job.id)
         if each is None:
-            each = self._whole[job.id] = self._expected(job).total_seconds()
+            each = self._whole[job.id] = self._run_times.expected(job).total_seconds()
         return each
 
     def _offers(self, waiting: list[TaskRequest]) -> list[Offer]:
         offers = []
-        for kind in self._fleet.machine_types.values():
+        for kind in self._catalog.types.values():
             for zone in kind.zones:
                 for spot in (True, False):
-                    if self._fleet.is_unavailable(InstanceKind(kind.name, zone, spot)):
+                    if self._machines.is_unavailable(InstanceKind(kind.name, zone, spot)):
                         continue
                     if any(
                         allowed(request, kind.name, zone, spot)
@@ -388,7 +390,7 @@
 
     def _cheap(self, offers: list[Offer]) -> list[Offer]:
         """Those that don't cost much more a core than the cheapest kind, whether that can be had or not."""
-        cheapest = min(kind.spot_price / kind.cpus for kind in self._fleet.machine_types.values() if kind.cpus)
+        cheapest = min(kind.spot_price / kind.cpus for kind in self._catalog.types.values() if kind.cpus)
         return [offer for offer in offers if not dear(offer, cheapest)]
 
     def _fade(
@@ -435,7 +437,7 @@
         for allocation in machine.allocations.values():
             job = allocation.job
             moving = any(other.stop_mode is not None for other in job.allocations.values())
-            if not moving and job.running_count == job.task_count and self._placement.has_room(allocation):
+            if not moving and job.running_count == job.task_count and self._scheduler.has_room(allocation):
                 log.info("%s/%s moves off %s, which is not needed", job.id, allocation.task, machine.name)
                 allocation.stop_mode = StopMode.CHECKPOINT
 
@@ -466,7 +468,7 @@
                 and not machine.reserved
                 and now - machine.idle_since > patience
             ):
-                self._fleet.delete_machine(machine, "the pool is idle")
+                self._machines.delete_machine(machine, "the pool is idle")
 
     def _idle_for(self, machine: Machine) -> timedelta:
         """Where services run, an ordinary machine is the only kind that some work may use: it is not
@@ -476,7 +478,7 @@
 
     def _patience(self, machine: Machine) -> timedelta:
         """How long an empty machine is kept: about as long as its like would take to boot."""
-        kind = self._fleet.machine_types.get(machine.machine_type)
+        kind = self._catalog.types.get(machine.machine_type)
         return max(IDLE, seconds(kind.boot_s)) if kind is not None else IDLE
 
     # Urgent pressure
@@ -496,8 +498,8 @@
             and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNCONFIRMED)
         ]
         cores = sum(m.cpus for m in outside)
-        for order in self._fleet.instance_requests.values():
-            kind = self._fleet.machine_types.get(order.kind.machine_type)
+        for order in self._machines.instance_requests.values():
+            kind = self._catalog.types.get(order.kind.machine_type)
             if not order.for_deferrable_pool and kind is not None:
                 cores += kind.cpus * order.count
         match band(urgent, cores, self.theta, self._operators.delta):
@@ -541,7 +543,7 @@
         for machine in sorted(empty, key=lambda m: -m.price_per_core):
             if urgent <= most * (cores - machine.cpus):
                 cores -= machine.cpus
-                self._fleet.delete_machine(machine, "not needed")
+                self._machines.delete_machine(machine, "not needed")
 
 
 def _usable(requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota]) -> float:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -1,7 +1,6 @@
 """What a round of sizing and of judging machines looks at: once a job and a machine, and what plain sums say."""
 
 import asyncio
-from collections.abc import Callable
 from datetime import timedelta
 from typing import Any
 
@@ -9,13 +8,14 @@
 
 from elmthread.autoscaling.service import Autoscaler
 from elmthread.cluster.state import Job, Machine, MachineState
+from elmthread.leader import Leader
 from elmthread.machines.service import MachineManager
 from elmthread.placement.decide import allowed
 from tests.test_world import day
 from tests.world.world import World, job
 
 
-async def filled(world: World) -> Any:
+async def filled(world: World) -> Leader:
     """Work of many kinds, running and waiting, on machines of all kinds."""
     for number in range(12):
         changes: dict[str, Any] = {"pieces": 20, "true_s": 40.0, "expected_s": 40.0}
@@ -34,15 +34,18 @@
 
     async def script(world: World) -> None:
         leader = await filled(world)
-        sizing, cluster, now = leader.autoscaler, leader.cluster, leader._clock()
+        sizing, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
         asked: list[str] = []
-        expected: Callable[[Job], timedelta] = sizing._expected
+        expected = leader.run_times.expected
 
-        def counted(one: Job) -> timedelta:
-            asked.append(one.id)
-            return expected(one)
+        class Counted:
+            """The run times, with each question of the autoscaler noted."""
 
-        monkeypatch.setattr(sizing, "_expected", counted)
+            def expected(self, one: Job) -> timedelta:
+                asked.append(one.id)
+                return expected(one)
+
+        monkeypatch.setattr(sizing, "_run_times", Counted())
         checked = 0
         places_of, running = Autoscaler._places, Autoscaler._running
 
@@ -112,7 +115,7 @@
         silent, noticed, quarantined = up[:3]
         for node in world.nodes:
             world.cut_workers.add((silent.name, node))
-        noticed.interruption_at = leader._clock() * 2
+        noticed.interruption_at = leader.context.clock() * 2
         quarantined.quarantined = True
         await asyncio.sleep(6)
         judged.clear()
--- a/src/elmthread/autoscaling/work.py
+++ b/src/elmthread/cluster/run_times.py
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from elmthread.cluster.state import Job
 from elmthread.common.clock import seconds
 
 # Weight of the newest task; the first tasks of a class are averaged plainly.
@@ -47,5 +48,9 @@
             fit = self._all
         return math.exp(fit.mean) if fit.count >= 5 else 1.0
 
+    def expected(self, job: Job) -> timedelta:
+        """Return how long a task of the job is expected to run: its owner's estimate, corrected by what was seen."""
+        return self.run_time(job.spec.job_class, job.spec.expected_run_time_s)
+
     def run_time(self, job_class: str, expected_s: float) -> timedelta:
         return seconds(max(expected_s, SHORTEST) * self.correction(job_class))
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -366,6 +366,8 @@
         self.gpus_by_team: dict[str, float] = {}
         self.max_record_bytes = max_record_bytes
         self._frame = frame
+        # Tasks were left without room in the last scheduling round.
+        self.has_waiting_tasks = False
 
     def add_machine(self, machine: Machine) -> None:
         self.machines[machine.name] = machine
@@ -449,6 +451,11 @@
             if job.is_open and not job.is_done(allocation.task):
                 job.pending_tasks.appendleft(allocation.task)
 
+    def is_newer_heartbeat(self, machine_name: str, incarnation: int, sequence: int) -> bool:
+        """Return whether a machine sent that heartbeat after all that this leader has had of it."""
+        machine = self.machines.get(machine_name)
+        return machine is not None and (incarnation, sequence) > machine.last_heartbeat_id
+
     def release_all(self, machine: Machine, now: timedelta) -> None:
         for allocation in list(machine.allocations.values()):
             self.release(allocation, now)
--- a/src/elmthread/workers/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -3,16 +3,16 @@
 from datetime import UTC, datetime
 
 from elmthread.api.messages import read_submission
+from elmthread.cluster import health
+from elmthread.cluster.health import FIRST_PAUSE, STEADY
 from elmthread.cluster.state import AllocationState, ClusterState, Job, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
-from elmthread.workers.health import FIRST_PAUSE, STEADY, Health
 from tests.world.world import job as wire
 
 
 class Bench:
     def __init__(self) -> None:
         self.cluster = ClusterState(100)
-        self.health = Health()
         self.attempt = 0
 
     def machine(self, number: int) -> Machine:
@@ -44,7 +44,7 @@
     sick = [bench.machine(number) for number in range(4)]
     for _ in range(4):
         for machine in sick:
-            bench.health.failed(machine, job, seconds(5))
+            health.record_failure(machine, job, seconds(5))
     assert job.retry_at == ZERO
     assert all(machine.quarantined for machine in sick)
     assert job.failed_machines == {machine.name for machine in sick}
@@ -58,7 +58,7 @@
     for machine in machines:
         # Many of its tasks fail together, which counts once.
         for _ in range(8):
-            bench.health.failed(machine, job, now)
+            health.record_failure(machine, job, now)
         pauses.append(job.retry_at - now)
         now = max(now, job.retry_at) + seconds(1)
     assert pauses[2:] == [FIRST_PAUSE, FIRST_PAUSE * 2, FIRST_PAUSE * 4, FIRST_PAUSE * 8]
@@ -69,19 +69,19 @@
     bench = Bench()
     job = bench.job(1)
     for number in range(3):
-        bench.health.failed(bench.machine(number), job, seconds(1))
-    bench.health.forgive(job, seconds(30))
+        health.record_failure(bench.machine(number), job, seconds(1))
+    health.release(job, seconds(30))
     assert len(job.failed_machines) == 3
-    bench.health.forgive(job, seconds(62))
+    health.release(job, seconds(62))
     assert not job.failed_machines
 
 
 def test_failures_of_two_jobs_speak_against_the_machine() -> None:
     bench = Bench()
     machine = bench.machine(1)
-    bench.health.failed(machine, bench.job(1), seconds(1))
+    health.record_failure(machine, bench.job(1), seconds(1))
     assert not machine.quarantined
-    bench.health.failed(machine, bench.job(2), seconds(1))
+    health.record_failure(machine, bench.job(2), seconds(1))
     assert machine.quarantined
 
 
@@ -94,7 +94,7 @@
         bench.runs(job, machine)
         allocation = next(iter(job.allocations.values()))
         allocation.started_at = now
-        bench.health.ended(allocation, now + seconds(1))
+        health.record_replica_end(allocation, now + seconds(1))
         pauses.append((job.retry_at - now).total_seconds() - 1)
         bench.cluster.release(allocation, now)
         now = job.retry_at
@@ -102,6 +102,6 @@
     bench.runs(job, machine)
     allocation = next(iter(job.allocations.values()))
     allocation.started_at = now
-    bench.health.ended(allocation, now + STEADY)
+    health.record_replica_end(allocation, now + STEADY)
     assert not job.backoff and job.retry_at <= now + STEADY
     assert not machine.quarantined and not machine.failures_by_job
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,24 +5,31 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
+from elmthread.api.completion import CompletionRecorder
 from elmthread.api.jobs import JobFactory
-from elmthread.api.service import JobService
+from elmthread.api.service import JobService, RequestLimits
 from elmthread.autoscaling.service import Autoscaler
-from elmthread.autoscaling.work import RunTimeModel
-from elmthread.cluster.state import ClusterState, Job
+from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock, seconds
 from elmthread.common.load import OverloadControl, WorkClass
-from elmthread.leadership.election import Election, Term
+from elmthread.leadership.context import TermContext
+from elmthread.leadership.election import Election
+from elmthread.leadership.term import Term
 from elmthread.limits import (
     LEADERS_PART,
     users_at_once,
 )
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
-from elmthread.placement.service import Scheduler
+from elmthread.placement.attempts import AttemptCounter
+from elmthread.placement.service import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
+from elmthread.reachability.zones import ZoneHealth
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
@@ -31,22 +38,19 @@
 from elmthread.store.loading import StateLoader
 from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import RecordWriter
+from elmthread.store.writer import RecordWriter, WriteLimits
+from elmthread.workers.assignments import Assignments
+from elmthread.workers.leases import WorkerLeases
 from elmthread.workers.service import HeartbeatHandler
 
 log = logging.getLogger(__name__)
 
 ROUND = seconds(0.1)
 GATHER = seconds(0.5)
-# Passes of the event loop in which an answer leaves for what has just become durable. The change
-# that it tells of causes a round of decisions, which on a small share takes longer than all of them.
-ANSWER_PASSES = 6
 # Rounds of decisions that overload puts off at most, before one is made all the same.
 MOST_PUT_OFF = 20
 # A round of decisions that takes this long is told of in the log.
 SLOW = seconds(0.3)
-# Attempts are unique for ever: the token, which grows with each leadership, and a count.
-ATTEMPTS = 10_000_000
 
 
 @dataclass(frozen=True)
@@ -68,159 +72,80 @@
     """All that lives from winning the lease to losing it."""
 
     def __init__(self, node: NodeServices, fencing_token: int) -> None:
-        """Everything that one term has, on a view that is loaded by `run`."""
-        platform, operators, clock = node.platform, node.operators, node.clock
-        reachability, state, rollout = node.reachability, node.state, node.rollout
-        self._rollout = rollout
-        self._load = node.load
-        self._reachability = reachability
-        self._platform = platform
-        self._operators = operators
+        """Everything that one term has, on a state that is loaded by `run`."""
+        self._node = node
         self.term = Term(node.election, fencing_token)
-        self._state = state
-        self._clock = clock
-        self.fencing_token = fencing_token
-        facts = platform.facts
-        self._jobs = JobFactory(facts, operators, rollout.features)
-        self._attempts = fencing_token * ATTEMPTS
-        self._rentals = 0
-        store = facts.state.kept()
-        self._slots = RecordPages(slot_bytes(store.value_kb))
-        rate = store.write_rps * LEADERS_PART
-        self.cluster = ClusterState(self._slots.most, machine_frame)
-        census = Census(self.cluster.machines, clock, reachability.bounds.heartbeat_timeout, clock())
-        self.reachability = TermReachability(
-            reachability,
-            census,
-            fencing_token,
-            self.term.holds_lease,
-            lambda stray: self.heartbeat_handler.is_news(stray),
-            clock,
-            self.term.step_down,
-        )
-        self.writer = RecordWriter(
-            state,
-            fencing_token,
-            self._slots,
-            TokenBucket(rate, rate, clock),
-            store.txn_ops,
-            clock,
-            lambda: self.term.step_down("a transaction found another leader"),
+        self.context = self._make_context()
+        self.cluster = self.context.cluster
+        self.writer = self.context.writer
+        self._events = self.context.events
+        self.reachability = self._make_reachability()
+        self.leases = WorkerLeases(
+            node.platform.facts.workers.lease,
+            node.clock() + node.election.failover_delay(node.platform.facts.workers.lease),
         )
+        self.catalog = MachineTypeCatalog(self.cluster, self._events)
         self.run_times = RunTimeModel()
-        calls = TokenBucket(facts.cloud.rps * 0.9, max(1.0, facts.cloud.rps * 1.5), clock)
-        unsure_until = clock() + node.election.failover_delay(facts.workers.lease)
-        self.machine_manager = MachineManager(
-            self.cluster,
-            CloudClient(node.cloud, calls, self.term.holds_lease),
-            self.writer,
-            clock,
-            facts.cloud.list_lag,
-            facts.workers.lease,
-            unsure_until,
-            self.term.holds_lease,
-            self._next_rental,
-            self.changed,
-            self._lacking,
-            census,
-            self.reachability.in_doubt,
-        )
-        self.job_service = JobService(
-            self.cluster,
-            self.term,
-            self.writer,
-            clock,
-            self._jobs.new,
-            lambda spec: self._jobs.can_run(spec, self.machine_manager.machine_types.values()),
-            lambda: bool(self.machine_manager.machine_types),
-            self.accepted,
-            users_at_once(platform),
-            facts.workers.cancel,
-            self.machine_manager.lease_expires_by,
-            rollout.features,
-        )
+        self._factory = JobFactory(node.platform.facts, node.operators, node.rollout.features)
+        self._completions = CompletionRecorder(self.context)
+        self._assignments = Assignments(self.context)
+        self.machine_manager = self._make_machine_manager()
+        self.job_service = self._make_job_service()
         self.heartbeat_handler = HeartbeatHandler(
-            self.cluster,
-            self.term,
-            self.writer,
-            self.run_times,
-            clock,
-            facts.workers.lease,
-            self.machine_manager.apply_machine_type,
-            self.job_service.finished,
-            self.changed,
-            lambda: self.scheduler.has_waiting_tasks,
-            rollout.features,
-        )
-        self.scheduler = Scheduler(
-            self.cluster,
-            {team.name: team for team in facts.teams},
-            clock,
-            self._next_attempt,
-            lambda: self._attempts,
-            facts.workers.heartbeat_interval,
-            self.heartbeat_handler.assign,
-            self._expected,
-            self.heartbeat_handler.health.forgive,
-        )
-        self.autoscaler = Autoscaler(
-            self.cluster, self.machine_manager, self.scheduler, self._expected, operators, clock
+            self.context, self._assignments, self._completions, self.catalog, self.run_times, self.leases
         )
+        self.scheduler = self._make_scheduler()
+        self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
         self.loaded = False
-        self._change = asyncio.Event()
-        self._shortfall = asyncio.Event()
 
-    def changed(self) -> None:
-        """Something has changed that placement may act on."""
-        self._change.set()
-
-    def accepted(self) -> None:
-        """A job came: late groups are rented for at once, not at the next check, though its answer goes first."""
-        self.scheduler.invalidate_order()
-        self._decide_after(ANSWER_PASSES)
-
-    def _decide_after(self, passes: int) -> None:
-        if passes > 0:
-            asyncio.get_running_loop().call_soon(self._decide_after, passes - 1)
-            return
-        self._change.set()
-        self._shortfall.set()
+    def _make_context(self) -> TermContext:
+        node = self._node
+        limits = node.platform.facts.state.kept()
+        pages = RecordPages(slot_bytes(limits.value_kb))
+        rate = limits.write_rps * LEADERS_PART
+        write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
+        return TermContext(
+            term=self.term,
+            store=node.state,
+            writer=RecordWriter(node.state, pages, self.term, write_limits, node.clock),
+            cluster=ClusterState(pages.most, machine_frame),
+            events=ClusterEvents(),
+            features=node.rollout.features,
+            clock=node.clock,
+        )
 
-    def _lacking(self) -> None:
-        self._shortfall.set()
+    def _make_reachability(self) -> TermReachability:
+        node, bounds = self._node, self._node.reachability.bounds
+        census = Census(self.cluster.machines, node.clock, bounds.heartbeat_timeout, node.clock())
+        return TermReachability(node.reachability, ZoneHealth(census, bounds, node.clock), self.context)
 
-    def _next_attempt(self) -> int:
-        self._attempts += 1
-        return self._attempts
+    def _make_machine_manager(self) -> MachineManager:
+        node, cloud = self._node, self._node.platform.facts.cloud
+        calls = TokenBucket(cloud.rps * 0.9, max(1.0, cloud.rps * 1.5), node.clock)
+        client = CloudClient(node.cloud, calls, cloud.list_lag, self.term.holds_lease)
+        return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zones)
 
-    def _next_rental(self) -> str:
-        self._rentals += 1
-        return f"r-{self.fencing_token}-{self._rentals}"
+    def _make_job_service(self) -> JobService:
+        platform = self._node.platform
+        limits = RequestLimits(users_at_once(platform), platform.facts.workers.cancel)
+        return JobService(self.context, self._factory, self.catalog, self.leases, limits)
 
-    def _expected(self, job: Job) -> timedelta:
-        return self.run_times.run_time(job.spec.job_class, job.spec.expected_run_time_s)
+    def _make_scheduler(self) -> Scheduler:
+        facts = self._node.platform.facts
+        settings = SchedulerSettings({team.name: team for team in facts.teams}, facts.workers.heartbeat_interval)
+        attempts = AttemptCounter(self.term.fencing_token)
+        return Scheduler(self.context, settings, attempts, self._assignments, self.run_times)
 
     # Running
 
     async def run(self) -> None:
         """Loads the view, then serves until the term ends. Raises what the load raises."""
-        rollout = TermRollout(self._rollout, self._state, self.writer, self._clock, self.fencing_token)
-        loader = StateLoader(
-            self._state,
-            self._slots,
-            self.writer,
-            self.cluster,
-            self._jobs,
-            self._clock,
-            self.machine_manager.set_machine_types,
-            self.job_service.finished,
-            rollout,
-            self._rollout.supported,
-        )
+        rollout = TermRollout(self._node.rollout, self.context)
+        loader = StateLoader(self.context, self._factory, self.catalog, self._completions, rollout)
         await loader.load()
         self.loaded = True
-        self._reachability.leading.set()
-        self.changed()
+        self._node.reachability.leading.set()
+        self._events.notify_changed()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.writer.run())
             group.create_task(self.machine_manager.run())
@@ -234,12 +159,12 @@
         while True:
             try:
                 async with asyncio.timeout(1):
-                    await self._change.wait()
+                    await self._events.changed.wait()
             except TimeoutError:
                 pass
-            self._change.clear()
+            self._events.changed.clear()
             await self._time_to_decide()
-            began = self._clock()
+            began = self._node.clock()
             if self.term.holds_lease():
                 self.scheduler.run_round()
             await asyncio.sleep(self._pause(ROUND, began))
@@ -247,29 +172,29 @@
     async def _time_to_decide(self) -> None:
         """Decisions wait while there is not even time for answers, though not for ever."""
         for _ in range(MOST_PUT_OFF):
-            if not self._load.rejects(WorkClass.DECIDING):
+            if not self._node.load.rejects(WorkClass.DECIDING):
                 return
             await asyncio.sleep(ROUND.total_seconds())
 
     def _pause(self, least: timedelta, began: timedelta) -> float:
         """However much there is to decide, most of the processor is left to everything else."""
-        took = self._clock() - began
+        took = self._node.clock() - began
         if took > SLOW:
             log.info("a round of decisions took %.2f s", took.total_seconds())
         return max(least, took * 3).total_seconds()
 
     async def _size(self) -> None:
         while True:
-            self._shortfall.clear()
+            self._events.capacity_short.clear()
             await self._time_to_decide()
-            began = self._clock()
+            began = self._node.clock()
             if self.term.holds_lease():
                 self.autoscaler.run_round()
             await asyncio.sleep(self._pause(GATHER, began))
             try:
-                async with asyncio.timeout(self._operators.check.total_seconds()):
+                async with asyncio.timeout(self._node.operators.check.total_seconds()):
                     # What comes together is judged together.
-                    await self._shortfall.wait()
+                    await self._events.capacity_short.wait()
             except TimeoutError:
                 pass
 
--- /dev/null
+++ b/src/elmthread/leadership/context.py
@@ -0,0 +1,24 @@
+"""What all services of one term share."""
+
+from dataclasses import dataclass
+
+from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.state import ClusterState
+from elmthread.common.clock import Clock
+from elmthread.leadership.term import Term
+from elmthread.rollout.features import ActiveFeatures
+from elmthread.store.client import KeyValueStore
+from elmthread.store.writer import RecordWriter
+
+
+@dataclass(frozen=True)
+class TermContext:
+    """The term and what the leader owns in it: the cluster's state in memory and the way to the store."""
+
+    term: Term
+    store: KeyValueStore
+    writer: RecordWriter
+    cluster: ClusterState
+    events: ClusterEvents
+    features: ActiveFeatures
+    clock: Clock
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -9,7 +9,8 @@
 import pytest
 
 from elmthread.common.clock import seconds
-from elmthread.leadership.election import Election, Role, Term
+from elmthread.leadership.election import Election, Role
+from elmthread.leadership.term import Term
 from elmthread.net.http import Answer, NoResponseError
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
--- /dev/null
+++ b/src/elmthread/machines/catalog.py
@@ -0,0 +1,38 @@
+"""The machine types that the cloud offers, and what each machine has by its type."""
+
+from collections.abc import Iterable
+
+from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.state import ClusterState, Machine
+from elmthread.store.machine_type import MachineType
+
+
+class MachineTypeCatalog:
+    """All machine types by name; empty until the cloud or the store has told them."""
+
+    def __init__(self, cluster: ClusterState, events: ClusterEvents) -> None:
+        """`cluster` holds the machines whose sizes and prices follow from their types."""
+        self._cluster = cluster
+        self._events = events
+        self.types: dict[str, MachineType] = {}
+
+    @property
+    def is_known(self) -> bool:
+        """Whether any type is known."""
+        return bool(self.types)
+
+    def replace(self, types: Iterable[MachineType]) -> None:
+        """Take these types in place of the earlier ones."""
+        self.types = {machine_type.name: machine_type for machine_type in types}
+        for machine in self._cluster.machines.values():
+            self.apply_to(machine)
+        self._events.notify_changed()
+
+    def apply_to(self, machine: Machine) -> None:
+        """Set the machine's size, image fetch rate and price (per hour) by its type, if that is known."""
+        machine_type = self.types.get(machine.machine_type)
+        if machine_type is None:
+            return
+        machine.cpus, machine.gpus, machine.memory_gb = machine_type.cpus, machine_type.gpus, machine_type.memory_gb
+        machine.image_fetch_rate = max(machine_type.fetch_gb_per_s, 0.001)
+        machine.price_per_hour = machine_type.spot_price if machine.spot else machine_type.price
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from datetime import timedelta
 from typing import Any, TypeVar
 
 import msgspec
@@ -30,9 +31,10 @@
 
 
 class CloudClient:
-    def __init__(self, caller: Caller, calls: TokenBucket, sure: Callable[[], bool]) -> None:
+    def __init__(self, caller: Caller, calls: TokenBucket, list_lag: timedelta, sure: Callable[[], bool]) -> None:
         self._caller = caller
         self.calls = calls
+        self.list_lag = list_lag
         # The cloud knows no leaders: what changes something is judged right before it leaves.
         self._sure = sure
 
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -8,25 +8,27 @@
 import asyncio
 import logging
 from collections import deque
-from collections.abc import Callable, Coroutine
+from collections.abc import Coroutine
 from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 from typing import Any
 
-from elmthread.cluster.state import ClusterState, Machine, MachineState
-from elmthread.common.clock import ZERO, Clock, at_least, seconds
+from elmthread.cluster.state import Machine, MachineState
+from elmthread.common.clock import ZERO, seconds
+from elmthread.leadership.context import TermContext
 from elmthread.machines import messages
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
-from elmthread.reachability.census import Census
-from elmthread.store.machine_type import MachineType
+from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.records import (
     RentalRecord,
     machine_key,
     rental_key,
     types_records,
 )
-from elmthread.store.writer import RecordWriter, WritePriority
+from elmthread.store.writer import WritePriority
+from elmthread.workers.leases import WorkerLeases
 
 log = logging.getLogger(__name__)
 
@@ -50,14 +52,11 @@
 # dead. Where it holds replicas it is deleted, as the answer proves that they are gone: they return
 # sooner than the lease alone would let them, which outweighs that some machines only hang.
 LIKELY_DEAD = 0.6
-FEW_SILENT = 0.1
 # A machine whose reports have shown for this many leases that our answers don't arrive is returned.
 DEAF = 3
-# A zone in which this many machines, and this part of all, are silent seems to be cut off. Its
-# machines may be back sooner than others would boot, and new ones there could not report either:
-# for so long nothing there is given up for its silence, and nothing is rented there.
-CUT_LEAST = 4
-CUT_PART = 0.8
+# Machines of a zone that seems to be cut off may be back sooner than others would boot, and new ones
+# there could not report either: for so long nothing there is given up for its silence, and nothing
+# is rented there.
 CUT_KEPT = seconds(90)
 # A machine that has not come up after this many times its usual boot time is given up.
 BOOTS = 2.5
@@ -86,35 +85,23 @@
 class MachineManager:
     def __init__(
         self,
-        cluster: ClusterState,
+        context: TermContext,
         cloud: CloudClient,
-        writer: RecordWriter,
-        clock: Clock,
-        lag: timedelta,
-        lease: timedelta,
-        unsure_until: timedelta,
-        leads: Callable[[], bool],
-        next_name: Callable[[], str],
-        changed: Callable[[], None],
-        lacking: Callable[[], None],
-        census: Census,
-        in_doubt: Callable[[str], bool],
+        catalog: MachineTypeCatalog,
+        leases: WorkerLeases,
+        zones: ZoneHealth,
     ) -> None:
-        """`in_doubt` says whether the silence of a zone's machines may be a fault of this node's own link."""
-        self._census = census
-        self._in_doubt = in_doubt
-        self._cluster = cluster
+        """`zones` tells which zones are out of sight: nothing there is given up for its silence."""
+        self._zones = zones
+        self._events = context.events
+        self._cluster = context.cluster
         self._cloud = cloud
-        self._writer = writer
-        self._clock = clock
-        self._lag = lag
-        self._lease = lease
-        self._unsure_until = unsure_until
-        self._leads = leads
-        self._next_name = next_name
-        self._changed = changed
-        self._lacking = lacking
-        self.machine_types: dict[str, MachineType] = {}
+        self._writer = context.writer
+        self._clock = context.clock
+        self._term = context.term
+        self.catalog = catalog
+        self._leases = leases
+        self._requests_made = 0
         self.instance_requests: dict[str, InstanceRequest] = {}
         self._ready: deque[InstanceRequest] = deque()
         self._refused: dict[InstanceKind, tuple[timedelta, timedelta]] = {}
@@ -124,24 +111,6 @@
         self._judged_at: timedelta | None = None
         self._types_at: timedelta | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._cut: frozenset[str] = frozenset()
-        # Hardly any machine is silent, so one that is has failed by itself.
-        self._few_silent = True
-
-    # Machine types
-
-    def set_machine_types(self, types: list[MachineType]) -> None:
-        self.machine_types = {kind.name: kind for kind in types}
-        for machine in self._cluster.machines.values():
-            self.apply_machine_type(machine)
-        self._changed()
-
-    def apply_machine_type(self, machine: Machine) -> None:
-        kind = self.machine_types.get(machine.machine_type)
-        if kind is not None:
-            machine.cpus, machine.gpus, machine.memory_gb = kind.cpus, kind.gpus, kind.memory_gb
-            machine.image_fetch_rate = max(kind.fetch_gb_per_s, 0.001)
-            machine.price_per_hour = kind.spot_price if machine.spot else kind.price
 
     # The loop: one call to the cloud at a time is started each tick, the most pressing first
 
@@ -153,7 +122,7 @@
                 log.info("stood still for %.1f s", (now - last).total_seconds())
                 self._judged_at = now + HEARING
             last = now
-            if self._leads():
+            if self._term.holds_lease():
                 if self._due(self._judged_at, JUDGE_EVERY):
                     self._judged_at = self._clock()
                     self._judge()
@@ -168,7 +137,7 @@
             for machine in self._cluster.machines.values()
             if machine.state is MachineState.DELETING and machine.name not in self._deleting
         ][:MOST_DELETED]
-        if not self.machine_types and self._due(self._types_at, seconds(2)) and calls.take():
+        if not self.catalog.types and self._due(self._types_at, seconds(2)) and calls.take():
             self._types_at = now
             self._spawn(self._learn_types())
         if doomed and calls.take():
@@ -180,13 +149,13 @@
             self._spawn(self._list())
         while self._ready and calls.take():
             self._spawn(self._rent(self._ready.popleft()))
-        if self.machine_types and self._due(self._types_at, TYPES_EVERY) and calls.take(1, 1):
+        if self.catalog.types and self._due(self._types_at, TYPES_EVERY) and calls.take(1, 1):
             self._types_at = now
             self._spawn(self._learn_types())
 
     def _list_every(self) -> timedelta:
         pages = 1 + len(self._cluster.machines) // MOST_LISTED
-        return max(self._lag / 2, seconds(3 * pages / self._cloud.calls.rate))
+        return max(self._cloud.list_lag / 2, seconds(3 * pages / self._cloud.calls.rate))
 
     def _due(self, last: timedelta | None, every: timedelta) -> bool:
         return last is None or self._clock() - last >= every
@@ -206,8 +175,8 @@
         except (CloudError, NoCapacityError) as error:
             log.info("types: %s", error)
             return
-        fresh = not self.machine_types
-        self.set_machine_types(types)
+        fresh = not self.catalog.types
+        self.catalog.replace(types)
         if fresh:
             for key, some in types_records(types, self._writer.max_record_bytes).items():
                 self._writer.write(key, WritePriority.ASSIGNMENT, partial(list, some))
@@ -229,7 +198,7 @@
         except (CloudError, NoCapacityError) as error:
             log.info("list: %s", error)
             return
-        if self._leads():
+        if self._term.holds_lease():
             self.reconcile_with_list(machines)
 
     def reconcile_with_list(self, machines: list[messages.Listed]) -> None:
@@ -250,7 +219,7 @@
         for machine in list(self._cluster.machines.values()):
             if machine.was_listed and machine.name not in names:
                 count = self._missing[machine.name] = self._missing.get(machine.name, 0) + 1
-                silent = machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > self._lag * 2
+                silent = machine.last_heartbeat_at is None or now - machine.last_heartbeat_at > self._cloud.list_lag * 2
                 if count >= MISSING and silent:
                     self.delete_machine(machine, "no longer listed")
 
@@ -258,13 +227,17 @@
         state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNCONFIRMED
         machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
-        self.apply_machine_type(machine)
+        self.catalog.apply_to(machine)
         self._cluster.add_machine(machine)
         log.info("%s is in the list", machine.name)
         return machine
 
     # Rentals
 
+    def _next_request_name(self) -> str:
+        self._requests_made += 1
+        return f"r-{self._term.fencing_token}-{self._requests_made}"
+
     def request_instances(self, kind: InstanceKind, count: int, pool: bool) -> None:
         """Rents machines: the request's name is durable before it is sent, and never used again."""
         for waiting in self._ready:
@@ -278,7 +251,7 @@
             count -= MOST_RENTED
         if count <= 0:
             return
-        order = InstanceRequest(self._next_name(), kind, count, pool, self._clock())
+        order = InstanceRequest(self._next_request_name(), kind, count, pool, self._clock())
         self.instance_requests[order.name] = order
         record = RentalRecord(kind.machine_type, kind.zone, kind.spot, pool)
         log.info("renting %s %s", count, kind)
@@ -287,13 +260,13 @@
         )
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
-        if kind.zone in self._cut or self._in_doubt(kind.zone):
+        if kind.zone in self._zones.unreachable or self._zones.is_in_doubt(kind.zone):
             return True
         until = self._refused.get(kind)
         return until is not None and self._clock() < until[0]
 
     async def _rent(self, order: InstanceRequest) -> None:
-        if not self._leads():
+        if not self._term.holds_lease():
             return
         kind = order.kind
         order.sent = True
@@ -318,7 +291,7 @@
             machine = self._cluster.machines.get(name)
             if machine is None:
                 machine = Machine(name, kind.machine_type, kind.zone, kind.spot, MachineState.BOOTING, now)
-                self.apply_machine_type(machine)
+                self.catalog.apply_to(machine)
                 self._cluster.add_machine(machine)
             machine.in_deferrable_pool = order.for_deferrable_pool
         self._over(order)
@@ -337,12 +310,12 @@
             self._ready.remove(order)
             self._over(order)
         # Asked elsewhere at once: the next check would only find the same shortfall later.
-        self._lacking()
+        self._events.notify_capacity_short()
 
     def _over(self, order: InstanceRequest) -> None:
         self.instance_requests.pop(order.name, None)
         self._writer.delete(rental_key(order.name))
-        self._changed()
+        self._events.notify_changed()
 
     # Ends
 
@@ -370,15 +343,16 @@
             self._refused.pop(InstanceKind(machine.machine_type, machine.zone, machine.spot), None)
             self._missing.pop(name, None)
             self._writer.delete(machine_key(name))
-        self._changed()
+        self._events.notify_changed()
 
     def _judge(self) -> None:
         """Each machine's silence, notice and health, against what it may still hold."""
         now = self._clock()
-        self._find_cut()
-        quiet_after = self._lease * QUIET
+        if self._zones.find_unreachable():
+            self._events.notify_changed()
+        quiet_after = self._leases.duration * QUIET
         for machine in list(self._cluster.machines.values()):
-            machine.zone_unreachable = machine.zone in self._cut
+            machine.zone_unreachable = machine.zone in self._zones.unreachable
             if (
                 machine.state is MachineState.UP
                 and machine.last_heartbeat_at is not None
@@ -393,66 +367,39 @@
             if machine.state is MachineState.DELETING:
                 self._expire(machine, now)
                 continue
-            kept = CUT_KEPT if machine.zone_unreachable or self._in_doubt(machine.zone) else ZERO
+            kept = CUT_KEPT if machine.zone_unreachable or self._zones.is_in_doubt(machine.zone) else ZERO
             if machine.state is MachineState.BOOTING:
-                kind = self.machine_types.get(machine.machine_type)
+                kind = self.catalog.types.get(machine.machine_type)
                 bound = seconds(kind.boot_s) * BOOTS + BOOT_SLACK if kind else seconds(300)
                 if now - machine.first_seen_at > bound + kept:
                     self.delete_machine(machine, "has not come up")
                 continue
-            machine.heartbeat_overdue = self._silence(machine, now) > quiet_after
+            machine.heartbeat_overdue = self._leases.silence(machine, now) > quiet_after
             self._expire(machine, now)
             if machine.interruption_at is not None and now >= machine.interruption_at - TAKEN:
                 self.delete_machine(machine, "taken back")
-            elif machine.responses_lost_since is not None and now - machine.responses_lost_since > self._lease * DEAF:
+            elif (
+                machine.responses_lost_since is not None
+                and now - machine.responses_lost_since > self._leases.duration * DEAF
+            ):
                 self.delete_machine(machine, "our answers do not reach it")
             elif machine.quarantined and not machine.allocations:
                 self.delete_machine(machine, "fails tasks")
-            elif self._silence(machine, now) > self._lease + self._lag * 2 + kept:
+            elif self._leases.silence(machine, now) > self._leases.duration + self._cloud.list_lag * 2 + kept:
                 self.delete_machine(machine, "silent")
             elif (
                 machine.service_cpus > 0
                 and not kept
-                and self._few_silent
+                and self._zones.silence_is_rare
                 and machine.state is MachineState.UP
-                and self._silence(machine, now) > self._lease * LIKELY_DEAD
+                and self._leases.silence(machine, now) > self._leases.duration * LIKELY_DEAD
             ):
                 self.delete_machine(machine, "silent, and its replicas are to return")
 
-    def _find_cut(self) -> None:
-        total = self._census.total()
-        self._few_silent = total.silent <= max(1, FEW_SILENT * total.expected)
-        cut = frozenset(
-            zone
-            for zone, count in self._census.zones().items()
-            if count.silent >= CUT_LEAST and count.silent > CUT_PART * count.expected
-        )
-        if cut != self._cut:
-            log.info("zones that seem to be cut off: %s", ", ".join(sorted(cut)) or "none")
-            self._cut = cut
-            self._changed()
-
-    def _silence(self, machine: Machine, now: timedelta) -> timedelta:
-        last = machine.last_heartbeat_at
-        if last is None:
-            last = self._unsure_until - self._lease
-        return now - last
-
-    def lease_expires_by(self, machine: Machine) -> timedelta:
-        """When the machine's lease has surely run out, if no answer reaches it from now on.
-
-        An earlier leader may have answered it for as long as it might hold, so a machine that
-        has not reported to this one is counted from there.
-        """
-        if machine.last_response_at is None:
-            return self._unsure_until
-        until = machine.last_response_at + at_least(self._lease) + seconds(0.5)
-        return max(until, self._unsure_until) if machine.state is MachineState.UNCONFIRMED else until
-
     def _expire(self, machine: Machine, now: timedelta) -> None:
         """Releases the allocations of a machine whose lease has surely run out."""
-        if machine.allocations and now > self.lease_expires_by(machine):
+        if machine.allocations and now > self._leases.expires_by(machine):
             log.info("the lease of %s has run out", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id[0]
             self._cluster.release_all(machine, now)
-            self._changed()
+            self._events.notify_changed()
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,15 +7,20 @@
 
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
 from elmthread.machines.service import MISSING, InstanceKind, MachineManager
 from elmthread.net.http import Answer
+from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.census import Census
+from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import WritePriority
+from elmthread.workers.leases import WorkerLeases
 from tests.world.loop import SimLoop, play
+from tests.world.term import term_context
 
 KIND = InstanceKind("small", "east", True)
 
@@ -57,24 +62,14 @@
 def fleet(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
     cloud, cluster = Cloud(), ClusterState(100)
     asyncio.set_event_loop(cloud.loop)
-    names = iter(f"r-1-{number}" for number in range(1000))
     clock = cloud.loop.clock
-    one = MachineManager(
-        cluster,
-        CloudClient(cloud, TokenBucket(rps * 0.9, rps * 1.5, clock), lambda: True),
-        Store(),  # type: ignore[arg-type]
-        clock,
-        seconds(4),
-        seconds(17),
-        seconds(40),
-        lambda: True,
-        lambda: next(names),
-        lambda: None,
-        lambda: None,
-        Census(cluster.machines, clock, seconds(4), clock()),
-        lambda zone: False,
-    )
-    one.set_machine_types([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
+    context = term_context(clock, cluster, Store())
+    catalog = MachineTypeCatalog(cluster, context.events)
+    catalog.replace([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
+    bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(17))
+    zones = ZoneHealth(Census(cluster.machines, clock, seconds(4), clock()), bounds, clock)
+    client = CloudClient(cloud, TokenBucket(rps * 0.9, rps * 1.5, clock), seconds(4), lambda: True)
+    one = MachineManager(context, client, catalog, WorkerLeases(seconds(17), seconds(40)), zones)
     return cloud, cluster, one
 
 
--- /dev/null
+++ b/src/elmthread/placement/attempts.py
@@ -0,0 +1,17 @@
+"""Numbers of attempts, unique for ever."""
+
+# Attempts that one leader may begin: the fencing token grows with each leadership.
+ATTEMPTS_PER_TERM = 10_000_000
+
+
+class AttemptCounter:
+    """Counts the attempts of one term."""
+
+    def __init__(self, fencing_token: int) -> None:
+        """The first attempt is one above the token's multiple of ATTEMPTS_PER_TERM."""
+        self.last = fencing_token * ATTEMPTS_PER_TERM
+
+    def next(self) -> int:
+        """Return the number of a new attempt."""
+        self.last += 1
+        return self.last
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -3,11 +3,14 @@
 import logging
 import math
 from collections import Counter
-from collections.abc import Callable
-from dataclasses import replace
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
 from datetime import timedelta
+from typing import Protocol
 
 from elmthread.autoscaling.decide import Line, jobs_to_put_off
+from elmthread.cluster import health
+from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import (
     Allocation,
     AllocationState,
@@ -19,7 +22,9 @@
     entry_size,
     task_size,
 )
-from elmthread.common.clock import ZERO, Clock, seconds
+from elmthread.common.clock import ZERO, seconds
+from elmthread.leadership.context import TermContext
+from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.decide import (
     FreeCapacity,
     PreemptionCandidate,
@@ -52,45 +57,50 @@
 LAST_CALL = 1.5
 
 
+class AssignmentSink(Protocol):
+    """What makes the assignments of a machine durable."""
+
+    def assign(self, machine: Machine) -> None:
+        """Write the machine's new allocations; they start once that is durable."""
+
+
+@dataclass(frozen=True)
+class SchedulerSettings:
+    """What the scheduler takes from the platform's settings."""
+
+    teams: Mapping[str, Team]
+    heartbeat_interval: timedelta
+
+
 class Scheduler:
     def __init__(
         self,
-        cluster: ClusterState,
-        teams: dict[str, Team],
-        clock: Clock,
-        next_attempt: Callable[[], int],
-        attempts: Callable[[], int],
-        heartbeat_interval: timedelta,
-        assign: Callable[[Machine], None],
-        expected: Callable[[Job], timedelta],
-        forgive: Callable[[Job, timedelta], None],
+        context: TermContext,
+        settings: SchedulerSettings,
+        attempts: AttemptCounter,
+        assignments: AssignmentSink,
+        run_times: RunTimeModel,
     ) -> None:
-        self._cluster = cluster
-        self._teams = teams
-        self._clock = clock
-        self._next_attempt = next_attempt
+        """`assignments` makes what is placed durable; `run_times` says how long tasks run."""
+        self._cluster = context.cluster
+        self._events = context.events
+        self._clock = context.clock
+        self._teams = settings.teams
+        self._heartbeat_interval = settings.heartbeat_interval
         self._attempts = attempts
-        self._heartbeat_interval = heartbeat_interval
-        self._assign = assign
-        self._expected = expected
-        self._forgive = forgive
+        self._assignments = assignments
+        self._run_times = run_times
         self._guaranteed: set[str] = set()
         self._last: set[str] = set()
         self._ordered_at: timedelta | None = None
         self._preempted_at = ZERO
-        # Tasks were left without room: a worker that has some may wait a moment for them.
-        self.has_waiting_tasks = False
-
-    def invalidate_order(self) -> None:
-        """Jobs came or went: their order is judged anew in the next round."""
-        self._ordered_at = None
 
     def run_round(self) -> None:
         now = self._clock()
         self._stop_for_recall(now)
         requests = self.requests(now)
         if not requests:
-            self.has_waiting_tasks = False
+            self._cluster.has_waiting_tasks = False
             return
         remaining_quotas = self.remaining_quotas()
         machines = [
@@ -106,14 +116,14 @@
             job = self._cluster.jobs[request.job_id]
             for _ in range(min(count, left)):
                 task = job.pending_tasks.popleft()
-                self._cluster.allocate(machine, job, task, self._next_attempt(), AllocationState.PLANNED)
+                self._cluster.allocate(machine, job, task, self._attempts.next(), AllocationState.PLANNED)
                 touched[machine.name] = machine
             left -= count
             if left <= 0:
                 break
         for machine in touched.values():
-            self._assign(machine)
-        self.has_waiting_tasks = left <= 0 or any(request.count > 0 for request in requests)
+            self._assignments.assign(machine)
+        self._cluster.has_waiting_tasks = left <= 0 or any(request.count > 0 for request in requests)
         if left > 0 and now - self._preempted_at >= PREEMPT_EVERY:
             urgent = [request for request in requests if request.urgent and request.count > 0]
             if urgent:
@@ -134,7 +144,7 @@
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
         """What waits, in the order in which it gets room."""
-        if self._ordered_at is None or now - self._ordered_at >= ORDER_EVERY:
+        if self._events.take_jobs_changed() or self._ordered_at is None or now - self._ordered_at >= ORDER_EVERY:
             self._ordered_at = now
             self._guaranteed = self._fit_guarantees()
             self._last = self._put_off(now)
@@ -144,7 +154,7 @@
             count = len(job.pending_tasks)
             if not count or job.durable_state is not JobState.OPEN or job.retry_at > now:
                 continue
-            self._forgive(job, now)
+            health.release(job, now)
             due = (job.submitted_at + job.target_deadline - now).total_seconds()
             first = _unbegun(job, now)
             # Urgent work by rank and deadline; then work within a guarantee; then by deadline,
@@ -214,7 +224,7 @@
             if job.is_service:
                 standing[team.name] = standing.get(team.name, 0.0) + job.task_count * job.spec.cpus
                 continue
-            each = self._expected(job).total_seconds()
+            each = self._run_times.expected(job).total_seconds()
             # Of what runs, about half is still to do.
             work = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * each
             own = max(each, work / team.cpu_quota) if job.pending_tasks else 0.0
@@ -259,7 +269,7 @@
             urgent=job.urgent,
             priority_rank=job.priority_rank,
             record_bytes_per_job=entry_size(job.id),
-            record_bytes_per_task=task_size(job.task_count, self._attempts() + MOST_PLACED),
+            record_bytes_per_task=task_size(job.task_count, self._attempts.last + MOST_PLACED),
             preferred_max_per_machine=math.ceil(job.task_count / APART) if job.is_service else math.inf,
             tasks_by_machine=Counter(allocation.machine.name for allocation in job.allocations.values())
             if job.is_service
@@ -363,7 +373,7 @@
     def _ends_within(self, allocation: Allocation, left: timedelta, now: timedelta) -> bool:
         if allocation.started_at is None or allocation.job.is_service:
             return False
-        return self._expected(allocation.job) - (now - allocation.started_at) < left
+        return self._run_times.expected(allocation.job) - (now - allocation.started_at) < left
 
 
 def _unbegun(job: Job, now: timedelta) -> bool:
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -2,19 +2,32 @@
 
 import random
 from collections import Counter
-from datetime import UTC, datetime
+from datetime import UTC, datetime, timedelta
 
 from elmthread.api.messages import read_submission
+from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
-from elmthread.placement.service import BEGIN, PART, Scheduler
+from elmthread.placement.attempts import AttemptCounter
+from elmthread.placement.service import BEGIN, PART, Scheduler, SchedulerSettings
 from elmthread.settings.platform import Team
+from tests.world.term import term_context
 from tests.world.world import job as wire
 
 NOW = seconds(1000)
 RUN = seconds(20)
 
 
+class NoAssignments:
+    def assign(self, machine: Machine) -> None:
+        pass
+
+
+class SameRunTime(RunTimeModel):
+    def expected(self, job: Job) -> timedelta:
+        return RUN
+
+
 def make_cluster(rng: random.Random) -> tuple[ClusterState, Scheduler]:
     cluster = ClusterState(1000)
     for number in range(rng.randint(1, 6)):
@@ -45,17 +58,9 @@
         if rng.random() < 0.3:
             job.mark_done(job.task_count - 1)
     teams = {"red": Team("red", cpus=16.0, cpus_max=48.0), "blue": Team("blue")}
-    placement = Scheduler(
-        cluster,
-        teams,
-        lambda: NOW,
-        lambda: 1,
-        lambda: 1,
-        seconds(3),
-        lambda machine: None,
-        lambda job: RUN,
-        lambda job, now: None,
-    )
+    settings = SchedulerSettings(teams, seconds(3))
+    context = term_context(lambda: NOW, cluster)
+    placement = Scheduler(context, settings, AttemptCounter(0), NoAssignments(), SameRunTime())
     return cluster, placement
 
 
--- a/src/elmthread/reachability/decide.py
+++ b/src/elmthread/reachability/decide.py
@@ -7,9 +7,8 @@
 import msgspec
 
 from elmthread.reachability.links import LinkState
+from elmthread.reachability.zones import MIN_MACHINES_TO_JUDGE
 
-# Silence of fewer machines than this says nothing about the node itself.
-FEWEST_MACHINES = 4
 # Another node is clearly better off if it hears more machines than the leader by this part of all, and by this many.
 MARGIN = 0.02
 LEAST_MARGIN = 1
@@ -103,7 +102,7 @@
 
     Where a few are, others may be on their way: workers try the nodes in turn, and wait at each that is cut off.
     """
-    return own.expected >= FEWEST_MACHINES and own.silent * 2 > own.expected and own.confirmed == 0
+    return own.expected >= MIN_MACHINES_TO_JUDGE and own.silent * 2 > own.expected and own.confirmed == 0
 
 
 def _successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
@@ -121,7 +120,7 @@
 
 def _better_off(own: OwnView, heard: int) -> bool:
     """Whether a node that hears so many machines is clearly better off than the leader."""
-    if own.expected < FEWEST_MACHINES:
+    if own.expected < MIN_MACHINES_TO_JUDGE:
         # One lost answer is a large part of them: only silence for longer counts.
         return heard > 0 and majority_elsewhere(own.expected, own.silent, heard)
     return heard > own.confirmed + max(LEAST_MARGIN, math.ceil(own.expected * MARGIN))
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -8,20 +8,18 @@
 import logging
 import random
 import secrets
-from collections.abc import Callable
 from datetime import timedelta
 from typing import Protocol
 
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
+from elmthread.leadership.context import TermContext
 from elmthread.net.http import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.reachability.census import Census, ZoneCount
 from elmthread.reachability.decide import (
-    FEWEST_MACHINES,
     Decision,
     GiveWay,
     OwnView,
@@ -34,12 +32,12 @@
 from elmthread.reachability.links import Link, LinkState
 from elmthread.reachability.messages import (
     FIRST_NUMBERS,
-    LinkStatus,
     LinkViewMessage,
     encode_view,
     status_of,
 )
 from elmthread.reachability.strays import MisdirectedReports, Stray
+from elmthread.reachability.zones import ZoneHealth
 from elmthread.rollout.features import ActiveFeatures, Feature
 
 log = logging.getLogger(__name__)
@@ -142,7 +140,7 @@
             echoes=self.exchange.echoes(),
             store=status_of(self.store),
             peers={node: status_of(link) for node, link in self.exchange.links.items()},
-            workers=self.term.zones_told() if self.term is not None else {},
+            workers=dict(self.term.zones.statuses()) if self.term is not None else {},
             resting=self.backoff.resting,
         )
         if self._named is not None and self._clock() < self._named.until:
@@ -207,25 +205,12 @@
 class TermReachability:
     """The leader's view of its workers, and whether it goes on leading; for one term."""
 
-    def __init__(
-        self,
-        reachability: Reachability,
-        census: Census,
-        fencing_token: int,
-        sure: Callable[[], bool],
-        is_news: Callable[[Stray], bool],
-        clock: Clock,
-        step_down: Callable[[str], None],
-    ) -> None:
-        """`sure` says whether the lease surely holds, `is_news` whether a machine's report is none of old."""
+    def __init__(self, reachability: Reachability, zones: ZoneHealth, context: TermContext) -> None:
+        """`zones` counts the machines that this leader hears."""
         self._reachability = reachability
-        self._census = census
-        self._fencing_token = fencing_token
-        self._sure = sure
-        self._is_news = is_news
-        self._clock = clock
-        self._step_down = step_down
-        self._zones: dict[str, Link] = {}
+        self.zones = zones
+        self._term = context.term
+        self._cluster = context.cluster
 
     async def run(self) -> None:
         """Looks at the links until the term ends."""
@@ -235,7 +220,7 @@
 
     def look(self) -> None:
         """Judges the links now, and acts on it."""
-        self._confirm_zones()
+        self.zones.confirm_links()
         self._act(self.decide())
 
     def decide(self) -> Decision:
@@ -243,22 +228,10 @@
         own = self._own_view()
         return decide(own, [self._peer_view(node) for node in self._reachability.others])
 
-    def in_doubt(self, zone: str) -> bool:
-        """Whether the silence of machines of a zone may be a fault of this node's own link to them."""
-        count = self._census.zones().get(zone)
-        if count is None or count.expected < FEWEST_MACHINES or count.silent * 2 <= count.expected:
-            return False
-        link = self._zones.get(zone)
-        return link is None or link.state is not LinkState.CONFIRMED
-
-    def zones_told(self) -> dict[str, LinkStatus]:
-        """The links to the workers, by zone, for others."""
-        return {zone: status_of(link) for zone, link in sorted(self._zones.items())}
-
     def _own_view(self) -> OwnView:
-        total = self._census.total()
+        total = self.zones.census.total()
         return OwnView(
-            sure=self._sure(),
+            sure=self._term.holds_lease(),
             resting=self._reachability.backoff.resting,
             expected=total.expected,
             silent=total.silent,
@@ -267,7 +240,7 @@
 
     def _peer_view(self, node: str) -> PeerView:
         reachability = self._reachability
-        heard = reachability.strays.heard_by(node, self._fencing_token, self._is_news)
+        heard = reachability.strays.heard_by(node, self._term.fencing_token, self._is_newer)
         if not reachability.views_active:
             return PeerView(node, LinkState.CONFIRMED if reachability.peers.reaches(node) else LinkState.CUT, heard)
         link = reachability.exchange.links[node].state
@@ -276,30 +249,17 @@
             return PeerView(node, link, heard)
         return PeerView(node, link, heard, view.store.state, view.resting)
 
-    def _confirm_zones(self) -> None:
-        bounds = self._reachability.bounds
-        # The oldest report by which a machine counts as heard came then, and our answer went out before it.
-        began = self._clock() - bounds.heartbeat_timeout
-        for zone, count in self._census.zones().items():
-            link = self._zones.get(zone)
-            if link is None:
-                name = f"the workers of {zone}"
-                link = self._zones[zone] = Link(name, self._clock, bounds.workers_confirmed, bounds.cut_after)
-            if _mostly_heard(count):
-                link.confirm(began)
+    def _is_newer(self, stray: Stray) -> bool:
+        return self._cluster.is_newer_heartbeat(*stray)
 
     def _act(self, decision: Decision) -> None:
         if isinstance(decision, GiveWay):
             log.info("giving way to %s, which hears more machines", decision.successor)
-            self._reachability.name_successor(decision.successor, self._fencing_token)
+            self._reachability.name_successor(decision.successor, self._term.fencing_token)
             self._reachability.peers.tell()
-            self._step_down("the workers are out of reach")
+            self._term.step_down("the workers are out of reach")
         elif isinstance(decision, StepDown):
             log.info("%s", decision.reason.value)
             if decision.reason is StepDownReason.ALONE:
                 self._reachability.backoff.rest(at_length=True)
-            self._step_down("the workers are out of reach")
-
-
-def _mostly_heard(count: ZoneCount) -> bool:
-    return count.confirmed * 2 >= count.expected > 0
+            self._term.step_down("the workers are out of reach")
--- /dev/null
+++ b/src/elmthread/reachability/zones.py
@@ -0,0 +1,78 @@
+"""The health of each zone: which of them are out of sight, and which silence may be this node's own fault."""
+
+import logging
+from collections.abc import Mapping
+
+from elmthread.common.clock import Clock
+from elmthread.reachability.bounds import ReachabilityBounds
+from elmthread.reachability.census import Census, ZoneCount
+from elmthread.reachability.links import Link, LinkState
+from elmthread.reachability.messages import LinkStatus, status_of
+
+log = logging.getLogger(__name__)
+
+# Silence of fewer machines than this says nothing about their zone or about this node.
+MIN_MACHINES_TO_JUDGE = 4
+# A zone in which more than this part of the machines is silent seems to be cut off.
+UNREACHABLE_SHARE = 0.8
+# Below this part of all machines silence is rare, so a machine that is silent has failed by itself.
+RARE_SILENCE_SHARE = 0.1
+
+
+class ZoneHealth:
+    """Counts the machines of each zone and keeps the link to its workers, for one term."""
+
+    def __init__(self, census: Census, bounds: ReachabilityBounds, clock: Clock) -> None:
+        """`census` counts the machines of the term's cluster."""
+        self.census = census
+        self._bounds = bounds
+        self._clock = clock
+        self._links: dict[str, Link] = {}
+        # Zones that seem to be cut off, and whether hardly any machine is silent, as of the last look.
+        self.unreachable: frozenset[str] = frozenset()
+        self.silence_is_rare = True
+
+    def find_unreachable(self) -> bool:
+        """Judge which zones seem to be cut off; return whether that has changed."""
+        total = self.census.total()
+        self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
+        unreachable = frozenset(
+            zone
+            for zone, count in self.census.zones().items()
+            if count.silent >= MIN_MACHINES_TO_JUDGE and count.silent > UNREACHABLE_SHARE * count.expected
+        )
+        if unreachable == self.unreachable:
+            return False
+        log.info("zones that seem to be cut off: %s", ", ".join(sorted(unreachable)) or "none")
+        self.unreachable = unreachable
+        return True
+
+    def is_in_doubt(self, zone: str) -> bool:
+        """Return whether the silence of a zone's machines may be a fault of this node's own link to them."""
+        count = self.census.zones().get(zone)
+        if count is None or count.expected < MIN_MACHINES_TO_JUDGE or count.silent * 2 <= count.expected:
+            return False
+        link = self._links.get(zone)
+        return link is None or link.state is not LinkState.CONFIRMED
+
+    def confirm_links(self) -> None:
+        """Confirm the link to each zone of which most machines are heard."""
+        # The oldest heartbeat by which a machine counts as heard came then, and our response went out before it.
+        began = self._clock() - self._bounds.heartbeat_timeout
+        for zone, count in self.census.zones().items():
+            link = self._links.get(zone)
+            if link is None:
+                name = f"the workers of {zone}"
+                link = self._links[zone] = Link(
+                    name, self._clock, self._bounds.workers_confirmed, self._bounds.cut_after
+                )
+            if _mostly_heard(count):
+                link.confirm(began)
+
+    def statuses(self) -> Mapping[str, LinkStatus]:
+        """Return the state of the links to the workers, by zone."""
+        return {zone: status_of(link) for zone, link in sorted(self._links.items())}
+
+
+def _mostly_heard(count: ZoneCount) -> bool:
+    return count.confirmed * 2 >= count.expected > 0
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from elmthread.common.clock import Clock, seconds
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
 from elmthread.peers.link import PeerUnreachableError
 from elmthread.rollout import messages
 from elmthread.rollout.decide import Activate, Obstacle, ObstacleKind, plan_activation
@@ -22,9 +23,9 @@
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
 from elmthread.store import messages as store
-from elmthread.store.client import ConflictError, KeyValueStore, StoreError
+from elmthread.store.client import ConflictError, StoreError
 from elmthread.store.records import LEADER
-from elmthread.store.writer import RecordWriter, WritePriority
+from elmthread.store.writer import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -52,22 +53,25 @@
 class TermRollout:
     """Reads and raises the level under one token."""
 
-    def __init__(
-        self, context: RolloutContext, client: KeyValueStore, writer: RecordWriter, clock: Clock, fencing_token: int
-    ) -> None:
+    def __init__(self, rollout: RolloutContext, context: TermContext) -> None:
         """The level counts as the first until `load`."""
-        self._context = context
-        self._client = client
-        self._writer = writer
-        self._clock = clock
-        self._fencing_token = fencing_token
+        self._context = rollout
+        self._client = context.store
+        self._writer = context.writer
+        self._clock = context.clock
+        self._fencing_token = context.term.fencing_token
         self._level = FIRST_LEVEL
         self._fence = FIRST_LEVEL
         # What is planned, and since when; what was last told of as an obstacle.
         self._planned: Activate | None = None
-        self._planned_at = clock()
+        self._planned_at = self._clock()
         self._told: tuple[Obstacle, ...] | None = None
 
+    @property
+    def supported(self) -> SupportedLevels:
+        """The levels whose forms this process reads."""
+        return self._context.supported
+
     @property
     def enabled(self) -> bool:
         """Whether the level is read and raised. Without that, only the fence says what may be met and written."""
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -2,28 +2,29 @@
 
 import asyncio
 import logging
-from collections.abc import Callable
 from datetime import UTC, datetime, timedelta
 from functools import partial
 from typing import Any
 
 import msgspec
 
+from elmthread.api.completion import CompletionRecorder
 from elmthread.api.jobs import JobFactory
-from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
-from elmthread.common.clock import Clock, seconds
+from elmthread.cluster.state import AllocationState, Job, JobState, Machine, MachineState
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.rollout import messages as rollout_messages
-from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
-from elmthread.store.client import KeyValueStore, StoreUnavailableError, UnknownOutcomeError, read_all
+from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_all
 from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
 from elmthread.store.job_spec import BATCH, JobSpec
-from elmthread.store.log import SLOTS, RecordPages, UnreadableRecordError
+from elmthread.store.log import SLOTS, UnreadableRecordError
 from elmthread.store.machine_type import MachineType
 from elmthread.store.records import LAYOUT
-from elmthread.store.writer import RecordWriter, WritePriority
+from elmthread.store.writer import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -36,33 +37,29 @@
 class StateLoader:
     def __init__(
         self,
-        state: KeyValueStore,
-        slots: RecordPages,
-        writer: RecordWriter,
-        cluster: ClusterState,
-        jobs: JobFactory,
-        clock: Clock,
-        set_types: Callable[[list[MachineType]], None],
-        finished: Callable[[Job, int, Callable[[], None]], None],
+        context: TermContext,
+        factory: JobFactory,
+        catalog: MachineTypeCatalog,
+        completions: CompletionRecorder,
         rollout: TermRollout,
-        supported: SupportedLevels,
     ) -> None:
+        """`rollout` takes in the compatibility level, before which nothing else may be read."""
+        self._store = context.store
+        self._writer = context.writer
+        self._pages = context.writer.pages
+        self._cluster = context.cluster
+        self._clock = context.clock
+        self._factory = factory
+        self._catalog = catalog
+        self._completions = completions
         self._rollout = rollout
-        self._supported = supported
-        self._state = state
-        self._slots = slots
-        self._writer = writer
-        self._cluster = cluster
-        self._jobs = jobs
-        self._clock = clock
-        self._set_types = set_types
-        self._finished = finished
+        self._supported = rollout.supported
         self._types: dict[str, MachineType] = {}
 
     async def load(self) -> None:
         """Rebuilds the view: jobs, done tasks, assignments, rentals in doubt, machine types."""
         level = await self._all(rollout_messages.PREFIX) if self._rollout.enabled else []
-        view = self._slots.load((item.key, item.value, item.mod_revision) for item in await self._all(SLOTS))
+        view = self._pages.load((item.key, item.value, item.mod_revision) for item in await self._all(SLOTS))
         # Before anything else is read: on a level that is not known here, nothing may be.
         self._rollout.load(level, view)
         view.pop(rollout_messages.FENCE_KEY, None)
@@ -87,11 +84,11 @@
                     if count % BREATH == 0:
                         await asyncio.sleep(0)
         if self._types:
-            self._set_types(list(self._types.values()))
+            self._catalog.replace(self._types.values())
         for job in list(self._cluster.open_jobs.values()):
             job.rebuild_pending_tasks()
             if job.done_count == job.task_count:
-                self._finished(job, 0, lambda: None)
+                self._completions.record(job, 0, lambda: None)
         log.info(
             "loaded %s jobs, %s of them open, and %s machines",
             len(self._cluster.jobs),
@@ -126,7 +123,7 @@
         """One page, asked for until the state service answers."""
         while True:
             try:
-                return await self._state.page(prefix, after, most)
+                return await self._store.page(prefix, after, most)
             except (StoreUnavailableError, UnknownOutcomeError) as error:
                 log.info("loading %s: %s", prefix, error)
                 await asyncio.sleep(RETRY.total_seconds())
@@ -140,7 +137,7 @@
         else:
             submitted = records.submitted_at(record)
             age = max(timedelta(), datetime.now(UTC) - submitted)
-            job = self._jobs.new(record.spec, self._clock() - age, submitted)
+            job = self._factory.new(record.spec, self._clock() - age, submitted)
             job.tasks_per_chunk = record.chunk
         job.state = job.durable_state = job.state_being_written = state
         if not job.is_open:
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -16,10 +16,11 @@
 from elmthread.store.log import FRAME, SLOTS, RecordPages, UnreadableRecordError, pack, slot_bytes, text_of, weight
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.records import LEADER
-from elmthread.store.writer import RecordWriter, WritePriority
+from elmthread.store.writer import RecordWriter, WriteLimits, WritePriority
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
+from tests.world.term import SureTerm
 
 VALUE = 2 * 1024
 
@@ -32,17 +33,9 @@
         self.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "a"})]})
         self.trouble = Trouble()
         client = KeyValueStore(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
-        self.lost: list[bool] = []
-        fencing_token = self.store.items[LEADER][1]
-        self.writer = RecordWriter(
-            client,
-            fencing_token,
-            RecordPages(slot_bytes(2)),
-            TokenBucket(rate, rate, self.loop.clock),
-            8,
-            self.loop.clock,
-            lambda: self.lost.append(True),
-        )
+        self.term = SureTerm(self.store.items[LEADER][1])
+        limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
+        self.writer = RecordWriter(client, RecordPages(slot_bytes(2)), self.term, limits, self.loop.clock)
 
     def slots(self) -> list[tuple[str, Any, int]]:
         return [
@@ -112,7 +105,7 @@
         task.cancel()
 
     play(main(), bench.loop)
-    assert not bench.lost
+    assert not bench.term.step_down_reasons
 
 
 def test_transactions_carried_out_a_second_time_change_nothing() -> None:
@@ -141,7 +134,7 @@
         task.cancel()
 
     play(main(), bench.loop)
-    assert not bench.lost
+    assert not bench.term.step_down_reasons
 
 
 def test_another_leader_ends_all_writing() -> None:
@@ -152,7 +145,7 @@
         bench.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "b"})]})
         bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
-        assert bench.lost and bench.read() == {}
+        assert bench.term.step_down_reasons and bench.read() == {}
         task.cancel()
 
     play(main(), bench.loop)
@@ -262,7 +255,7 @@
         play(main(), bench.loop)
     assert set(bench.read()) == {f"k/{number}" for number in range(12) if number != 5}
     assert sorted(stored) == sorted(bench.read())
-    assert not bench.lost
+    assert not bench.term.step_down_reasons
     assert [line for line in told if "refuses" in line] and [line for line in told if "k/5 can't be stored" in line]
 
 
@@ -276,7 +269,7 @@
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
         assert len(bench.read()) == 200
-        assert not task.done() and not bench.lost
+        assert not task.done() and not bench.term.step_down_reasons
         assert bench.store.too_many < 60
         task.cancel()
 
@@ -321,12 +314,12 @@
         for number in (0, 1, 3):
             put = messages.put(f"{SLOTS}{number:04d}", {"number": number + 1, "text": f'{{"k/{number}":{number}}}'})
             bench.store.apply("POST", "/txn", {"guards": [], "then": [put]})
-        assert writer._slots.load(bench.slots()) == {"k/0": 0, "k/1": 1, "k/3": 3}
+        assert writer.pages.load(bench.slots()) == {"k/0": 0, "k/1": 1, "k/3": 3}
         task = bench.loop.create_task(writer.run())
         for number in range(10, 14):
             bench.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
         await asyncio.sleep(2)
-        assert not bench.lost
+        assert not bench.term.step_down_reasons
         found = bench.read()
         assert {key: found[key] for key in ("k/0", "k/1", "k/3")} == {"k/0": 0, "k/1": 1, "k/3": 3}
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import IntEnum
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
@@ -89,24 +89,38 @@
     """This leader is no more; nothing that waited was made durable by us."""
 
 
+class WriterTerm(Protocol):
+    """The term under which records are written."""
+
+    @property
+    def fencing_token(self) -> int:
+        """The revision of the leader key, which each transaction compares."""
+
+    def step_down(self, why: str) -> None:
+        """End the term, if it is still the present one."""
+
+
+@dataclass(frozen=True)
+class WriteLimits:
+    """What the store takes of one leader."""
+
+    # Puts and deletes a second.
+    changes: TokenBucket
+    # Puts and deletes in a transaction.
+    max_operations: int
+
+
 class RecordWriter:
     def __init__(
-        self,
-        client: KeyValueStore,
-        fencing_token: int,
-        slots: RecordPages,
-        changes: TokenBucket,
-        most_ops: int,
-        clock: Clock,
-        lost: Callable[[], None],
+        self, client: KeyValueStore, pages: RecordPages, term: WriterTerm, limits: WriteLimits, clock: Clock
     ) -> None:
+        """`pages` says where each record stands; `term` is the one whose token guards each transaction."""
         self._client = client
-        self._fencing_token = fencing_token
-        self._slots = slots
-        self._changes = changes
-        self._most_ops = most_ops
+        self.pages = pages
+        self._term = term
+        self._changes = limits.changes
+        self._max_operations = limits.max_operations
         self._clock = clock
-        self._lost = lost
         self._waiting: dict[str, Change] = {}
         self._busy: set[str] = set()
         self._wake = asyncio.Event()
@@ -120,7 +134,7 @@
     @property
     def max_record_bytes(self) -> int:
         """Bytes that one record may take in a slot."""
-        return self._slots.most
+        return self.pages.most
 
     def write(self, key: str, rank: WritePriority, make: Make, after: Callable[[], None] | None = None) -> None:
         """Writes make()'s value soon; `after` is called once that, or something newer, is durable."""
@@ -135,7 +149,7 @@
         self._wake.set()
 
     def delete(self, key: str) -> None:
-        if key in self._slots or key in self._waiting or key in self._busy:
+        if key in self.pages or key in self._waiting or key in self._busy:
             self.write(key, WritePriority.MAINTENANCE, lambda: None)
 
     def write_and_wait(
@@ -203,7 +217,7 @@
             (change for change in self._waiting.values() if change.key not in self._busy),
             key=lambda change: (change.rank, change.since),
         )
-        most = min(self._most_ops, max(1, int(self._changes.level())), max(1, MAX_TXN // self._slots.most))
+        most = min(self._max_operations, max(1, int(self._changes.level())), max(1, MAX_TXN // self.pages.most))
         now = self._clock()
         alone = now < self._alone_until
         if now < self._single_until:
@@ -212,24 +226,24 @@
         batch: list[Change] = []
         for change in ready:
             value = change.make()
-            if value is None and change.key not in self._slots:
+            if value is None and change.key not in self.pages:
                 # Never written, or deleted already: nothing to change, and that is durable.
                 del self._waiting[change.key]
                 self._call(change)
                 continue
             text = text_of(value)
             size = weight(change.key, text)
-            if size > self._slots.most:
+            if size > self.pages.most:
                 # Never told as durable: what depends on it stays undone, and all else goes on.
                 log.error("%s: %s bytes are more than a value may hold", change.key, size)
                 del self._waiting[change.key]
                 continue
             if alone and filled:
                 break
-            if not filled or filled[-1].size + size > self._slots.most:
+            if not filled or filled[-1].size + size > self.pages.most:
                 if len(filled) >= most:
                     break
-                filled.append(Filled(self._slots.take(), self._slots.next_number()))
+                filled.append(Filled(self.pages.take(), self.pages.next_number()))
             filled[-1].texts[change.key] = text
             filled[-1].size += size
             del self._waiting[change.key]
@@ -246,10 +260,10 @@
         can be written over.
         """
         while True:
-            busy, room = self._busy | self._waiting.keys(), self._slots.most - last.size
-            moved = self._slots.too_large(busy, room)
-            if not moved and self._slots.crowded():
-                moved = self._slots.least_filled(busy, room)
+            busy, room = self._busy | self._waiting.keys(), self.pages.most - last.size
+            moved = self.pages.too_large(busy, room)
+            if not moved and self.pages.crowded():
+                moved = self.pages.least_filled(busy, room)
             if not moved:
                 return
             last.texts |= moved
@@ -257,7 +271,7 @@
             self._busy.update(moved)
 
     async def _commit(self, filled: list[Filled], batch: list[Change]) -> None:
-        comparisons = [messages.compare(LEADER, self._fencing_token)]
+        comparisons = [messages.compare(LEADER, self._term.fencing_token)]
         then = []
         for one in filled:
             comparisons.append(messages.compare(one.slot.key, one.slot.mod_revision))
@@ -296,7 +310,7 @@
                 found = None if LEADER in lost.failed else await self._stamp_of(filled[0])
                 if found is None:
                     log.info("leadership lost: %s", lost.failed)
-                    self._lost()
+                    self._term.step_down("a transaction found another leader")
                     return
                 self._done(filled, batch, found)
                 return
@@ -320,7 +334,7 @@
 
     def _wait_again(self, filled: list[Filled], batch: list[Change]) -> None:
         for one in filled:
-            self._slots.give_back(one.slot)
+            self.pages.give_back(one.slot)
         for change in batch:
             newer = self._waiting.get(change.key)
             if newer is not None:
@@ -332,7 +346,7 @@
     def _done(self, filled: list[Filled], batch: list[Change], revision: int) -> None:
         self.failing_since = None
         for one in filled:
-            self._slots.written(one.slot, revision, one.texts)
+            self.pages.written(one.slot, revision, one.texts)
         for change in batch:
             self._call(change)
 
--- /dev/null
+++ b/src/elmthread/workers/assignments.py
@@ -0,0 +1,58 @@
+"""Assignments on their way to the store, and the heartbeats that wait for them."""
+
+import asyncio
+from datetime import timedelta
+
+from elmthread.cluster.state import AllocationState, Machine
+from elmthread.leadership.context import TermContext
+from elmthread.store.assignments import machine_record
+from elmthread.store.records import machine_key
+from elmthread.store.writer import WritePriority
+
+
+class Assignments:
+    """Makes planned allocations durable; only then may their starts be sent."""
+
+    def __init__(self, context: TermContext) -> None:
+        """Nothing is on its way at first."""
+        self._writer = context.writer
+        self._features = context.features
+        # Heartbeats that wait for starts, by machine.
+        self._waiting: dict[str, asyncio.Event] = {}
+
+    def assign(self, machine: Machine) -> None:
+        """Make the machine's new allocations durable, then let them be sent."""
+        planned = [
+            allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
+        ]
+
+        def durable() -> None:
+            # Only what the written record held; later plans wait for a record of their own.
+            for allocation in planned:
+                if (
+                    allocation.state is AllocationState.PLANNED
+                    and machine.allocations.get(allocation.attempt) is allocation
+                ):
+                    allocation.transition_to(AllocationState.COMMITTED)
+            event = self._waiting.get(machine.name)
+            if event is not None:
+                event.set()
+
+        self._writer.write(
+            machine_key(machine.name),
+            WritePriority.ASSIGNMENT,
+            lambda: machine_record(machine, self._features),
+            durable,
+        )
+
+    async def wait_for(self, machine: Machine, timeout: timedelta) -> None:
+        """Wait until assignments of the machine have become durable, or until `timeout` has passed."""
+        event = self._waiting.setdefault(machine.name, asyncio.Event())
+        try:
+            async with asyncio.timeout(timeout.total_seconds()):
+                await event.wait()
+        except TimeoutError:
+            pass
+        finally:
+            if self._waiting.get(machine.name) is event:
+                del self._waiting[machine.name]
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -6,35 +6,30 @@
 until a report shows it. That is why no start is ever sent straight to a worker's address.
 """
 
-import asyncio
 import logging
-from collections.abc import Callable
 from datetime import timedelta
 from typing import Any
 
 import msgspec
 
-from elmthread.autoscaling.work import RunTimeModel
+from elmthread.api.completion import CompletionRecorder
+from elmthread.cluster import health
+from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import (
     SEEN,
     Allocation,
     AllocationState,
-    ClusterState,
-    Job,
     Machine,
     MachineState,
     StopMode,
 )
-from elmthread.common.clock import Clock, at_least, seconds
-from elmthread.leadership.election import Term
+from elmthread.common.clock import at_least, seconds
+from elmthread.leadership.context import TermContext
+from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
-from elmthread.reachability.strays import Stray
-from elmthread.rollout.features import ActiveFeatures
-from elmthread.store.assignments import machine_record
-from elmthread.store.records import machine_key
-from elmthread.store.writer import RecordWriter, WritePriority
 from elmthread.workers import messages
-from elmthread.workers.health import Health
+from elmthread.workers.assignments import Assignments
+from elmthread.workers.leases import WorkerLeases
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat, Task
 
 log = logging.getLogger(__name__)
@@ -53,33 +48,25 @@
 class HeartbeatHandler:
     def __init__(
         self,
-        cluster: ClusterState,
-        term: Term,
-        writer: RecordWriter,
-        work: RunTimeModel,
-        clock: Clock,
-        lease: timedelta,
-        describe: Callable[[Machine], None],
-        finished: Callable[[Job, int, Callable[[], None]], None],
-        changed: Callable[[], None],
-        work_waits: Callable[[], bool],
-        features: ActiveFeatures,
+        context: TermContext,
+        assignments: Assignments,
+        completions: CompletionRecorder,
+        catalog: MachineTypeCatalog,
+        run_times: RunTimeModel,
+        leases: WorkerLeases,
     ) -> None:
-        self._features = features
-        self._cluster = cluster
-        self._term = term
-        self._writer = writer
-        self._work = work
-        self._clock = clock
-        self._describe = describe
-        self._finished = finished
-        self._changed = changed
-        self._work_waits = work_waits
+        """`completions` records done tasks; `run_times` learns how long they ran."""
+        self._cluster = context.cluster
+        self._term = context.term
+        self._events = context.events
+        self._clock = context.clock
+        self._assignments = assignments
+        self._completions = completions
+        self._catalog = catalog
+        self._run_times = run_times
         # A session this old, by our clock, has had answers.
-        self._proof = at_least(lease) + seconds(1)
-        self.health = Health()
+        self._proof = at_least(leases.duration) + seconds(1)
         self.dropped = 0
-        self._waiting: dict[str, asyncio.Event] = {}
 
     # Reports
 
@@ -117,7 +104,7 @@
         machine.heartbeat_overdue = False
         exits, commands = self._take(machine, heartbeat, now)
         if machine.is_schedulable and self._may_come(machine):
-            await self._wait_for_starts(machine)
+            await self._assignments.wait_for(machine, START_WAIT)
             if not self._term.may_answer_workers():
                 return Response(421, messages.elsewhere(self._term.leader))
         commands += [
@@ -159,7 +146,7 @@
             MachineState.UNCONFIRMED,
             self._clock(),
         )
-        self._describe(machine)
+        self._catalog.apply_to(machine)
         self._cluster.add_machine(machine)
         return machine
 
@@ -198,53 +185,10 @@
 
     def _may_come(self, machine: Machine) -> bool:
         """Starts are being made durable for it, or it has room and there is work that waits."""
-        return (machine.cpus - machine.cpus_used >= 1.0 and self._work_waits()) or any(
+        return (machine.cpus - machine.cpus_used >= 1.0 and self._cluster.has_waiting_tasks) or any(
             allocation.state is AllocationState.PLANNED for allocation in machine.allocations.values()
         )
 
-    async def _wait_for_starts(self, machine: Machine) -> None:
-        """Waits a moment for starts that are being made durable: quicker than the next report."""
-        event = self._waiting.setdefault(machine.name, asyncio.Event())
-        try:
-            async with asyncio.timeout(START_WAIT.total_seconds()):
-                await event.wait()
-        except TimeoutError:
-            pass
-        finally:
-            if self._waiting.get(machine.name) is event:
-                del self._waiting[machine.name]
-
-    def assign(self, machine: Machine) -> None:
-        """Makes the machine's new allocations durable, then lets them be sent."""
-        planned = [
-            allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
-        ]
-
-        def durable() -> None:
-            # Only what the written record held; later plans wait for a record of their own.
-            for allocation in planned:
-                if (
-                    allocation.state is AllocationState.PLANNED
-                    and machine.allocations.get(allocation.attempt) is allocation
-                ):
-                    allocation.transition_to(AllocationState.COMMITTED)
-            event = self._waiting.get(machine.name)
-            if event is not None:
-                event.set()
-
-        self._writer.write(
-            machine_key(machine.name),
-            WritePriority.ASSIGNMENT,
-            lambda: machine_record(machine, self._features),
-            durable,
-        )
-
-    def is_news(self, stray: Stray) -> bool:
-        """Whether a machine sent that report after all that this leader has had of it."""
-        name, *newest = stray
-        machine = self._cluster.machines.get(name)
-        return machine is not None and tuple(newest) > machine.last_heartbeat_id
-
     # What a report says
 
     def _take(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> tuple[list[Task], list[dict[str, Any]]]:
@@ -255,11 +199,11 @@
         if machine.state in (MachineState.BOOTING, MachineState.UNCONFIRMED):
             machine.transition_to(MachineState.UP)
             machine.idle_since = now
-            self._changed()
+            self._events.notify_changed()
         if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
             log.info("%s will be taken in %.1f s", machine.name, heartbeat.interruption_notice_s)
             machine.interruption_at = now + seconds(max(0.0, heartbeat.interruption_notice_s))
-            self._changed()
+            self._events.notify_changed()
         exits: list[Task] = []
         stops: list[dict[str, Any]] = []
         for task in heartbeat.tasks:
@@ -349,29 +293,29 @@
                 def durable() -> None:
                     machine.uncommitted_completions.pop(task.attempt, None)
 
-                self._finished(job, index, durable)
+                self._completions.record(job, index, durable)
         if allocation is not None:
             self._drop(allocation, now)
 
     def _learn(self, machine: Machine, allocation: Allocation, task: Task, now: timedelta) -> None:
         job = allocation.job
-        if job.is_service and (task.why == "done" or self.health.steady(allocation, now)):
-            self.health.ended(allocation, now)
+        if job.is_service and (task.why == "done" or health.has_run_steadily(allocation, now)):
+            health.record_replica_end(allocation, now)
         elif task.why == "done":
             machine.cached_images[job.spec.image] = job.spec.image_gb
-            self.health.succeeded(machine, job)
+            health.record_success(machine, job)
             if allocation.started_at is not None and allocation.stop_mode is None:
-                self._work.saw(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
+                self._run_times.saw(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
         elif task.why == "error":
             log.info("%s failed on %s", task.name, machine.name)
-            self.health.failed(machine, job, now)
+            health.record_failure(machine, job, now)
         elif task.why in ("no_room", "in_use", "no_such"):
             log.info("%s refused %s: %s", machine.name, task.name, task.why)
-            self.health.refused(job, now)
+            health.record_refusal(job, now)
 
     def _drop(self, allocation: Allocation, now: timedelta) -> None:
         self._cluster.release(allocation, now)
-        self._changed()
+        self._events.notify_changed()
 
     # What the worker is told
 
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -44,7 +44,7 @@
     while world.loop.now < end:
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
-            total = leader.leader.reachability._census.total()
+            total = leader.leader.reachability.zones.census.total()
             if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -256,7 +256,7 @@
         await asyncio.sleep(6)
         assert await world.submit(job(2, pieces=1), 5)
         assert world.leader is not None and world.leader.leader is not None
-        assert len(world.leader.leader.machine_manager.machine_types) == TYPES_MANY + 2
+        assert len(world.leader.leader.catalog.types) == TYPES_MANY + 2
         world.cloud.down = False
 
     def before(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 
 from elmthread.api.service import JobService
 from elmthread.autoscaling.service import Autoscaler
-from elmthread.leader import Leader
+from elmthread.cluster.events import ClusterEvents
 from elmthread.placement import decide
 from elmthread.placement.service import Scheduler
 from elmthread.workers import messages
@@ -236,7 +236,7 @@
         return response
 
     monkeypatch.setattr(JobService, "submit", answered)
-    note(Leader, "accepted", "durable")
+    note(ClusterEvents, "notify_jobs_changed", "durable")
     note(Scheduler, "run_round", "round")
     note(Autoscaler, "run_round", "round")
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -75,7 +75,7 @@
         for job_id, marked in view.done.items():
             known = cluster.jobs[job_id]
             assert {task for task in range(known.task_count) if known.is_done(task)} == marked
-        assert set(world.leader.leader.machine_manager.machine_types) == {kind["name"] for kind in view.types}
+        assert set(world.leader.leader.catalog.types) == {kind["name"] for kind in view.types}
 
     def before(world: World) -> None:
         world.limits = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
--- /dev/null
+++ b/tests/world/term.py
@@ -0,0 +1,37 @@
+"""The shared part of a term, with stand-ins where a test names none."""
+
+from typing import Any, cast
+
+from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.state import ClusterState
+from elmthread.common.clock import Clock
+from elmthread.leadership.context import TermContext
+from elmthread.rollout.features import ActiveFeatures
+
+
+class SureTerm:
+    """A term whose lease holds for as long as `sure` is set."""
+
+    def __init__(self, fencing_token: int = 1) -> None:
+        self.fencing_token = fencing_token
+        self.sure = True
+        self.step_down_reasons: list[str] = []
+
+    def holds_lease(self) -> bool:
+        return self.sure
+
+    def step_down(self, why: str) -> None:
+        self.step_down_reasons.append(why)
+
+
+def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
+    """What services of one term share; `writer` and `term` may be stand-ins."""
+    return TermContext(
+        term=term or cast(Any, SureTerm()),
+        store=cast(Any, None),
+        writer=writer,
+        cluster=cluster,
+        events=ClusterEvents(),
+        features=ActiveFeatures(),
+        clock=clock,
+    )
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -54,7 +54,7 @@
     async def measured(loader: StateLoader) -> None:
         began = time.process_time()
         await load(loader)
-        counts["records in the last load"] = len(loader._slots._texts)
+        counts["records in the last load"] = len(loader._pages._texts)
         counts["microseconds of processor in it"] = round((time.process_time() - began) * 1e6)
 
     async def script() -> None:
