--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -6,9 +6,9 @@
 
 from elmthread.cluster.state import Job
 from elmthread.common.clock import ZERO
+from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
-from elmthread.rollout.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts
 from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -8,6 +8,7 @@
 from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, RequestRouter
 from elmthread.api.service import JobService
 from elmthread.common.clock import Clock, seconds, steady
+from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.common.load import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
@@ -26,7 +27,6 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.service import Reachability
-from elmthread.rollout.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError, Membership
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
--- a/src/elmthread/leadership/context.py
+++ b/src/elmthread/leadership/context.py
@@ -5,8 +5,8 @@
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock
+from elmthread.common.features import ActiveFeatures
 from elmthread.leadership.term import Term
-from elmthread.rollout.features import ActiveFeatures
 from elmthread.store.client import KeyValueStore
 from elmthread.store.writer import RecordWriter
 
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -14,6 +14,7 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
+from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
@@ -38,7 +39,6 @@
 )
 from elmthread.reachability.strays import MisdirectedReports, Stray
 from elmthread.reachability.zones import ZoneHealth
-from elmthread.rollout.features import ActiveFeatures, Feature
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -5,9 +5,9 @@
 import time
 
 from elmthread.common.clock import steady
+from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.net.http import Client
 from elmthread.rollout.decide import Activate, plan_activation
-from elmthread.rollout.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.rollout.messages import UnreadableLevelError, read_view
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import RolloutRecords, read_records
--- a/src/elmthread/rollout/decide.py
+++ b/src/elmthread/rollout/decide.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from elmthread.rollout.features import SupportedLevels
+from elmthread.common.features import SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 
 
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -17,9 +17,9 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.features import SupportedLevels
 from elmthread.common.states import step
 from elmthread.rollout import messages
-from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
 from elmthread.rollout.view import Announcement, RolloutView
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from elmthread.rollout.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
+from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.messages import KeyValue
 
--- a/src/elmthread/rollout/settings.py
+++ b/src/elmthread/rollout/settings.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
-from elmthread.rollout.features import FIRST_LEVEL, LAST_LEVEL
+from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL
 
 LONGEST_SOAK_S = 30 * 86400.0
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.features import FIRST_LEVEL, ActiveFeatures, SupportedLevels
 from elmthread.leadership.context import TermContext
 from elmthread.peers.link import PeerUnreachableError
 from elmthread.rollout import messages
 from elmthread.rollout.decide import Activate, Obstacle, ObstacleKind, plan_activation
-from elmthread.rollout.features import FIRST_LEVEL, ActiveFeatures, SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
--- a/src/elmthread/rollout/tests/test_command.py
+++ b/src/elmthread/rollout/tests/test_command.py
@@ -6,8 +6,8 @@
 import pytest
 
 from elmthread import cli
+from elmthread.common.features import SupportedLevels
 from elmthread.rollout.command import describe
-from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from tests.world.world import NODES, settings
--- a/src/elmthread/rollout/tests/test_decide.py
+++ b/src/elmthread/rollout/tests/test_decide.py
@@ -3,8 +3,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from elmthread.common.features import SupportedLevels
 from elmthread.rollout.decide import Activate, ObstacleKind, Wait, plan_activation
-from elmthread.rollout.features import SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 
 NODES = ["a", "b", "c"]
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from elmthread.rollout.features import SupportedLevels
+from elmthread.common.features import SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError, Membership
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.store.messages import Page
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from elmthread.rollout.features import SupportedLevels
+from elmthread.common.features import SupportedLevels
 
 
 class Announcement(msgspec.Struct, frozen=True):
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from elmthread.cluster.state import Machine
-from elmthread.rollout.features import ActiveFeatures, Feature, SupportedLevels
+from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
 from elmthread.store.job_spec import MAX_TASKS_PER_JOB
 from elmthread.store.log import text_of, weight
 from elmthread.store.records import machine_key
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from elmthread.cluster.state import Job
-from elmthread.rollout.features import ActiveFeatures, Feature, SupportedLevels
+from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
 
 # The most tasks in one record of done marks: each finished task writes its record anew, so a
 # record takes a small part of a slot only.
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -9,7 +9,7 @@
 
 from elmthread.cluster.state import Machine, MachineState
 from elmthread.common.clock import ZERO
-from elmthread.rollout.features import SUPPORTED, ActiveFeatures, SupportedLevels
+from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
 from elmthread.store.log import text_of
 
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -11,9 +11,9 @@
 from elmthread.api.messages import read_submission
 from elmthread.cluster.state import Job
 from elmthread.common.clock import seconds
+from elmthread.common.features import ActiveFeatures
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
-from elmthread.rollout.features import ActiveFeatures
 from elmthread.settings import operators, platform
 from tests.test_world import day, set_apart
 from tests.world.world import ZONES, World, daemon, job, sent, settings, start
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -16,11 +16,11 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from elmthread.common.features import SUPPORTED, SupportedLevels
 from elmthread.leadership.election import Election, Role
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import JITTER
 from elmthread.reachability.service import Reachability
-from elmthread.rollout.features import SUPPORTED, SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from tests.test_world import HISTORIES, day
 from tests.world.history import History
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from elmthread.rollout.features import SUPPORTED
+from elmthread.common.features import SUPPORTED
 from tools.loopback import real_loop
 from tools.upgrade_cluster import NODES, Options, Upgrade
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -15,9 +15,9 @@
 import msgspec
 import pytest
 
+from elmthread.common.features import FIRST_LEVEL, SUPPORTED
 from elmthread.peers import messages as peers
 from elmthread.reachability.messages import read_view
-from elmthread.rollout.features import FIRST_LEVEL, SUPPORTED
 from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
 from elmthread.store.assignments import read_machine
 from elmthread.store.done_marks import MOST_MARKS, done_tasks, read_done
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -11,10 +11,10 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
+from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature
 from elmthread.rollout import gate as gate_module
 from elmthread.rollout import term as term_module
 from elmthread.rollout.decide import Activate, Wait, plan_activation
-from elmthread.rollout.features import SUPPORTED, ActiveFeatures, Feature
 from elmthread.rollout.gate import CompatibilityGate, GateState
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.term import TermRollout
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -17,7 +17,7 @@
 from bitarray.util import sc_decode
 
 from elmthread.cluster.state import JobState
-from elmthread.rollout.features import SupportedLevels
+from elmthread.common.features import SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.store.loading import StateLoader
 from tests.world.earlier import newest
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -5,8 +5,8 @@
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock
+from elmthread.common.features import ActiveFeatures
 from elmthread.leadership.context import TermContext
-from elmthread.rollout.features import ActiveFeatures
 
 
 class SureTerm:
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -12,11 +12,11 @@
 
 import cbor2
 
+from elmthread.common.features import SUPPORTED, SupportedLevels
 from elmthread.controller import Controller
 from elmthread.net.http import UNSURE, Request, Response
 from elmthread.peers.link import Peers
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
-from elmthread.rollout.features import SUPPORTED, SupportedLevels
 from elmthread.rollout.settings import RolloutSettings
 from tests.world.links import STORE, WORKERS, Fault, LinkFaults, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elmthread.rollout.features import SUPPORTED
+from elmthread.common.features import SUPPORTED
 from elmthread.rollout.settings import RolloutSettings
 from elmthread.store.loading import StateLoader
 from tests.world.loop import play
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
+from elmthread.common.features import SUPPORTED
 from elmthread.leadership.election import LeaderRecord
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
-from elmthread.rollout.features import SUPPORTED
 from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
