--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -9,10 +9,10 @@
 from elmthread.net.http import Client
 from elmthread.rollout.decide import Activate, plan_activation
 from elmthread.rollout.messages import UnreadableLevelError, read_view
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import RolloutRecords, read_records
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.settings.platform import Platform
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.client import KeyValueStore, StoreError
 from elmthread.store.pacing import TokenBucket
 
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -20,9 +20,9 @@
 from elmthread.common.features import SupportedLevels
 from elmthread.common.states import step
 from elmthread.rollout import messages
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
 from elmthread.rollout.view import Announcement, RolloutView
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
 from elmthread.store.client import KeyValueStore, RejectedTransactionError, StoreError
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -20,8 +20,8 @@
 from elmthread.rollout import messages
 from elmthread.rollout.decide import Activate, Obstacle, ObstacleKind, plan_activation
 from elmthread.rollout.gate import CompatibilityGate
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.store import read_records
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
 from elmthread.store.client import ConflictError, StoreError
 from elmthread.store.records import LEADER
--- a/src/elmthread/rollout/tests/test_command.py
+++ b/src/elmthread/rollout/tests/test_command.py
@@ -8,8 +8,8 @@
 from elmthread import cli
 from elmthread.common.features import SupportedLevels
 from elmthread.rollout.command import describe
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
+from elmthread.settings.rollout import RolloutSettings
 from tests.world.world import NODES, settings
 
 MEMBERS = frozenset(NODES)
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError, Membership
-from elmthread.rollout.settings import RolloutSettings
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.messages import Page
 
 
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from elmthread.common.clock import seconds
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.settings.expressions import Expression, ExpressionError
 from elmthread.settings.platform import SettingsError
+from elmthread.settings.rollout import RolloutSettings
 
 # What an expression may name: fields of the job, and the objective of its class (0: none).
 JOB_NAMES = {
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -21,7 +21,7 @@
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import JITTER
 from elmthread.reachability.service import Reachability
-from elmthread.rollout.settings import RolloutSettings
+from elmthread.settings.rollout import RolloutSettings
 from tests.test_world import HISTORIES, day
 from tests.world.history import History
 from tests.world.links import BadScheduleError, Fault, check_schedule, draw, read_schedule
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -16,9 +16,9 @@
 from elmthread.rollout import term as term_module
 from elmthread.rollout.decide import Activate, Wait, plan_activation
 from elmthread.rollout.gate import CompatibilityGate, GateState
-from elmthread.rollout.settings import RolloutSettings
 from elmthread.rollout.term import TermRollout
 from elmthread.rollout.view import Announcement, RolloutView
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
 from tests.test_rollout import fall
 from tests.test_world import HISTORIES, TROUBLES, befall, day, restore
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -18,7 +18,7 @@
 
 from elmthread.cluster.state import JobState
 from elmthread.common.features import SupportedLevels
-from elmthread.rollout.settings import RolloutSettings
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.loading import StateLoader
 from tests.world.earlier import newest
 from tests.world.world import World, start
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -17,7 +17,7 @@
 from elmthread.net.http import UNSURE, Request, Response
 from elmthread.peers.link import Peers
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
-from elmthread.rollout.settings import RolloutSettings
+from elmthread.settings.rollout import RolloutSettings
 from tests.world.links import STORE, WORKERS, Fault, LinkFaults, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
 from tests.world.rules import Rules
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram
 
 from elmthread.common.features import SUPPORTED
-from elmthread.rollout.settings import RolloutSettings
+from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.loading import StateLoader
 from tests.world.loop import play
 from tests.world.rollouts import BEFORE, until_level
