--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -9,10 +9,10 @@
 from elmthread.api import messages
 from elmthread.api.completion import record_maker
 from elmthread.api.jobs import JobFactory
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.state import Job, JobState
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import Response, again
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -7,9 +7,9 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import Response
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -9,6 +9,7 @@
 from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
 from elmthread.autoscaling.service import Autoscaler
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
@@ -21,7 +22,6 @@
     LEADERS_PART,
     users_at_once,
 )
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -14,11 +14,11 @@
 from functools import partial
 from typing import Any
 
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.state import Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines import messages
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
 from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.records import (
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -5,9 +5,9 @@
 from datetime import timedelta
 from typing import Any
 
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
 from elmthread.machines.service import MISSING, InstanceKind, MachineManager
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -14,6 +14,7 @@
 
 from elmthread.api.completion import CompletionRecorder
 from elmthread.cluster import health
+from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import (
     SEEN,
@@ -25,7 +26,6 @@
 )
 from elmthread.common.clock import at_least, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.machines.catalog import MachineTypeCatalog
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.workers import messages
 from elmthread.workers.assignments import Assignments
