--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -10,6 +10,7 @@
 from elmthread.api.completion import record_maker
 from elmthread.api.jobs import JobFactory
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import Job, JobState
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
@@ -17,7 +18,6 @@
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
 from elmthread.store.writer import WritePriority, WriterStoppedError
-from elmthread.workers.leases import WorkerLeases
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -8,13 +8,13 @@
 from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import ClusterState, Job, JobState
 from elmthread.common.clock import seconds
 from elmthread.net.http import Response
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.writer import WritePriority
-from elmthread.workers.leases import WorkerLeases
 from tests.world.loop import SimLoop, play
 from tests.world.term import SureTerm, term_context
 from tests.world.world import job as wire
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -11,6 +11,7 @@
 from elmthread.autoscaling.service import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock, seconds
@@ -40,7 +41,6 @@
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter, WriteLimits
 from elmthread.workers.assignments import Assignments
-from elmthread.workers.leases import WorkerLeases
 from elmthread.workers.service import HeartbeatHandler
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -15,6 +15,7 @@
 from typing import Any
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
@@ -28,7 +29,6 @@
     types_records,
 )
 from elmthread.store.writer import WritePriority
-from elmthread.workers.leases import WorkerLeases
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
@@ -18,7 +19,6 @@
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import WritePriority
-from elmthread.workers.leases import WorkerLeases
 from tests.world.loop import SimLoop, play
 from tests.world.term import term_context
 
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -15,6 +15,7 @@
 from elmthread.api.completion import CompletionRecorder
 from elmthread.cluster import health
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import (
     SEEN,
@@ -29,7 +30,6 @@
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.workers import messages
 from elmthread.workers.assignments import Assignments
-from elmthread.workers.leases import WorkerLeases
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat, Task
 
 log = logging.getLogger(__name__)
