--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -26,6 +26,7 @@
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
+from elmthread.persistence.assignments import Assignments
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
@@ -40,7 +41,6 @@
 from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter, WriteLimits
-from elmthread.workers.assignments import Assignments
 from elmthread.workers.service import HeartbeatHandler
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -28,8 +28,8 @@
 from elmthread.common.clock import at_least, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
+from elmthread.persistence.assignments import Assignments
 from elmthread.workers import messages
-from elmthread.workers.assignments import Assignments
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat, Task
 
 log = logging.getLogger(__name__)
