--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from elmthread.api import messages
-from elmthread.api.completion import record_maker
 from elmthread.api.jobs import JobFactory
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
@@ -15,6 +14,7 @@
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import Response, again
+from elmthread.persistence.completions import record_maker
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
 from elmthread.store.writer import WritePriority, WriterStoppedError
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,7 +5,6 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.api.completion import CompletionRecorder
 from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
 from elmthread.autoscaling.service import Autoscaler
@@ -27,6 +26,7 @@
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
 from elmthread.persistence.assignments import Assignments
+from elmthread.persistence.completions import CompletionRecorder
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
--- a/src/elmthread/store/loading.py
+++ b/src/elmthread/store/loading.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from elmthread.api.completion import CompletionRecorder
 from elmthread.api.jobs import JobFactory
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.state import AllocationState, Job, JobState, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
+from elmthread.persistence.completions import CompletionRecorder
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -12,7 +12,6 @@
 
 import msgspec
 
-from elmthread.api.completion import CompletionRecorder
 from elmthread.cluster import health
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
@@ -29,6 +28,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
 from elmthread.persistence.assignments import Assignments
+from elmthread.persistence.completions import CompletionRecorder
 from elmthread.workers import messages
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat, Task
 
