--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -27,6 +27,7 @@
 from elmthread.net.http import Caller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
+from elmthread.persistence.loading import StateLoader
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
@@ -37,7 +38,6 @@
 from elmthread.settings.platform import Platform
 from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
-from elmthread.store.loading import StateLoader
 from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter, WriteLimits
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -18,8 +18,8 @@
 
 from elmthread.cluster.state import JobState
 from elmthread.common.features import SupportedLevels
+from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
-from elmthread.store.loading import StateLoader
 from tests.world.earlier import newest
 from tests.world.world import World, start
 
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -18,8 +18,8 @@
 from hdrh.histogram import HdrHistogram
 
 from elmthread.common.features import SUPPORTED
+from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
-from elmthread.store.loading import StateLoader
 from tests.world.loop import play
 from tests.world.rollouts import BEFORE, until_level
 from tests.world.world import ZONES, World, job
