--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.cluster.state import Job
+from elmthread.cluster.job import Job
 from elmthread.common.clock import ZERO
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.placement.decide import TaskRequest
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -9,8 +9,8 @@
 from elmthread.api import messages
 from elmthread.api.jobs import JobFactory
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.state import Job, JobState
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import Response, again
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -8,8 +8,9 @@
 from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.state import ClusterState, Job, JobState
+from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.net.http import Response
 from elmthread.store.job_spec import JobSpec
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -9,8 +9,10 @@
 
 from elmthread.autoscaling.decide import Band, Group, Offer, Supply, band, dear, fewest, refill
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
+from elmthread.cluster.allocation import Allocation, StopMode
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
-from elmthread.cluster.state import Allocation, Job, Machine, MachineState, StopMode
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.service import InstanceKind, MachineManager
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -7,7 +7,8 @@
 import pytest
 
 from elmthread.autoscaling.service import Autoscaler
-from elmthread.cluster.state import Job, Machine, MachineState
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.leader import Leader
 from elmthread.machines.service import MachineManager
 from elmthread.placement.decide import allowed
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -3,7 +3,8 @@
 from collections.abc import Iterable
 
 from elmthread.cluster.events import ClusterEvents
-from elmthread.cluster.state import ClusterState, Machine
+from elmthread.cluster.machine import Machine
+from elmthread.cluster.state import ClusterState
 from elmthread.store.machine_type import MachineType
 
 
--- a/src/elmthread/cluster/health.py
+++ b/src/elmthread/cluster/health.py
@@ -9,7 +9,9 @@
 
 from datetime import timedelta
 
-from elmthread.cluster.state import Allocation, AllocationState, Job, Machine
+from elmthread.cluster.allocation import Allocation, AllocationState
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine
 from elmthread.common.clock import ZERO, seconds
 
 FIRST_PAUSE = seconds(2)
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from elmthread.cluster.state import Machine, MachineState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import at_least, seconds
 
 
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.cluster.state import Job
+from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 
 # Weight of the newest task; the first tasks of a class are averaged plainly.
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -4,8 +4,11 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.cluster import health
+from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.health import FIRST_PAUSE, STEADY
-from elmthread.cluster.state import AllocationState, ClusterState, Job, Machine, MachineState
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
 from tests.world.world import job as wire
 
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -16,7 +16,7 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.state import Machine, MachineState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines import messages
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,7 +7,8 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.state import REMEMBERED, ClusterState, Machine, MachineState
+from elmthread.cluster.machine import REMEMBERED, Machine, MachineState
+from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -3,7 +3,8 @@
 import asyncio
 from datetime import timedelta
 
-from elmthread.cluster.state import AllocationState, Machine
+from elmthread.cluster.allocation import AllocationState
+from elmthread.cluster.machine import Machine
 from elmthread.leadership.context import TermContext
 from elmthread.store.assignments import machine_record
 from elmthread.store.records import machine_key
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from elmthread.cluster.state import Job, JobState
+from elmthread.cluster.job import Job, JobState
 from elmthread.leadership.context import TermContext
 from elmthread.store.done_marks import done_record
 from elmthread.store.records import done_key, job_key, job_record
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -9,8 +9,10 @@
 import msgspec
 
 from elmthread.api.jobs import JobFactory
+from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.state import AllocationState, Job, JobState, Machine, MachineState
+from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
--- a/src/elmthread/placement/service.py
+++ b/src/elmthread/placement/service.py
@@ -10,18 +10,11 @@
 
 from elmthread.autoscaling.decide import Line, jobs_to_put_off
 from elmthread.cluster import health
+from elmthread.cluster.allocation import Allocation, AllocationState, StopMode
+from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.machine import Machine
 from elmthread.cluster.run_times import RunTimeModel
-from elmthread.cluster.state import (
-    Allocation,
-    AllocationState,
-    ClusterState,
-    Job,
-    JobState,
-    Machine,
-    StopMode,
-    entry_size,
-    task_size,
-)
+from elmthread.cluster.state import ClusterState, entry_size, task_size
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.placement.attempts import AttemptCounter
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -5,8 +5,11 @@
 from datetime import UTC, datetime, timedelta
 
 from elmthread.api.messages import read_submission
+from elmthread.cluster.allocation import AllocationState
+from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
-from elmthread.cluster.state import AllocationState, ClusterState, Job, JobState, Machine, MachineState
+from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import BEGIN, PART, Scheduler, SchedulerSettings
--- a/src/elmthread/reachability/census.py
+++ b/src/elmthread/reachability/census.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from elmthread.cluster.state import Machine, MachineState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO, Clock, seconds
 
 # Counts this old are good enough for all who judge by them.
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from elmthread.cluster.state import Machine
+from elmthread.cluster.machine import Machine
 from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
 from elmthread.store.job_spec import MAX_TASKS_PER_JOB
 from elmthread.store.log import text_of, weight
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from elmthread.cluster.state import Job
+from elmthread.cluster.job import Job
 from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
 
 # The most tasks in one record of done marks: each finished task writes its record anew, so a
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from elmthread.cluster.state import Job, JobState
+from elmthread.cluster.job import Job, JobState
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.log import text_of, weight
 from elmthread.store.machine_type import MachineType
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.cluster.state import Machine, MachineState
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO
 from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -13,17 +13,11 @@
 import msgspec
 
 from elmthread.cluster import health
+from elmthread.cluster.allocation import SEEN, Allocation, AllocationState, StopMode
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
+from elmthread.cluster.machine import Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
-from elmthread.cluster.state import (
-    SEEN,
-    Allocation,
-    AllocationState,
-    Machine,
-    MachineState,
-    StopMode,
-)
 from elmthread.common.clock import at_least, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -9,7 +9,7 @@
 
 from elmthread.api.jobs import JobFactory
 from elmthread.api.messages import read_submission
-from elmthread.cluster.state import Job
+from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 from elmthread.common.features import ActiveFeatures
 from elmthread.placement.decide import TaskRequest
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from elmthread.cluster.state import Machine
+from elmthread.cluster.machine import Machine
 from elmthread.common.clock import seconds
 from elmthread.peers.messages import ForwardedRequest
 from tests.test_world import day, restore, set_apart
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -16,7 +16,7 @@
 
 from bitarray.util import sc_decode
 
-from elmthread.cluster.state import JobState
+from elmthread.cluster.job import JobState
 from elmthread.common.features import SupportedLevels
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
