--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -11,11 +11,11 @@
 from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
 from elmthread.cluster.allocation import Allocation, StopMode
 from elmthread.cluster.job import Job
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.machines.service import InstanceKind, MachineManager
+from elmthread.machines.service import MachineManager
 from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
 from elmthread.placement.service import Scheduler
 from elmthread.settings.operators import Operators
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -1,5 +1,6 @@
 """A rented machine: what it is, what it may hold, and what was last heard of it."""
 
+from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum, auto
 from typing import TYPE_CHECKING
@@ -34,6 +35,15 @@
 SOON_SURE = seconds(8)
 
 
+@dataclass(frozen=True)
+class InstanceKind:
+    """What a request for machines names: a machine type in a zone, as spot or ordinary instance."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+
+
 class Machine:
     """One rented machine: what it is, what it may hold, and what was last heard of it."""
 
@@ -80,13 +90,11 @@
         "zone",
     )
 
-    def __init__(
-        self, name: str, machine_type: str, zone: str, spot: bool, state: MachineState, now: timedelta
-    ) -> None:
+    def __init__(self, name: str, kind: InstanceKind, state: MachineState, now: timedelta) -> None:
         self.name = name
-        self.machine_type = machine_type
-        self.zone = zone
-        self.spot = spot
+        self.machine_type = kind.machine_type
+        self.zone = kind.zone
+        self.spot = kind.spot
         self.state = state
         self.cpus = self.gpus = self.memory_gb = 0.0
         # Cores held by urgent work, and of these by replicas, which have no end; for sizing.
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -7,7 +7,7 @@
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.health import FIRST_PAUSE, STEADY
 from elmthread.cluster.job import Job
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
 from tests.world.world import job as wire
@@ -19,7 +19,7 @@
         self.attempt = 0
 
     def machine(self, number: int) -> Machine:
-        machine = Machine(f"m-{number}", "small", "east", False, MachineState.UP, ZERO)
+        machine = Machine(f"m-{number}", InstanceKind("small", "east", False), MachineState.UP, ZERO)
         self.cluster.add_machine(machine)
         return machine
 
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -16,7 +16,7 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines import messages
@@ -63,13 +63,6 @@
 BOOT_SLACK = seconds(10)
 
 
-@dataclass(frozen=True)
-class InstanceKind:
-    machine_type: str
-    zone: str
-    spot: bool
-
-
 @dataclass(slots=True)
 class InstanceRequest:
     """A rental on its way: its machines count as coming."""
@@ -225,7 +218,7 @@
 
     def _adopt(self, listed: messages.Listed, now: timedelta) -> Machine:
         state = MachineState.BOOTING if listed.state == "starting" else MachineState.UNCONFIRMED
-        machine = Machine(listed.name, listed.machine_type, listed.zone, listed.spot, state, now)
+        machine = Machine(listed.name, InstanceKind(listed.machine_type, listed.zone, listed.spot), state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
         self.catalog.apply_to(machine)
         self._cluster.add_machine(machine)
@@ -290,7 +283,7 @@
                 continue
             machine = self._cluster.machines.get(name)
             if machine is None:
-                machine = Machine(name, kind.machine_type, kind.zone, kind.spot, MachineState.BOOTING, now)
+                machine = Machine(name, kind, MachineState.BOOTING, now)
                 self.catalog.apply_to(machine)
                 self._cluster.add_machine(machine)
             machine.in_deferrable_pool = order.for_deferrable_pool
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,12 +7,12 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import REMEMBERED, Machine, MachineState
+from elmthread.cluster.machine import REMEMBERED, InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
-from elmthread.machines.service import MISSING, InstanceKind, MachineManager
+from elmthread.machines.service import MISSING, MachineManager
 from elmthread.net.http import Answer
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.census import Census
@@ -75,7 +75,7 @@
 
 
 def machine(cluster: ClusterState, number: int, state: MachineState = MachineState.UP) -> Machine:
-    one = Machine(f"m-{number:06d}", "small", "east", True, state, seconds(0))
+    one = Machine(f"m-{number:06d}", KIND, state, seconds(0))
     cluster.add_machine(one)
     return one
 
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -12,7 +12,7 @@
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.job import Job, JobState
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
@@ -166,7 +166,9 @@
     def _read_machine(self, key: str, value: Any) -> None:
         record = read_machine(value, self._supported)
         name = key.removeprefix("m/")
-        machine = Machine(name, record.machine_type, record.zone, record.spot, MachineState.UNCONFIRMED, self._clock())
+        machine = Machine(
+            name, InstanceKind(record.machine_type, record.zone, record.spot), MachineState.UNCONFIRMED, self._clock()
+        )
         machine.in_deferrable_pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -7,7 +7,7 @@
 from elmthread.api.messages import read_submission
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.job import Job, JobState
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
@@ -34,7 +34,7 @@
 def make_cluster(rng: random.Random) -> tuple[ClusterState, Scheduler]:
     cluster = ClusterState(1000)
     for number in range(rng.randint(1, 6)):
-        machine = Machine(f"m-{number}", "large", "east", False, MachineState.UP, ZERO)
+        machine = Machine(f"m-{number}", InstanceKind("large", "east", False), MachineState.UP, ZERO)
         machine.cpus, machine.memory_gb = 16.0, 64.0
         cluster.add_machine(machine)
     attempt = 0
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import ZERO
 from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
@@ -25,7 +25,7 @@
 
 
 def machine_with(assigned: list[tuple[str, int, int]]) -> Machine:
-    machine = Machine("m-000001", "small", "east", True, MachineState.UP, ZERO)
+    machine = Machine("m-000001", InstanceKind("small", "east", True), MachineState.UP, ZERO)
     machine.in_deferrable_pool = True
     for one in assigned:
         machine.allocations[one[2]] = Held(*one)  # type: ignore[assignment]
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -16,7 +16,7 @@
 from elmthread.cluster.allocation import SEEN, Allocation, AllocationState, StopMode
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.common.clock import at_least, seconds
 from elmthread.leadership.context import TermContext
@@ -134,9 +134,7 @@
         """A machine nobody told us of: rented by a late request or by an earlier leader."""
         machine = Machine(
             heartbeat.machine,
-            heartbeat.machine_type,
-            heartbeat.zone,
-            heartbeat.spot,
+            InstanceKind(heartbeat.machine_type, heartbeat.zone, heartbeat.spot),
             MachineState.UNCONFIRMED,
             self._clock(),
         )
