--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -17,8 +17,8 @@
 from elmthread.store.machine_type import MachineType
 from elmthread.store.writer import WritePriority
 from tests.world.loop import SimLoop, play
+from tests.world.specs import job as wire
 from tests.world.term import SureTerm, term_context
-from tests.world.world import job as wire
 
 
 class Store:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -12,8 +12,9 @@
 from elmthread.leader import Leader
 from elmthread.machines.service import MachineManager
 from elmthread.placement.decide import allowed
-from tests.test_world import day
-from tests.world.world import World, job
+from tests.world.day import day
+from tests.world.specs import job
+from tests.world.world import World
 
 
 async def filled(world: World) -> Leader:
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -10,7 +10,7 @@
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
-from tests.world.world import job as wire
+from tests.world.specs import job as wire
 
 
 class Bench:
--- a/src/elmthread/placement/tests/test_order.py
+++ b/src/elmthread/placement/tests/test_order.py
@@ -14,8 +14,8 @@
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import BEGIN, PART, Scheduler, SchedulerSettings
 from elmthread.settings.platform import Team
+from tests.world.specs import job as wire
 from tests.world.term import term_context
-from tests.world.world import job as wire
 
 NOW = seconds(1000)
 RUN = seconds(20)
--- a/src/elmthread/reachability/tests/test_command.py
+++ b/src/elmthread/reachability/tests/test_command.py
@@ -14,7 +14,7 @@
 from elmthread.reachability.command import describe
 from elmthread.reachability.links import LinkState
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage, encode_view
-from tests.world.world import NODES, settings
+from tests.world.settings import NODES, settings
 
 VIEW = LinkViewMessage(
     7,
--- a/src/elmthread/rollout/tests/test_command.py
+++ b/src/elmthread/rollout/tests/test_command.py
@@ -10,7 +10,7 @@
 from elmthread.rollout.command import describe
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.world import NODES, settings
+from tests.world.settings import NODES, settings
 
 MEMBERS = frozenset(NODES)
 SETTINGS = RolloutSettings(enabled=True, soak_s=600.0)
--- a/src/elmthread/settings/tests/test_settings.py
+++ b/src/elmthread/settings/tests/test_settings.py
@@ -7,7 +7,7 @@
 from elmthread.cli import main
 from elmthread.settings import operators, platform
 from elmthread.settings.platform import SettingsError
-from tests.world.world import SETTINGS
+from tests.world.settings import SETTINGS
 
 GOOD = SETTINGS.format(node="loom-0", others="", next="", cancel=30.0)
 
--- a/tests/both.py
+++ b/tests/both.py
@@ -16,7 +16,8 @@
 from collections import Counter
 from pathlib import Path
 
-from tests import test_rollout, test_staged_rollout
+from tests.world.random_rollouts import day_beside_an_earlier_version
+from tests.world.upgrades import upgraded_day
 from tests.world.world import World
 
 NAME = "elmthread_earlier"
@@ -45,8 +46,8 @@
         renamed(checkout, Path(folder))
         sys.path.insert(0, folder)
         for seed in range(seeds):
-            test_rollout.upgraded_day(seed, earlier=NAME)
-            test_staged_rollout.day_beside_an_earlier_version(seed, earlier=NAME)
+            upgraded_day(seed, earlier=NAME)
+            day_beside_an_earlier_version(seed, earlier=NAME)
             print(f"seed {seed}: no rule broken; started so far: {dict(started)}", flush=True)
     return 0
 
--- /dev/null
+++ b/tests/test_drawn_cuts.py
@@ -0,0 +1,79 @@
+"""Drawn schedules of cuts, and the proof that each missing guard is seen."""
+
+import json
+from datetime import timedelta
+from pathlib import Path
+from typing import Any
+from unittest import mock
+
+import pytest
+from hypothesis import Phase, given, settings
+from hypothesis import strategies as st
+
+from elmthread.leadership.election import Election, Role
+from elmthread.reachability.backoff import LeadershipBackoff
+from tests.world.cut_days import Script, cut, cut_day, plays
+from tests.world.history import History
+from tests.world.links import BadScheduleError, draw, read_schedule
+from tests.world.random_troubles import HISTORIES
+from tests.world.settings import NODES
+from tests.world.world import World
+
+# Drawn schedules
+
+
+ENDS = [("leader", "store"), ("follower", "store"), ("leader", "peers"), ("follower", "leader")]
+ENDS += [("leader", "workers"), ("follower", "workers"), ("leader", "workers/east"), ("workers/north", "leader")]
+
+
+@settings(HISTORIES, max_examples=12, phases=[Phase.generate, Phase.shrink])
+@given(st.integers(0, 10_000), st.integers(2, 3))
+def test_drawn_schedules_break_no_rule(seed: int, count: int) -> None:
+    cut_day(plays(*draw(seed, ENDS, count, 40.0)), seed=seed)
+
+
+def test_a_schedule_is_played_again_from_its_file(tmp_path: Path) -> None:
+    faults = draw(7, ENDS, 3, 30.0)
+    path = tmp_path / "schedule.toml"
+    tables = ["\n".join(f"{key} = {json.dumps(value)}" for key, value in fault.items()) for fault in faults]
+    path.write_text("".join(f"[[faults]]\n{table}\n" for table in tables))
+    again = read_schedule(path)
+    assert again == faults
+    terms = [cut_day(plays(*one), seed=3).terms for one in (faults, again)]
+    assert terms[0] == terms[1]
+    path.write_text(path.read_text().replace("for_s", "fro_s", 1))
+    with pytest.raises(BadScheduleError, match="schedule.toml: faults.0: .*for_s"):
+        read_schedule(path)
+
+
+# Each check is seen to fail with a guard taken out
+
+
+def always_sure(self: Election) -> bool:
+    return self.role is not Role.FOLLOWER
+
+
+@pytest.mark.parametrize("guard", ["sure lease", "holding time", "vacancy ends a rest"])
+def test_the_checks_see_a_guard_that_is_missing(guard: str) -> None:
+    async def no_store(world: World, history: History) -> None:
+        await world.play_faults([cut("leader", "store", length=40.0), cut("leader", "peers", length=40.0)])
+
+    async def alone(world: World, history: History) -> None:
+        assert world.leader is not None
+        others = [node for node in NODES if node != world.leader.api._node]
+        for node in others:
+            world.kill(node)
+        await world.play_faults([cut("leader", "workers", length=12.0)])
+
+    def whole_rest(self: LeadershipBackoff, vacant_for: timedelta) -> timedelta:
+        return self._until - self._clock()
+
+    guards: dict[str, tuple[Any, str, Any, Script, str]] = {
+        "sure lease": (Election, "holds_lease", always_sure, no_store, "without a sure lease"),
+        "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
+        "vacancy ends a rest": (LeadershipBackoff, "wait_before_standing", whole_rest, alone, "no leader hears most"),
+    }
+    owner, name, without, script, told = guards[guard]
+    cut_day(script)
+    with mock.patch.object(owner, name, without), pytest.raises(AssertionError, match=told):
+        cut_day(script)
--- /dev/null
+++ b/tests/test_failover.py
@@ -0,0 +1,207 @@
+"""Changes of the leader: crashes, lost links and outages lose no job and double none."""
+
+import asyncio
+from functools import partial
+
+import pytest
+
+from tests.world.balancer import Balancer
+from tests.world.day import day
+from tests.world.random_troubles import set_apart
+from tests.world.settings import NODES
+from tests.world.specs import job
+from tests.world.world import World, start
+
+
+@pytest.mark.parametrize("controllers", [1, 7])
+def test_any_number_of_controllers_serves_through_crashes(controllers: int) -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, pieces=6, true_s=20.0, expected_s=20.0))
+        await asyncio.sleep(8)
+        for _ in range(2):
+            assert world.leader is not None
+            name = world.leader.api._node
+            world.kill(name)
+            world.loop.call_later(1, start, world, name)
+            await asyncio.sleep(5)
+            assert world.leader is not None and await world.poll("run-000001") == "running"
+        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+
+    day(script, controllers=controllers)
+
+
+@pytest.mark.parametrize("victims", [["leader"], NODES])
+def test_crashed_controllers_lose_no_job_and_double_none(victims: list[str]) -> None:
+    async def script(world: World) -> None:
+        for number in range(4):
+            assert await world.submit(job(number, true_s=25.0, expected_s=25.0))
+        await asyncio.sleep(8)
+        assert world.leader is not None
+        leader = world.leader.api._node
+        names = [leader] if victims == ["leader"] else list(NODES)
+        for name in names:
+            world.kill(name)
+        await asyncio.sleep(4)
+        for name in names:
+            world.start(name)
+        states = await world.until_over([f"run-{n:06d}" for n in range(4)], 120)
+        assert set(states.values()) == {"done"}
+
+    world = day(script)
+    # Leases outlast a crash: no task is started twice for it.
+    assert max(world.rules.starts.values()) == 1
+
+
+def test_state_outage_keeps_tasks_alive_and_refuses_users_at_once() -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
+        await asyncio.sleep(8)
+        world.store.outage(True)
+        await asyncio.sleep(7)
+        asked = world.loop.now
+        response = await world.ask("POST", "/submissions", job(2))
+        assert response.status == 503 and response.retry_after is not None
+        assert world.loop.now - asked < 0.5
+        await asyncio.sleep(9)
+        world.store.outage(False)
+        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+
+    world = day(script)
+    assert max(world.rules.starts.values()) == 1
+
+
+def test_leader_refused_by_the_state_service_alone_gives_way() -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
+        await asyncio.sleep(6)
+        old = world.leader
+        assert old is not None
+        world.ports[old.api._node][0].trouble.refused = True
+        await asyncio.sleep(10)
+        assert world.leader is not None and world.leader is not old
+        assert old.election.role.name == "FOLLOWER"
+        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+
+    day(script)
+
+
+def test_leader_cut_off_with_its_workers_is_waited_out() -> None:
+    """The old leader may answer on; what its machines hold is not started elsewhere meanwhile."""
+
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, pieces=12, true_s=40.0, expected_s=40.0))
+        await asyncio.sleep(6)
+        old = world.leader
+        assert old is not None
+        name = old.api._node
+        world.ports[name][1].trouble.cut = True
+        # The links between controllers are cut too, but workers still reach the old leader.
+        set_apart(world, name, True)
+        for worker in list(world.workers):
+            world.cut_workers |= {(worker, node) for node in NODES if node != name}
+        await asyncio.sleep(35)
+        world.cut_workers.clear()
+        set_apart(world, name, False)
+        world.ports[name][1].trouble.cut = False
+        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+
+    day(script)
+
+
+def test_answers_begun_under_an_old_token_are_not_finished_under_a_new_one() -> None:
+    """A node that loses and wins leadership within one answer once broke a team's limit so."""
+
+    async def script(world: World) -> None:
+        ids = []
+        for index in range(6):
+            spec = job(index, crew="red", pieces=30, true_s=3.0, expected_s=3.0)
+            assert await world.submit(spec)
+            ids.append(spec["name_id"])
+        for _ in range(60):
+            if world.leader is not None:
+                world.leader.election.step_down("told to")
+            await asyncio.sleep(world.rng.uniform(0.3, 3.0))
+        assert set((await world.until_over(ids, 300)).values()) == {"done"}
+
+    for number in range(4):
+        day(script, seed=number, machines=6)
+
+
+def test_cancelled_tasks_out_of_reach_count_for_the_limit_under_a_new_leader() -> None:
+    """The record of a cancelled job once lost its team and size, and with them its tasks' cores."""
+
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, crew="red", pieces=12, true_s=100.0, expected_s=100.0))
+        await asyncio.sleep(8)
+        assert len(world.rules.where) == 12
+        # The workers hear nothing more, so what they run goes on until their leases end.
+        world.cut_workers |= {(worker, node) for worker in world.workers for node in NODES}
+        assert await world.withdraw("run-000001") == "cancelled"
+        old = world.leader
+        assert old is not None
+        world.kill(old.api._node)
+        for name in ("large", "large"):
+            world.rent(name, "east")
+        assert await world.submit(job(2, crew="red", pieces=12))
+        assert (await world.until_over(["run-000002"], 120)) == {"run-000002": "done"}
+
+    day(script)
+
+
+def test_readiness_tells_a_node_cut_off_from_a_vacancy() -> None:
+    async def script(world: World) -> None:
+        await asyncio.sleep(5)
+        assert world.leader is not None
+        name = world.leader.api._node
+        cut = next(node for node in NODES if node != name)
+
+        async def ready(node: str) -> bool:
+            return (await world.ask("GET", "/ready", node=node)).status == 200
+
+        assert all([await ready(node) for node in NODES])
+        reach = world.reach
+        world.reach = lambda one, other: cut not in (one, other) and reach(one, other)  # type: ignore[method-assign]
+        world.ports[cut][0].trouble.cut = True
+        # The user asks again, here while it may be over at once, and then on a connection to another node.
+        response = await world.ask("GET", "/submissions/run-000001", node=cut)
+        assert (response.status, response.close) == (503, False)
+        await asyncio.sleep(6)
+        assert not await ready(cut) and await ready(name)
+        response = await world.ask("GET", "/submissions/run-000001", node=cut)
+        assert (response.status, response.close) == (503, True)
+        world.reach = reach  # type: ignore[method-assign]
+        world.ports[cut][0].trouble.cut = False
+        await asyncio.sleep(3)
+        assert await ready(cut)
+        world.store.outage(True)
+        await asyncio.sleep(30)
+        assert all([await ready(node) for node in NODES])
+
+    day(script)
+
+
+def test_users_come_through_the_load_balancer_during_a_rolling_restart() -> None:
+    async def script(world: World) -> None:
+        balancer = Balancer(world)
+        await asyncio.sleep(6)
+        assert balancer.healthy == set(NODES)
+        answered = missed = 0
+        for index, node in enumerate(NODES):
+            world.kill(node)
+            world.loop.call_later(4, partial(start, world, node))
+            for step in range(15):
+                spec = job(100 * index + step, pieces=1, true_s=1.0)
+                world.rules.submitted(spec)
+                response = await balancer.ask("POST", "/submissions", spec)
+                if response is None or response.status not in (200, 201):
+                    missed += 1
+                    assert response is None or response.retry_after is not None
+                else:
+                    answered += 1
+                await asyncio.sleep(1)
+        # Without a leader for some 5 s at the most each time, and never without a node.
+        assert answered > 25 and missed < 20
+        await asyncio.sleep(10)
+        assert len(balancer.healthy) >= 2
+
+    day(script)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -13,9 +13,11 @@
 from elmthread.net.http import Server
 from elmthread.placement import decide
 from elmthread.workers.service import HeartbeatHandler
-from tests.test_world import day
 from tests.world.counting import count_calls, count_changes
-from tests.world.world import ZONES, World, job
+from tests.world.day import day
+from tests.world.settings import ZONES
+from tests.world.specs import job
+from tests.world.world import World
 
 MACHINES = 4000
 JOBS = 40
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -13,8 +13,10 @@
 import pytest
 
 from elmthread.leadership.election import Role
-from tests.test_world import day, restore
-from tests.world.world import World, job, start
+from tests.world.day import day
+from tests.world.random_troubles import restore
+from tests.world.specs import job
+from tests.world.world import World, start
 
 PIECES = 3
 
--- /dev/null
+++ b/tests/test_machine_lifecycle.py
@@ -0,0 +1,105 @@
+"""Machines from their request to their deletion: idle, faulty, silent, stuck and interrupted."""
+
+import asyncio
+
+import pytest
+
+from tests.world.day import day
+from tests.world.specs import job
+from tests.world.world import World
+
+
+def test_idle_machines_go_back_and_late_work_rents() -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, pieces=200, expected_s=20.0, true_s=20.0))
+        await asyncio.sleep(60)
+        assert len(world.cloud.machines) > 1
+        states = await world.until_over(["run-000001"], 240)
+        assert states == {"run-000001": "done"}
+        await asyncio.sleep(90)
+        assert len(world.cloud.machines) <= 1
+
+    day(script, machines=1)
+
+
+def test_sick_machine_is_returned_and_bad_job_blames_none() -> None:
+    async def script(world: World) -> None:
+        await asyncio.sleep(2)
+        sick = next(iter(world.workers))
+        world.workers[sick].sick = True
+        for number in range(14):
+            assert await world.submit(job(number))
+        await world.until_over([f"run-{n:06d}" for n in range(14)], 120)
+        assert sick in world.cloud.deleted
+
+    day(script)
+
+
+def test_silent_machine_gets_nothing_new() -> None:
+    """Seen in an incident: a hung machine was given tasks, and they were taken back, all day long."""
+
+    async def script(world: World) -> None:
+        await asyncio.sleep(3)
+        name = next(iter(world.workers))
+        world.workers[name].hung = True
+        await asyncio.sleep(8)
+        for number in range(5):
+            assert await world.submit(job(number, pieces=6))
+        leader = world.leader
+        assert leader is not None and leader.leader is not None
+        for _ in range(20):
+            await asyncio.sleep(0.5)
+            machine = leader.leader.cluster.machines.get(name)
+            assert machine is None or not machine.allocations
+
+    day(script)
+
+
+def test_machine_that_never_comes_up_is_given_up() -> None:
+    async def script(world: World) -> None:
+        await asyncio.sleep(2)
+        stuck = world.cloud.add("small", "east", True, 10_000.0)
+        await asyncio.sleep(60)
+        assert stuck.name in world.cloud.deleted
+
+    day(script)
+
+
+def test_deletions_are_repeated_until_answered() -> None:
+    async def script(world: World) -> None:
+        await asyncio.sleep(2)
+        assert world.leader is not None
+        cloud = world.ports[world.leader.api._node][1].trouble
+        stuck = world.cloud.add("small", "east", True, 10_000.0)
+        await asyncio.sleep(25)
+        cloud.lost = 0.9
+        await asyncio.sleep(60)
+        cloud.lost = 0.0
+        await asyncio.sleep(15)
+        assert stuck.name not in world.cloud.machines
+        assert stuck.name not in world.leader.leader.cluster.machines  # type: ignore[union-attr]
+
+    day(script)
+
+
+@pytest.mark.parametrize("notice", [True, False])
+def test_taken_machine_loses_no_job(notice: bool) -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, pieces=20, true_s=20.0, expected_s=20.0, snapshot_every_s=5.0, snapshot_s=1.0))
+        await asyncio.sleep(8)
+        name, held = next((m, [t for n, t in world.rules.where if n == m]) for m, _ in world.rules.where)
+        worker = world.workers[name]
+        if notice:
+            worker.interruption_at = world.loop.now + 12
+            worker.change.set()
+            await asyncio.sleep(10.5)
+            # What could save has gone on elsewhere, and nothing new came.
+            assert not any(m == name for m, _ in world.rules.where)
+            assert set(held) <= {t for _, t in world.rules.where} | world.rules.finished
+            await asyncio.sleep(1.5)
+        if name in world.cloud.machines:
+            del world.cloud.machines[name]
+            world._ended(name)
+        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+
+    day(script)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -11,8 +11,10 @@
 
 import pytest
 
-from tests.test_world import day, restore
-from tests.world.meetings import TROUBLES, Stage, watch
+from tests.world.day import day
+from tests.world.meetings import TROUBLES, watch
+from tests.world.random_troubles import restore
+from tests.world.stage import Stage
 from tests.world.world import World
 
 # Each meeting: troubles, and how long after the first each begins.
--- /dev/null
+++ b/tests/test_overload.py
@@ -0,0 +1,156 @@
+"""Under overload no job is forgotten and no class, team or size is left out."""
+
+import asyncio
+
+from elmthread.common.clock import seconds
+from tests.world.day import day
+from tests.world.specs import job
+from tests.world.world import World
+
+# No job forgotten, nobody left out
+
+
+def test_every_job_is_answered_at_every_node_after_all_troubles() -> None:
+    async def script(world: World) -> None:
+        ids = []
+        for number in range(60):
+            assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
+            ids.append(f"run-{number:06d}")
+        await asyncio.sleep(15)
+        world.store.outage(True)
+        for node in world.nodes:
+            world.kill(node)
+        await asyncio.sleep(10)
+        for node in world.nodes:
+            world.start(node)
+        await asyncio.sleep(3)
+        world.store.outage(False)
+        world.rules.calm_since = calm = world.loop.now
+        left = {(node, job_id) for node in world.nodes for job_id in ids}
+        while left and world.loop.now < calm + 90:
+            for node, job_id in sorted(left):
+                if await world.poll(job_id, node) is not None:
+                    left.discard((node, job_id))
+            await asyncio.sleep(0.5)
+        assert world.loop.now - calm < 20, left
+        assert set((await world.until_over(ids, 120)).values()) == {"done"}
+
+    day(script)
+
+
+def test_forgetting_is_judged_for_each_job_by_itself() -> None:
+    """The checker itself: one job that goes unanswered is seen, however others fare."""
+    world = World()
+    for number in (1, 2):
+        world.rules.submitted(job(number))
+        world.rules.heard(f"run-{number:06d}", 201, "queued")
+    world.rules.calm_since = 0.0
+    for now in range(90):
+        world.loop.now = float(now)
+        world.rules.heard("run-000001", 200, "queued")
+        world.rules.heard("run-000002", 503, None)
+    world.loop.close()
+    assert [entry.split()[1:3] for entry in world.rules.broken[:1]] == [["forgotten:", "run-000002:"]]
+
+
+def test_large_jobs_begin_in_time_whatever_the_load() -> None:
+    """Urgent work beyond all cores, small jobs without end, and large ones that can't be in time."""
+
+    async def script(world: World) -> None:
+        ids, large = [], []
+        number = 0
+        while world.loop.now < 330:
+            number += 1
+            if number % 25 == 1 and world.loop.now < 80:
+                spec = job(number, pieces=300, true_s=8.0, expected_s=8.0)
+                large.append(spec["name_id"])
+            else:
+                urgency = ("high", "normal", "best_effort")[number % 3]
+                spec = job(number, pieces=15, cpus=2.0, true_s=8.0, expected_s=8.0, urgency=urgency)
+            assert await world.submit(spec)
+            ids.append(spec["name_id"])
+            world.rules.specs[spec["name_id"]]["at"] = world.loop.now
+            await asyncio.sleep(1.0)
+        assert large
+        old = [job_id for job_id in ids if world.rules.specs[job_id]["at"] < world.loop.now - 240]
+        for job_id in (*old, *large):
+            waited = world.rules.first_start.get(job_id, 1e9) - world.rules.specs[job_id]["at"]
+            assert waited < 240, (job_id, waited)
+
+    day(script, machines=6, each=0)
+
+
+def test_half_of_each_class_team_and_size_is_served_in_overload() -> None:
+    """More work than cores for three minutes, then four to catch up; large jobs among small ones."""
+
+    async def script(world: World) -> None:
+        ids: list[str] = []
+        while world.loop.now < 180:
+            number = len(ids) + 1
+            kind, urgency = [("rush", "high"), ("nightly", "normal"), ("sort", "best_effort")][number % 3]
+            spec = job(
+                number,
+                docket=kind,
+                urgency=urgency,
+                crew="red" if number % 4 == 0 else "blue",
+                pieces=95 if number % 9 == 1 else world.rng.randint(2, 12),
+                cpus=world.rng.choice([1.0, 2.0]),
+                true_s=8.0,
+                expected_s=world.rng.choice([4.0, 8.0, 16.0]),
+            )
+            assert await world.submit(spec)
+            ids.append(spec["name_id"])
+            await asyncio.sleep(1.5)
+        states = await world.until_over(ids, 240)
+        specs = world.rules.specs
+        groups = {
+            **{kind: [i for i in ids if specs[i]["docket"] == kind] for kind in ("rush", "nightly", "sort")},
+            **{team: [i for i in ids if specs[i]["crew"] == team] for team in ("red", "blue")},
+            "largest": [i for i in ids if specs[i]["pieces"] == 95],
+        }
+        for name, members in groups.items():
+            served = sum(states[i] == "done" for i in members)
+            assert served * 2 >= len(members) > 0, (name, served, len(members))
+        assert sum(states[i] == "done" for i in ids) * 1.2 > len(ids)
+
+    day(script, machines=6, each=0)
+
+
+# Too much to do
+
+
+def test_overload_refuses_users_by_kind_and_never_readiness_or_workers() -> None:
+    async def script(world: World) -> None:
+        assert await world.submit(job(1, pieces=30, true_s=60.0, expected_s=60.0))
+        await asyncio.sleep(8)
+        running = sorted(world.rules.where)
+        assert running and world.leader is not None
+        leader = world.leader.api._node
+        other = next(node for node in world.nodes if node != leader)
+
+        def behind(node: str, late: float) -> None:
+            for _ in range(10):
+                world.controllers[node].load.record_delay(seconds(late))
+
+        async def answers(node: str) -> list[int]:
+            submitted = await world.ask("POST", "/submissions", job(1), node=node)
+            polled = await world.ask("GET", "/submissions/run-000001", node=node)
+            assert all(one.status == 200 or one.retry_after for one in (submitted, polled))
+            ready = await world.ask("GET", "/ready", node=node)
+            return [submitted.status, polled.status, ready.status]
+
+        assert await answers(other) == [200, 200, 200]
+        behind(leader, 1.2)
+        assert await answers(other) == [429, 200, 200]
+        behind(leader, 3.0)
+        assert await answers(leader) == [429, 429, 200]
+        assert await answers(other) == [429, 429, 200]
+        # Longer than a worker's lease: none of the tasks is lost for it.
+        await asyncio.sleep(14)
+        assert set(running) <= set(world.rules.where)
+        behind(leader, 0.0)
+        assert await answers(other) == [200, 200, 200]
+        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+
+    world = day(script)
+    assert max(world.rules.starts.values()) == 1
--- /dev/null
+++ b/tests/test_rollout_faults.py
@@ -0,0 +1,216 @@
+"""Staged rollouts beside lost answers, crashes and records that cannot be read."""
+
+import asyncio
+import logging
+from typing import Any
+
+import pytest
+
+from elmthread.common.features import SUPPORTED
+from elmthread.rollout.gate import GateState
+from elmthread.settings.rollout import RolloutSettings
+from tests.world import earlier
+from tests.world.faulty_rollouts import (
+    announce_late,
+    roll_back_unannounced,
+)
+from tests.world.loop import play
+from tests.world.rollouts import (
+    BEFORE,
+    SOAK_S,
+    RolloutMonitor,
+    begin_before,
+    monitored,
+    replace,
+    stored_level,
+    until_level,
+)
+from tests.world.settings import NODES
+from tests.world.specs import job
+from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
+from tests.world.world import World, start
+
+
+def test_a_version_that_does_not_read_the_active_level_stays_out_and_says_what_to_do(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    async def refused(world: World, node: str) -> None:
+        one = world.controllers[node]
+        assert one.rollout.gate.state is GateState.REFUSED and one.election.role.name == "FOLLOWER"
+        assert (await world.ask("GET", "/ready", node=node)).status == 503
+        answer = await world.ask("GET", "/submissions/run-000000", node=node)
+        assert answer.status == 503 and answer.retry_after is not None and answer.close
+
+    async def watched(world: World) -> None:
+        with monitored(world) as monitor:
+            await upgrade_all(world)
+            ids = await submit_some(world)
+            # The leader itself is rolled back: the others serve on, and nobody works on what it would misread.
+            assert world.leader is not None
+            back = world.leader.api._node
+            replace(world, back, BEFORE, 0.3)
+            await asyncio.sleep(8)
+            await refused(world, back)
+            assert world.leader is not None and world.leader.api._node != back
+            # Alone it does not lead either.
+            for node in NODES:
+                if node != back:
+                    world.kill(node)
+            await asyncio.sleep(40)
+            await refused(world, back)
+            assert world.leader is None
+            for node in NODES:
+                replace(world, node, SUPPORTED, 0.5)
+            await until_done(world, ids)
+            assert (await world.ask("GET", "/ready", node=back)).status == 200
+        assert monitor.broken == [] and len(monitor.activations) == 1
+
+    world = World(3)
+    begin_before(world)
+
+    async def main() -> None:
+        world.rent("large", "east")
+        for node in world.nodes:
+            world.start(node)
+        await watched(world)
+
+    with caplog.at_level(logging.ERROR, "elmthread"):
+        play(main(), world.loop)
+    assert world.rules.broken == []
+    told = [record.getMessage() for record in caplog.records]
+    # Told once, not at every try.
+    assert (
+        len(told) == 1 and f"level {SUPPORTED.highest} is active" in told[0] and "start a version that reads" in told[0]
+    )
+
+
+def test_what_an_earlier_process_of_the_node_has_on_its_way_cannot_speak_for_the_present_one() -> None:
+    staged_day(lambda world, monitor: announce_late(world))
+
+
+def test_more_controllers_than_a_transaction_can_compare_keep_the_level(caplog: pytest.LogCaptureFixture) -> None:
+    world = World()
+    world.rollout = RolloutSettings(enabled=True, soak_s=1.0)
+    # Four keys can be compared: the token, the level and two announcements.
+    world.limits = {"txn_ops": 1}
+
+    async def main() -> None:
+        for node in world.nodes:
+            world.start(node)
+        await asyncio.sleep(30)
+        assert stored_level(world) == 1 and await world.submit(job(1))
+
+    with caplog.at_level(logging.ERROR, "elmthread"):
+        play(main(), world.loop)
+    assert [record.getMessage().split(":")[0] for record in caplog.records] == [
+        "3 controllers are more than one transaction can compare"
+    ]
+    assert world.store.bad_requests == []
+
+
+@pytest.mark.parametrize("seed", range(3))
+def test_an_activation_without_an_answer_is_found_in_the_store_and_not_repeated(seed: int) -> None:
+    async def script(world: World, monitor: RolloutMonitor) -> None:
+        ids = await submit_some(world)
+        for node in NODES:
+            replace(world, node, SUPPORTED, 0.5)
+        await asyncio.sleep(3)
+        for node in NODES:
+            world.ports[node][0].trouble.lost = 0.6
+        await asyncio.sleep(2 * SOAK_S)
+        for node in NODES:
+            world.ports[node][0].trouble.lost = 0.0
+        await until_level(world, SUPPORTED.highest)
+        await until_done(world, ids)
+
+    staged_day(script, seed=seed)
+
+
+def test_a_leader_that_ends_between_activation_and_fence_leaves_it_to_the_next() -> None:
+    async def script(world: World, monitor: RolloutMonitor) -> None:
+        ended: list[str] = []
+        written = monitor._level_written
+
+        def end_the_leader(before: int, level: int) -> None:
+            written(before, level)
+            node = next(one.api._node for one in world.controllers.values() if one.election.holds_lease())
+            ended.append(node)
+            world.loop.call_soon(world.kill, node)
+
+        monitor._level_written = end_the_leader  # type: ignore[method-assign]
+        for node in NODES:
+            replace(world, node, SUPPORTED, 0.5)
+        while not ended:
+            await asyncio.sleep(0.05)
+        await asyncio.sleep(0.1)
+        # Nothing of the level is in use yet: the store is as the version in production reads it.
+        earlier.read(world.store.values())
+        ids = await submit_some(world)
+        start(world, ended[0])
+        await until_level(world, SUPPORTED.highest)
+        await until_done(world, ids)
+
+    staged_day(script)
+
+
+@pytest.mark.parametrize(
+    ("key", "value", "said"),
+    [
+        ("rollout/level", {"level": "two", "token": 1}, "rollout/level"),
+        ("rollout/level", {"level": 0, "token": 1}, "rollout/level"),
+        ("rollout/level", 2, "rollout/level"),
+        ("rollout/level", {"level": 9, "token": 1}, "level 9 is active"),
+    ],
+)
+def test_nothing_is_led_on_a_level_that_cannot_be_read(
+    key: str, value: Any, said: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    world = World()
+    world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
+    world.store.items[key] = (value, 1, None)
+
+    async def main() -> None:
+        for node in world.nodes:
+            world.start(node)
+        await asyncio.sleep(30)
+        assert world.leader is None
+        assert (await world.ask("GET", "/ready")).status == 503
+        # Put right by an operator, it is taken up without a restart.
+        world.store.revision += 1
+        world.store.items[key] = ({"level": 1, "token": 1}, world.store.revision, None)
+        await asyncio.sleep(20)
+        assert world.leader is not None and await world.submit(job(1))
+
+    with caplog.at_level(logging.ERROR, "elmthread"):
+        play(main(), world.loop)
+    assert any(said in record.getMessage() for record in caplog.records)
+
+
+@pytest.mark.parametrize(
+    "value",
+    [
+        "rubbish",
+        {"lowest": 2, "highest": 1, "members": NODES, "process": "x", "announced_at": 1.0},
+        {"lowest": 1, "highest": 2, "process": "x", "announced_at": 1.0},
+        {"lowest": 1, "highest": 2, "members": NODES[:2], "process": "x", "announced_at": 1.0},
+    ],
+)
+def test_an_announcement_that_cannot_be_read_or_names_other_members_counts_as_none(value: Any) -> None:
+    async def script(world: World, monitor: RolloutMonitor) -> None:
+        await asyncio.sleep(1)
+        world.kill(NODES[2])
+        world.store.revision += 1
+        world.store.items[f"rollout/nodes/{NODES[2]}"] = (value, world.store.revision, None)
+        for node in NODES[:2]:
+            replace(world, node, SUPPORTED, 0.5)
+        await asyncio.sleep(4 * SOAK_S)
+        assert stored_level(world) == 1
+        # The node itself sets it right, and comes back new.
+        replace(world, NODES[2], SUPPORTED, 0.5)
+        await until_level(world, SUPPORTED.highest)
+
+    staged_day(script)
+
+
+def test_a_node_rolled_back_to_a_version_without_levels_is_noticed_while_it_answers() -> None:
+    staged_day(lambda world, monitor: roll_back_unannounced(world))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 
 from tests.world.loop import SimLoop
 from tests.world.rules import Rules
-from tests.world.world import job
+from tests.world.specs import job
 
 
 def rules() -> Rules:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,9 +13,11 @@
 from elmthread.placement.service import Scheduler
 from elmthread.workers import messages
 from elmthread.workers.service import HeartbeatHandler
-from tests.test_world import day, set_apart
 from tests.world.counting import count_calls, count_changes
-from tests.world.world import World, job, start
+from tests.world.day import day
+from tests.world.random_troubles import set_apart
+from tests.world.specs import job
+from tests.world.world import World, start
 
 MACHINES = 300
 JOBS = 50
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -21,10 +21,11 @@
 from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
 from elmthread.store.assignments import read_machine
 from elmthread.store.done_marks import MOST_MARKS, done_tasks, read_done
-from tests.test_world import day
+from tests.world.day import day
 from tests.world.earlier import newest
 from tests.world.rollouts import begin_before, replace, until_level
-from tests.world.world import World, daemon, job
+from tests.world.specs import daemon, job
+from tests.world.world import World
 from tools.schemas import FORMS, ROLLOUT_FORMS, schemas_of, text_of
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_daemons.py
+++ b/tests/test_service_requests.py
@@ -1,201 +1,20 @@
-"""Services: replicas run until they are withdrawn, and return after whatever ends them."""
+"""Which services are taken, and how their replicas count and are placed."""
 
 import asyncio
-import json
-from collections.abc import Callable
 from typing import Any
 
-import pytest
-
 from elmthread.api.jobs import JobFactory
 from elmthread.api.messages import read_submission
-from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 from elmthread.common.features import ActiveFeatures
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.settings import operators, platform
-from tests.test_world import day, set_apart
-from tests.world.world import ZONES, World, daemon, job, sent, settings, start
-
-
-def ordinary(world: World, each: int = 2) -> None:
-    """Ordinary machines in every zone, as services that use no spot machine need them."""
-    for zone in ZONES:
-        for _ in range(each):
-            world.rent("small", zone)
-
-
-def known(world: World, job_id: str) -> Job:
-    assert world.leader is not None and world.leader.leader is not None
-    return world.leader.leader.cluster.jobs[job_id]
-
-
-async def served(world: World, job_id: str, within: float, replicas: int = 3) -> float:
-    """How long it takes until all replicas serve."""
-    began = world.loop.now
-    while world.rules.serving(job_id) < replicas:
-        assert world.loop.now - began < within, f"{world.rules.serving(job_id)} of {replicas} after {within} s"
-        await asyncio.sleep(0.2)
-    return world.loop.now - began
-
-
-def test_service_runs_until_it_is_withdrawn_and_is_never_done() -> None:
-    async def script(world: World) -> None:
-        ordinary(world)
-        await asyncio.sleep(5)
-        assert await world.submit(daemon(1))
-        await served(world, "run-000001", 8)
-        answer = await world.ask("GET", "/submissions/run-000001")
-        assert answer.body == {"name_id": "run-000001", "status": "running", "done": 0, "running": 3}
-        await asyncio.sleep(300)
-        # Nothing was stopped or started again for all that time, and no machine was given back under it.
-        assert world.rules.serving("run-000001") == 3
-        assert max(world.rules.starts.values()) == 1
-        assert await world.withdraw("run-000001") == "cancelled"
-        await asyncio.sleep(8)
-        assert world.rules.serving("run-000001") == 0
-        assert await world.poll("run-000001") == "cancelled"
-
-    day(script, machines=0)
-
-
-@pytest.mark.parametrize("ends", ["done", "error", "halted"])
-def test_replica_that_ends_is_started_again_whatever_it_says(ends: str) -> None:
-    async def script(world: World) -> None:
-        ordinary(world)
-        await asyncio.sleep(5)
-        assert await world.submit(daemon(1, true_s=40.0, ends=ends))
-        await asyncio.sleep(250)
-        # Each ended five times or so; the breaks are short, and no end was taken for the last.
-        assert sum(world.rules.starts.values()) >= 15
-        assert await served(world, "run-000001", 15) < 15
-        assert await world.poll("run-000001") == "running"
-        world.kill(world.leader.api._node)  # type: ignore[union-attr]
-        await asyncio.sleep(10)
-        assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
-
-    world = day(script, machines=0, controllers=5)
-    assert not any(key.startswith("d/") for slot in slots_of(world) for key in slot)
-
-
-def slots_of(world: World) -> list[list[str]]:
-    return [list(json.loads(value["text"])) for key, (value, _, _) in world.store.items.items() if key[:2] == "s/"]
-
-
-def test_replica_that_ends_at_once_is_not_started_in_a_loop_and_blames_no_machine() -> None:
-    async def script(world: World) -> None:
-        ordinary(world)
-        await asyncio.sleep(5)
-        assert await world.submit(daemon(1, pieces=2, true_s=0.0, ends="done"))
-        assert await world.submit(daemon(2, pieces=2, true_s=0.0, ends="error"))
-        assert await world.submit(daemon(3))
-        await served(world, "run-000003", 10)
-        rented = len(world.cloud.requests)
-        for _ in range(240):
-            await asyncio.sleep(1)
-            assert world.leader is not None and world.leader.leader is not None
-            assert not any(one.quarantined for one in world.leader.leader.cluster.machines.values())
-        for number in (1, 2):
-            tries = sum(count for task, count in world.rules.starts.items() if task.startswith(f"run-00000{number}"))
-            assert 8 <= tries <= 60, tries
-        # The good service was not disturbed, and no machine was rented to try another.
-        assert all(world.rules.starts[f"run-000003/{n}"] == 1 for n in range(3))
-        assert len(world.cloud.requests) <= rented + 1
-
-    day(script, machines=0)
-
-
-def lose_machine(world: World, name: str) -> None:
-    world.workers.pop(name).gone()
-
-
-def recall(world: World, name: str) -> None:
-    worker = world.workers[name]
-    worker.interruption_at = world.loop.now + 12
-    worker.change.set()
-
-
-def cut_zone(world: World, name: str) -> None:
-    zone = world.workers[name].zone
-    for other, worker in world.workers.items():
-        if worker.zone == zone:
-            world.cut_workers |= {(other, node) for node in world.nodes}
-
-
-@pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (recall, 11.0), (cut_zone, 20.0)])
-def test_replicas_return_after_loss(loss: Callable[[World, str], None], within: float) -> None:
-    async def script(world: World) -> None:
-        ordinary(world, 3)
-        await asyncio.sleep(5)
-        # Replicas that may run on whatever machine, spread or not, and deferrable work beside them.
-        assert await world.submit(daemon(1))
-        assert await world.submit(daemon(2, pieces=4, scatter=False))
-        assert await world.submit(job(3, pieces=20, true_s=30.0, expected_s=30.0))
-        await served(world, "run-000001", 10)
-        await served(world, "run-000002", 10, 4)
-        name = next(machine for machine, task in world.rules.where if task.startswith("run-000001"))
-        mine = {task for machine, task in world.rules.where if machine == name}
-        loss(world, name)
-        lost = world.loop.now
-        while any(world.rules.machines_of.get(task) == [name] for task in mine):
-            await asyncio.sleep(0.1)
-        await served(world, "run-000001", within)
-        await served(world, "run-000002", within, 4)
-        assert world.loop.now - lost < within
-
-    day(script, machines=0)
-
-
-def test_no_change_of_leader_stops_or_doubles_a_replica() -> None:
-    async def script(world: World) -> None:
-        ordinary(world)
-        await asyncio.sleep(5)
-        for number in range(3):
-            assert await world.submit(daemon(number))
-        for number in range(3):
-            await served(world, f"run-{number:06d}", 12)
-        for turn in range(4):
-            leader = world.leader
-            assert leader is not None
-            node = leader.api._node
-            if turn % 2:
-                world.kill(node)
-                world.loop.call_later(0.3, start, world, node)
-            else:
-                set_apart(world, node, True)
-                world.loop.call_later(20, set_apart, world, node, False)
-            await asyncio.sleep(30)
-
-    world = day(script, machines=0)
-    assert max(world.rules.starts.values()) == 1
-
-
-@pytest.mark.parametrize("moment", ["fetching", "saving", "lost"])
-def test_withdrawal_ends_a_service_whatever_its_replicas_do(moment: str) -> None:
-    async def script(world: World) -> None:
-        ordinary(world)
-        await asyncio.sleep(5)
-        spec = daemon(1, snapshot_every_s=5.0, snapshot_s=2.0)
-        assert await world.submit(spec)
-        if moment == "fetching":
-            while not any(task.state == "fetching" for w in world.workers.values() for task in w.tasks.values()):
-                await asyncio.sleep(0.05)
-        else:
-            await served(world, "run-000001", 10)
-            name = next(machine for machine, _ in world.rules.where)
-            if moment == "lost":
-                lose_machine(world, name)
-            else:
-                recall(world, name)
-                while not any(task.state == "saving" for w in world.workers.values() for task in w.tasks.values()):
-                    await asyncio.sleep(0.05)
-        assert await world.withdraw("run-000001") == "cancelled"
-        await asyncio.sleep(30)
-        world.rules.check_cancelled()
-        assert world.rules.serving("run-000001") == 0
-
-    day(script, machines=0)
+from tests.world.day import day
+from tests.world.service_days import ordinary, served
+from tests.world.settings import ZONES, settings
+from tests.world.specs import daemon, job, sent
+from tests.world.world import World
 
 
 def test_what_no_service_can_be_is_refused() -> None:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -6,10 +6,11 @@
 import pytest
 
 from elmthread.store.log import SLOTS, RecordPages
-from tests.test_world import day
+from tests.world.day import day
 from tests.world.faults import errors_logged
 from tests.world.loop import play
-from tests.world.world import World, job
+from tests.world.specs import job
+from tests.world.world import World
 
 
 def put(world: World, key: str, value: Any) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,10 +15,12 @@
 from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
 from elmthread.store.log import SLOTS, RecordPages, slot_bytes
-from tests.test_rollout import begin_old, fall, upgrade
-from tests.test_world import befall, day, restore
 from tests.world import earlier
-from tests.world.world import World, daemon, job, sent
+from tests.world.day import day
+from tests.world.random_troubles import befall, restore
+from tests.world.specs import daemon, job, sent
+from tests.world.upgrades import begin_old, fall, upgrade
+from tests.world.world import World
 
 SAMPLES: dict[str, Any] = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
 
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -126,7 +126,7 @@
 def play_day(name: str, seed: int) -> list[str]:
     """Plays a day and returns its lines. Raises AssertionError where a rule of the world is broken."""
     # Only here, as it draws in the tools of the tests.
-    from tests.test_world import day
+    from tests.world.day import day
 
     script, prepare = DAYS[name]
     recorder, clock = Recorder(), SimulatedTime()
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -4,7 +4,9 @@
 import random
 from typing import Any
 
-from tests.world.world import ZONES, World, daemon, job
+from tests.world.settings import ZONES
+from tests.world.specs import daemon, job
+from tests.world.world import World
 
 FORMS: list[dict[str, Any]] = [
     {},
--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -4,7 +4,8 @@
 from collections import deque
 
 from elmthread.net.http import Response
-from tests.world.world import NODES, World
+from tests.world.settings import NODES
+from tests.world.world import World
 
 
 class Balancer:
--- /dev/null
+++ b/tests/world/cut_days.py
@@ -0,0 +1,93 @@
+"""Days with cuts of single links, while the controllers exchange what they reach.
+
+Judged by the rules of the protocol and by the recorded history (`tests/world/history.py`): nothing is done
+without a sure lease, each job comes to one end, and leadership comes to rest.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from elmthread.common.features import SUPPORTED, SupportedLevels
+from elmthread.settings.rollout import RolloutSettings
+from tests.world.day import day
+from tests.world.history import History
+from tests.world.links import Fault, check_schedule
+from tests.world.rollouts import until_level
+from tests.world.settings import NODES
+from tests.world.specs import job
+from tests.world.world import World
+
+Script = Callable[[World, History], Awaitable[None]]
+# What workers need to find a leader again, once there is one: their wait, each node once, two reports.
+FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
+BEFORE = SupportedLevels(1, 2)
+
+
+def cut(source: str, target: str, at: float = 0.0, length: float = 15.0, **more: Any) -> Fault:
+    return {"at_s": at, "for_s": length, "from": source, "to": target, "both": True} | more
+
+
+async def until_led(world: World, patience: float) -> None:
+    """Until a leader hears most of its machines, and they hear it."""
+    end = world.loop.now + patience
+    while world.loop.now < end:
+        leader = world.leader
+        if leader is not None and leader.leader is not None and leader.leader.loaded:
+            total = leader.leader.reachability.zones.census.total()
+            if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
+                return
+        await asyncio.sleep(0.25)
+    raise AssertionError(f"no leader hears most machines {patience} s after the last cut")
+
+
+def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
+    """A day on which views are exchanged before anything is cut, with jobs that must all come to an end.
+
+    With other `levels` all nodes begin as a version before.
+    """
+    histories: list[History] = []
+
+    def before(world: World) -> None:
+        world.rollout = RolloutSettings(enabled=True, soak_s=0.5)
+        world.levels = dict.fromkeys(world.nodes, levels)
+        histories.append(History(world))
+
+    async def played(world: World) -> None:
+        history = histories[0]
+        await until_level(world, levels.highest)
+        users = asyncio.ensure_future(submit_and_cancel(world, 6, 0.0))
+        await asyncio.sleep(8)
+        await script(world, history)
+        bounds = next(iter(world.controllers.values())).reachability.bounds
+        await until_led(world, bounds.longest_without_leader.total_seconds() + FIND_LEADER_S)
+        states = await world.until_over(await users, 300)
+        assert set(states.values()) <= {"done", "cancelled"}, states
+        assert len(history.terms) <= bounds.most_terms_an_hour(len(world.nodes))
+
+    world = day(played, seed=seed, before=before, machines=8)
+    assert histories[0].acts > 0
+    assert histories[0].broken == []
+    for told in world.rules.history.values():
+        assert len({state for _, state in told if state in ("done", "cancelled")}) == 1
+    return histories[0]
+
+
+async def submit_and_cancel(world: World, count: int, pause: float, first: int = 0) -> list[str]:
+    """Submits jobs and calls off the first and the last one later; the ids of all that were accepted."""
+    ids = []
+    for number in range(first, first + count):
+        spec = job(number, pieces=6, true_s=25.0, expected_s=25.0, crew=["red", "blue"][number % 2])
+        if await world.submit(spec):
+            ids.append(spec["name_id"])
+        await asyncio.sleep(pause)
+    await asyncio.sleep(12)
+    await asyncio.gather(*(world.withdraw(job_id, 90.0) for job_id in {*ids[:1], *ids[-1:]}))
+    return ids
+
+
+def plays(*faults: Fault) -> Script:
+    async def script(world: World, history: History) -> None:
+        await world.play_faults(check_schedule({"faults": list(faults)}))
+
+    return script
--- /dev/null
+++ b/tests/world/random_rollouts.py
@@ -0,0 +1,101 @@
+"""Repeated upgrades and rollbacks beside every trouble."""
+
+import asyncio
+import random
+
+from hypothesis import strategies as st
+
+from elmthread.common.features import SUPPORTED
+from tests.world.random_troubles import TROUBLES, befall, restore
+from tests.world.rollouts import (
+    BEFORE,
+    RolloutMonitor,
+    begin_before,
+    replace,
+    until_level,
+)
+from tests.world.settings import NEXT, NODES
+from tests.world.staged_days import staged_day, submit_some
+from tests.world.upgrades import fall
+from tests.world.world import World
+
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["new", "new", "new", "before", "before", *TROUBLES]),
+        st.sampled_from(NODES),
+        st.floats(0.05, 9.0),
+    ),
+    min_size=10,
+    max_size=16,
+)
+
+
+async def upgrades_and_rollbacks(
+    world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
+) -> None:
+    """Nodes change their version again and again beside every trouble; in the end all are new."""
+    world.loop.call_later(falls, fall, world)
+    ids = await submit_some(world, 6)
+    for kind, node, pause in steps:
+        if kind in ("new", "before"):
+            replace(world, node, SUPPORTED if kind == "new" else BEFORE, world.rng.uniform(0.02, 4.0))
+        else:
+            await befall(world, kind, ids)
+        await asyncio.sleep(pause)
+        for job_id in ids:
+            await world.poll(job_id)
+    restore(world)
+    for node in NODES:
+        if world.levels[node] != SUPPORTED:
+            replace(world, node, SUPPORTED, world.rng.uniform(0.02, 4.0))
+    await asyncio.sleep(5)
+    await until_level(world, SUPPORTED.highest)
+    ids += await submit_some(world, 3, 20)
+    states = await world.until_over(ids, 400)
+    assert all(state in ("done", "cancelled") for state in states.values()), states
+    await asyncio.sleep(max(0.0, falls - world.loop.now))
+
+
+def day_beside_an_earlier_version(seed: int, earlier: str) -> None:
+    """Upgrades from, and rollbacks to, a version that knows no levels (`tests/both.py`)."""
+    rng = random.Random(seed)
+
+    async def script(world: World, monitor: RolloutMonitor) -> None:
+        ids = await submit_some(world, 6)
+        for _ in range(12):
+            kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
+            if kind in ("new", "earlier"):
+                (world.old.discard if kind == "new" else world.old.add)(node)
+                replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
+            else:
+                await befall(world, kind, ids)
+            await asyncio.sleep(rng.uniform(0.05, 9.0))
+            for job_id in ids:
+                await world.poll(job_id)
+        restore(world)
+        for node in sorted(world.old):
+            world.old.discard(node)
+            replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
+        await asyncio.sleep(5)
+        await until_level(world, SUPPORTED.highest)
+        ids += await submit_some(world, 3, 20)
+        await asyncio.sleep(14)
+        # Rolled back after the activation: the earlier version does not lead on what it would misread.
+        world.old.update(NODES)
+        for node in NODES:
+            replace(world, node, SUPPORTED, 0.5)
+        for _ in range(60):
+            await asyncio.sleep(0.5)
+            assert not any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+        world.old.clear()
+        for node in NODES:
+            replace(world, node, SUPPORTED, 0.5)
+        states = await world.until_over(ids, 400)
+        assert all(state in ("done", "cancelled") for state in states.values()), states
+
+    def before(world: World) -> None:
+        begin_before(world)
+        world.levels.clear()
+        world.limits, world.earlier, world.old = dict(NEXT), earlier, set(world.nodes)
+
+    staged_day(script, before, seed=seed)
--- /dev/null
+++ b/tests/world/service_days.py
@@ -0,0 +1,28 @@
+"""What tests of services share: machines in every zone, and the wait until all replicas serve."""
+
+import asyncio
+
+from elmthread.cluster.job import Job
+from tests.world.settings import ZONES
+from tests.world.world import World
+
+
+def ordinary(world: World, each: int = 2) -> None:
+    """Ordinary machines in every zone, as services that use no spot machine need them."""
+    for zone in ZONES:
+        for _ in range(each):
+            world.rent("small", zone)
+
+
+def known(world: World, job_id: str) -> Job:
+    assert world.leader is not None and world.leader.leader is not None
+    return world.leader.leader.cluster.jobs[job_id]
+
+
+async def served(world: World, job_id: str, within: float, replicas: int = 3) -> float:
+    """How long it takes until all replicas serve."""
+    began = world.loop.now
+    while world.rules.serving(job_id) < replicas:
+        assert world.loop.now - began < within, f"{world.rules.serving(job_id)} of {replicas} after {within} s"
+        await asyncio.sleep(0.2)
+    return world.loop.now - began
--- /dev/null
+++ b/tests/world/staged_days.py
@@ -0,0 +1,52 @@
+"""Days that begin with the version before, watched by the rollout monitor."""
+
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+from elmthread.common.features import SUPPORTED
+from tests.world.day import day
+from tests.world.rollouts import (
+    RolloutMonitor,
+    begin_before,
+    monitored,
+    replace,
+    until_level,
+)
+from tests.world.settings import NODES
+from tests.world.specs import job
+from tests.world.world import World
+
+Script = Callable[[World, RolloutMonitor], Awaitable[None]]
+
+
+def staged_day(script: Script, before: Callable[[World], None] = begin_before, **more: Any) -> World:
+    """A day that begins with the version before; nothing that the monitor sees may break a promise."""
+
+    async def watched(world: World) -> None:
+        with monitored(world) as monitor:
+            await script(world, monitor)
+        assert monitor.broken == []
+        assert len(monitor.activations) <= 1
+
+    return day(watched, before=before, **more)
+
+
+async def submit_some(world: World, count: int = 4, first: int = 0) -> list[str]:
+    """Jobs of several chunks of done marks and of a single task."""
+    ids = []
+    for number in range(first, first + count):
+        pieces = [1, 40, 300, 7][number % 4]
+        spec = job(number, pieces=pieces, cpus=0.1, ram_gb=0.05, true_s=12.0, expected_s=12.0)
+        if await world.submit(spec):
+            ids.append(spec["name_id"])
+    return ids
+
+
+async def upgrade_all(world: World) -> None:
+    for node in NODES:
+        replace(world, node, SUPPORTED, 0.2)
+    await until_level(world, SUPPORTED.highest)
+
+
+async def until_done(world: World, ids: list[str]) -> None:
+    assert set((await world.until_over(ids, 200)).values()) == {"done"}
--- /dev/null
+++ b/tests/world/store_troubles.py
@@ -0,0 +1,54 @@
+"""Troubles of the state service: refusals, outages, lost and late answers."""
+
+import asyncio
+
+from tests.world.stage import Stage
+from tests.world.user_troubles import (
+    cancel_now,
+)
+
+
+async def refused_then_down(stage: Stage) -> None:
+    """The leader alone, then everybody for longer than `cancel_s`, while users cancel and ask."""
+    world, leader = stage.world, stage.leader()
+    if leader is None:
+        return
+    world.ports[leader][0].trouble.refused = True
+    stage.begin(cancel_now(stage))
+    await asyncio.sleep(world.rng.choice([1.0, 1.0, 2.5]))
+    world.store.outage(True)
+    for _ in range(4):
+        await asyncio.sleep(world.cancel / 4 + 1)
+        stage.begin(cancel_now(stage))
+    world.store.outage(False)
+    world.ports[leader][0].trouble.refused = False
+
+
+async def outage(stage: Stage) -> None:
+    stage.world.store.outage(True)
+    await asyncio.sleep(stage.world.rng.uniform(1, 20))
+    stage.world.store.outage(False)
+
+
+async def _store(stage: Stage, name: str, share: float, for_s: float) -> None:
+    for port in stage.all_ports():
+        setattr(port, name, share)
+    await asyncio.sleep(for_s)
+    for port in stage.all_ports():
+        setattr(port, name, 0.0)
+
+
+async def late_writes(stage: Stage) -> None:
+    """Without an answer, and carried out after newer ones."""
+    await _store(stage, "late", 0.3, 25)
+
+
+async def answers_lost(stage: Stage) -> None:
+    """Carried out at once, and only the answer is lost, while others read."""
+    await _store(stage, "lost", 0.4, 25)
+
+
+async def slow_store(stage: Stage) -> None:
+    stage.world.store.latency = 1.2
+    await asyncio.sleep(25)
+    stage.world.store.latency = 0.004
--- /dev/null
+++ b/tests/world/upgrades.py
@@ -0,0 +1,107 @@
+"""Upgrades by kills: nodes of the earlier version come back as this one, and the store's limits fall."""
+
+import asyncio
+import random
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from tests.world.day import day
+from tests.world.random_troubles import TROUBLES, befall, restore
+from tests.world.settings import NEXT, NODES, ZONES
+from tests.world.specs import daemon, job
+from tests.world.world import World, start
+
+
+def begin_old(world: World) -> None:
+    world.old, world.limits = set(world.nodes), dict(NEXT)
+
+
+def fall(world: World) -> None:
+    world.store.limit(NEXT["value_kb"], int(NEXT["txn_ops"]), NEXT["write_rps"])
+
+
+async def upgrade(world: World, order: list[str], pause: float, trouble: Any = None) -> None:
+    """Kills a node at a time; it comes back new. One that dies before its turn comes back old."""
+    for node in order:
+        if trouble is not None:
+            await trouble()
+        if node in world.controllers:
+            world.kill(node)
+        world.old.discard(node)
+        world.loop.call_later(world.rng.uniform(0.2, 8.0), partial(start, world, node))
+        await asyncio.sleep(pause)
+
+
+def upgraded_day(seed: int, earlier: str) -> None:
+    """The same with a version that really is an earlier one, drawn by the seed alone."""
+    rng = random.Random(seed)
+    troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
+
+    def before(world: World) -> None:
+        begin_old(world)
+        world.earlier = earlier
+
+    rollout(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
+
+
+def rollout(
+    number: int,
+    order: list[str],
+    troubles: list[tuple[str, float]],
+    falls: float,
+    before: Callable[[World], None],
+) -> None:
+    async def script(world: World) -> None:
+        for zone in ZONES:
+            world.rent("small", zone)
+        ids = []
+        for index in range(6):
+            spec = job(
+                index,
+                crew="red" if index % 3 else "blue",
+                urgency=world.rng.choice(["high", "normal", "best_effort"]),
+                pieces=world.rng.randint(1, 9),
+                true_s=world.rng.uniform(2, 30),
+                scatter=index == 4,
+                snapshot_every_s=5.0 if index % 2 else 0.0,
+                snapshot_s=1.0 if index % 2 else 0.0,
+            )
+            if await world.submit(spec):
+                ids.append(spec["name_id"])
+        waiting = iter(troubles)
+
+        async def trouble() -> None:
+            kind, pause = next(waiting)
+            await befall(world, kind, ids)
+            await asyncio.sleep(pause)
+
+        await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
+        # Nothing new is asked for before all nodes are new; then the limits fall, at any moment.
+        world.loop.call_later(falls, fall, world)
+        services = []
+        for index in range(20, 23):
+            spec = daemon(index, crew="red" if index == 20 else "blue", pieces=3, true_s=world.rng.choice([25.0, 1e9]))
+            if await world.submit(spec):
+                services.append(spec["name_id"])
+        for kind, pause in waiting:
+            await befall(world, kind, ids + services)
+            await asyncio.sleep(pause)
+            for job_id in ids + services:
+                await world.poll(job_id)
+        restore(world)
+        await asyncio.sleep(max(0.0, 41 - falls))
+        states = await world.until_over(ids, 400)
+        assert all(state in ("done", "cancelled") for state in states.values()), states
+        # What was not withdrawn serves again, all of it.
+        for job_id in services:
+            if world.rules.told.get(job_id) == "cancelled":
+                continue
+            for _ in range(600):
+                if world.rules.serving(job_id) == 3:
+                    break
+                await asyncio.sleep(0.2)
+            else:
+                raise AssertionError(f"{job_id}: {world.rules.serving(job_id)} of 3 replicas")
+
+    day(script, seed=number, before=before)
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -22,7 +22,7 @@
 from elmthread.reachability.command import ANNOUNCED_WITHIN, ask, describe
 from tests.world.earlier import newest
 from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
-from tests.world.world import ZONES
+from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
 from tools.loopback import HOST, RealLoop, StandIns, free_ports, real_loop
 from tools.processes import Node
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -19,8 +19,8 @@
 from elmthread.net.http import Client, NoResponseError, Request, Response, Server, decode
 from tests.world.rules import Rules
 from tests.world.services import CloudStand, Rented, Service, StateStore
+from tests.world.settings import SETTINGS, TYPES
 from tests.world.workers import Worker
-from tests.world.world import SETTINGS, TYPES
 
 HOST = "127.0.0.1"
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -22,7 +22,9 @@
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.loop import play
 from tests.world.rollouts import BEFORE, until_level
-from tests.world.world import ZONES, World, job
+from tests.world.settings import ZONES
+from tests.world.specs import job
+from tests.world.world import World
 
 LARGEST_RECORD = 64 * 1024
 # A task's run time, and how long jobs are submitted for.
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from elmthread.net.http import Client, NoResponseError
-from tests.world.world import job, sent
+from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tools/users.py
+++ b/tools/users.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 
 from elmthread.net.http import Answer, Client, NoResponseError
-from tests.world.world import job, sent
+from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, StandIns
 
 # A user submits a job each so many seconds, of so many tasks, which take so long.
