--- a/tests/both.py
+++ b/tests/both.py
@@ -18,6 +18,7 @@
 
 from tests.world.random_rollouts import day_beside_an_earlier_version
 from tests.world.upgrades import upgraded_day
+from tests.world.versions import EarlierVersion
 from tests.world.world import World
 
 NAME = "elmthread_earlier"
@@ -45,9 +46,10 @@
     with tempfile.TemporaryDirectory() as folder:
         renamed(checkout, Path(folder))
         sys.path.insert(0, folder)
+        earlier = EarlierVersion(NAME)
         for seed in range(seeds):
-            upgraded_day(seed, earlier=NAME)
-            day_beside_an_earlier_version(seed, earlier=NAME)
+            upgraded_day(seed, earlier)
+            day_beside_an_earlier_version(seed, earlier)
             print(f"seed {seed}: no rule broken; started so far: {dict(started)}", flush=True)
     return 0
 
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -12,14 +12,14 @@
 from elmthread.common.features import SUPPORTED, SupportedLevels
 from elmthread.controller import Controller
 from elmthread.net.http import UNSURE, Request, Response
-from elmthread.peers.link import Peers
-from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.links import STORE, Fault, LinkFaults, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
+from tests.world.peer_links import simulated_peers
 from tests.world.rules import Rules
 from tests.world.services import CloudStand, Port, StateStore, Trouble
 from tests.world.settings import TYPES, ZONES, settings
+from tests.world.versions import EarlierVersion, NodeLevels, Version
 from tests.world.workers import Worker
 
 T = TypeVar("T")
@@ -33,7 +33,8 @@
         # one with other settings, or really an earlier one (`tests/both.py`).
         self.limits: dict[str, float] | None = None
         self.old: set[str] = set()
-        self.earlier: str | None = None
+        self.earlier: EarlierVersion | None = None
+        self._version = Version()
         # The rollout's settings of this version, and levels of nodes that stand for another one.
         self.rollout = RolloutSettings()
         self.levels: dict[str, SupportedLevels] = {}
@@ -80,75 +81,29 @@
 
     # Controllers
 
-    def code(self, node: str, part: str) -> Any:
-        """A module of the version that the node runs."""
-        old = self.earlier is not None and node in self.old
-        return importlib.import_module(f"{self.earlier if old else 'elmthread'}.{part}")
+    def version(self, node: str) -> Version:
+        """Return the version that the node runs."""
+        return self.earlier if self.earlier is not None and node in self.old else self._version
 
     def carried(self, message: Any, node: str) -> Any:
-        """A message between controllers, as the version at the other end reads it."""
+        """Return a message between controllers as the version at the other end reads it."""
         if self.earlier is None:
             return message
         sender = importlib.import_module(type(message).__module__)
-        return self.code(node, "peers.messages").decode(sender.encode(message))
+        return self.version(node).module("peers.messages").decode(sender.encode(message))
 
     def start(self, node: str) -> Controller:
-        world = self
-        peers: type[Peers] = self.code(node, "peers.link").Peers
-        link = self.code(node, "peers.link")
-        # The version in production has another name for it.
-        not_reached: type[Exception] = getattr(link, "PeerUnreachableError", None) or link.NotReached
-
-        class Links(peers):  # type: ignore[valid-type, misc]
-            """Peer links without sockets."""
-
-            def reaches(self, other: str) -> bool:
-                passes = world.link_faults.passes
-                return world.reach(node, other) and passes(node, other) and passes(other, node)
-
-            async def ask(self, other: str, ask: ForwardedRequest, timeout: timedelta) -> ForwardedResponse:
-                await asyncio.sleep(0.002 + world.link_faults.delay(node, other))
-                if not world.reach(node, other) or not world.link_faults.passes(node, other):
-                    raise not_reached(other)
-                heard = world.carried(ask, other)
-                try:
-                    async with asyncio.timeout(timeout.total_seconds()):
-                        reply = await world.within(other, world.controllers[other].api.answer(heard))
-                except TimeoutError:
-                    raise not_reached(other) from None
-                await asyncio.sleep(world.link_faults.delay(other, node))
-                if not world.reach(node, other) or not world.link_faults.passes(other, node):
-                    raise not_reached(other)
-                answer: ForwardedResponse = world.carried(reply, node)
-                return answer
-
-            def tell(self) -> None:
-                lead = self._say()
-                for other in world.nodes:
-                    if other != node and world.reach(node, other) and world.link_faults.passes(node, other):
-                        hear = world.controllers[other].hear
-                        heard = world.carried(lead, other)
-                        late = 0.003 + world.link_faults.delay(node, other)
-                        world.loop.call_later(late, hear, heard, context=world.contexts[other])
-                        if world.link_faults.has("duplicate", node, other):
-                            world.loop.call_later(late + 1.0, hear, heard, context=world.contexts[other])
-
+        """Start a process of the node's version."""
         context = self.contexts[node] = contextvars.copy_context()
         context.run(NODE.set, node)
         self.ports[node] = [Port(self.store, Trouble()), Port(self.cloud, Trouble())]
-        state, cloud = self.ports[node]
         limits = None if node in self.old and self.earlier is None else self.limits
-        operators = self.code(node, "settings.operators")
-        present = self.earlier is None or node not in self.old
-        of_this_version = {"supported": self.levels.get(node, SUPPORTED)} if present else {}
-        controller: Controller = self.code(node, "controller").Controller(
-            self.code(node, "settings.platform").parse(settings(node, self.nodes, limits, self.cancel)),
-            operators.Operators(operators.Raw(**({"rollout": self.rollout} if present else {}))),
+        controller = self.version(node).controller(
+            settings(node, self.nodes, limits, self.cancel),
             lambda: self.loop.clock(self.drift[node]),
-            state,
-            cloud,
-            Links,
-            **of_this_version,
+            self.ports[node],
+            simulated_peers(self, node),
+            NodeLevels(self.rollout, self.levels.get(node, SUPPORTED)),
         )
         self.controllers[node] = controller
         self._apply_to_store(node)
@@ -225,7 +180,7 @@
         handle = self.controllers[node].api.handle
 
         async def served() -> Response:
-            response = await handle(request)
+            response = await handle(self.version(node).request(request))
             response = UNSURE if response.sure is not None and not response.sure() else response
             for watch in self.on_answer:
                 watch(node, request, response)
@@ -239,6 +194,10 @@
         await asyncio.sleep(seconds)
         self.loop.go_on(node)
 
+    def passes(self, node: str, other: str) -> bool:
+        """Whether what one controller sends reaches the other."""
+        return self.reach(node, other) and self.link_faults.passes(node, other)
+
     def reach(self, one: str, other: str) -> bool:
         out = self.cut_nodes | self.apart
         return one in self.controllers and other in self.controllers and not {one, other} & out
--- /dev/null
+++ b/tests/world/peer_links.py
@@ -0,0 +1,53 @@
+"""Links between the simulated controllers, without sockets."""
+
+import asyncio
+from datetime import timedelta
+from typing import TYPE_CHECKING
+
+from elmthread.peers.link import Peers
+from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
+
+if TYPE_CHECKING:
+    from tests.world.nodes import ControllerNodes
+
+
+def simulated_peers(world: "ControllerNodes", node: str) -> type[Peers]:
+    """Return the class of the node's links to the others, named as the node's version names them."""
+    version = world.version(node)
+    base: type[Peers] = version.named("peers.link", "Peers")
+    unreachable: type[Exception] = version.named("peers.link", "PeerUnreachableError")
+
+    class SimulatedPeers(base):  # type: ignore[valid-type, misc]
+        """Peer links without sockets."""
+
+        def reaches(self, other: str) -> bool:
+            return world.passes(node, other) and world.passes(other, node)
+
+        async def ask(self, other: str, ask: ForwardedRequest, timeout: timedelta) -> ForwardedResponse:
+            await asyncio.sleep(0.002 + world.link_faults.delay(node, other))
+            if not world.passes(node, other):
+                raise unreachable(other)
+            heard = world.carried(ask, other)
+            try:
+                async with asyncio.timeout(timeout.total_seconds()):
+                    reply = await world.within(other, world.controllers[other].api.answer(heard))
+            except TimeoutError:
+                raise unreachable(other) from None
+            await asyncio.sleep(world.link_faults.delay(other, node))
+            if not world.passes(other, node):
+                raise unreachable(other)
+            answer: ForwardedResponse = world.carried(reply, node)
+            return answer
+
+        def tell(self) -> None:
+            lead = self._say()
+            for other in world.nodes:
+                if other != node and world.passes(node, other):
+                    hear = world.controllers[other].hear
+                    heard = world.carried(lead, other)
+                    late = 0.003 + world.link_faults.delay(node, other)
+                    world.loop.call_later(late, hear, heard, context=world.contexts[other])
+                    if world.link_faults.has("duplicate", node, other):
+                        world.loop.call_later(late + 1.0, hear, heard, context=world.contexts[other])
+
+    return version.peers(SimulatedPeers)
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -17,6 +17,7 @@
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import fall
+from tests.world.versions import EarlierVersion
 from tests.world.world import World
 
 STEPS = st.lists(
@@ -56,9 +57,10 @@
     await asyncio.sleep(max(0.0, falls - world.loop.now))
 
 
-def day_beside_an_earlier_version(seed: int, earlier: str) -> None:
-    """Upgrades from, and rollbacks to, a version that knows no levels (`tests/both.py`)."""
+def day_beside_an_earlier_version(seed: int, earlier: EarlierVersion) -> None:
+    """Upgrades from, and rollbacks to, an earlier version (`tests/both.py`)."""
     rng = random.Random(seed)
+    reads_level = earlier.reads_level(SUPPORTED.highest)
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world, 6)
@@ -80,13 +82,16 @@
         await until_level(world, SUPPORTED.highest)
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
-        # Rolled back after the activation: the earlier version does not lead on what it would misread.
+        # Rolled back after the activation: a version leads then if it reads the active level, and only then.
         world.old.update(NODES)
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
+        led = False
         for _ in range(60):
             await asyncio.sleep(0.5)
-            assert not any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+            led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+            assert not led or reads_level
+        assert led is reads_level
         world.old.clear()
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -10,6 +10,7 @@
 from tests.world.random_troubles import TROUBLES, befall, restore
 from tests.world.settings import NEXT, NODES, ZONES
 from tests.world.specs import daemon, job
+from tests.world.versions import EarlierVersion
 from tests.world.world import World, start
 
 
@@ -33,7 +34,7 @@
         await asyncio.sleep(pause)
 
 
-def upgraded_day(seed: int, earlier: str) -> None:
+def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
     """The same with a version that really is an earlier one, drawn by the seed alone."""
     rng = random.Random(seed)
     troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
--- /dev/null
+++ b/tests/world/versions.py
@@ -0,0 +1,202 @@
+"""The version whose controllers a node runs: this one, or an earlier one from its own sources.
+
+An earlier version has other names for what this one has renamed since. `MODULES`, `CLASSES` and
+`ATTRIBUTES` map the present names that the simulated world uses to the earlier ones; whoever renames
+one of them adds the name that it had. The first earlier name that a version knows is taken.
+"""
+
+import importlib
+from collections.abc import Callable
+from datetime import timedelta
+from types import ModuleType
+from typing import Any
+
+import msgspec
+
+from elmthread.common.features import SupportedLevels
+from elmthread.controller import Controller
+from elmthread.net.http import Answer, NoResponseError, NotSentError, Request
+from elmthread.peers.link import Peers
+from elmthread.settings import operators, platform
+from elmthread.settings.rollout import RolloutSettings
+from tests.world.services import Port
+
+# Present module -> earlier modules.
+MODULES: dict[str, tuple[str, ...]] = {
+    "common.features": ("rollout.features",),
+    "leader": ("controller",),
+    "net.http": ("common.http",),
+    "settings.rollout": ("rollout.settings",),
+}
+# Present class, by module and name -> earlier names.
+CLASSES: dict[tuple[str, str], tuple[str, ...]] = {
+    ("net.http", "NoResponseError"): ("NoAnswer",),
+    ("net.http", "NotSentError"): ("Withheld",),
+    ("peers.link", "PeerUnreachableError"): ("NotReached",),
+}
+# Class, by its present module and name -> present attribute or method -> earlier names.
+ATTRIBUTES: dict[tuple[str, str], dict[str, tuple[str, ...]]] = {
+    ("controller", "Controller"): {},
+    ("leader", "Leader"): {"cluster": ("book",)},
+    ("leadership.election", "Election"): {
+        "fencing_token": ("token",),
+        "highest_seen_token": ("seen_token",),
+        "holds_lease": ("leads",),
+        "may_answer_workers": ("answers_workers",),
+        "observe_term": ("hear",),
+    },
+    ("net.http", "Response"): {},
+    ("peers.link", "Peers"): {},
+}
+
+
+class Version:
+    """This version."""
+
+    package = "elmthread"
+
+    def module(self, name: str) -> ModuleType:
+        """Return the module that has that name in this version."""
+        return importlib.import_module(f"{self.package}.{name}")
+
+    def named(self, module: str, name: str) -> Any:
+        """Return what has that name in that module of this version."""
+        return getattr(self.module(module), name)
+
+    def controller(
+        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: "NodeLevels"
+    ) -> Controller:
+        """Make a controller of the version, with ports to the store and the cloud."""
+        state, cloud = ports
+        return Controller(
+            platform.parse(settings),
+            operators.Operators(operators.Raw(rollout=levels.rollout)),
+            clock,
+            state,
+            cloud,
+            peers,
+            levels.supported,
+        )
+
+    def request(self, request: Request) -> Any:
+        """Return the request as the version's server makes it."""
+        return request
+
+    def peers(self, peers: type[Peers]) -> type[Peers]:
+        """Return a class of peer links whose methods have the version's names."""
+        return peers
+
+
+class NodeLevels(msgspec.Struct, frozen=True):
+    """What a node is told of the rollout, and the levels that it stands for."""
+
+    rollout: RolloutSettings
+    supported: SupportedLevels
+
+
+class EarlierVersion(Version):
+    """An earlier version, imported under a package name of its own."""
+
+    def __init__(self, package: str) -> None:
+        """Give the package's classes the present names besides their own."""
+        self.package = package
+        for (module, name), names in ATTRIBUTES.items():
+            _add_names(self.named(module, name), names)
+
+    def module(self, name: str) -> ModuleType:
+        """Return the module that has that name at present."""
+        return self._modules(name)[0]
+
+    def _modules(self, name: str) -> list[ModuleType]:
+        found = []
+        for one in (name, *MODULES.get(name, ())):
+            try:
+                found.append(importlib.import_module(f"{self.package}.{one}"))
+            except ModuleNotFoundError as error:
+                if error.name is None or not f"{self.package}.{one}".startswith(error.name):
+                    raise
+        if not found:
+            raise LookupError(f"the earlier version has no module {name}: add the name that it had to MODULES")
+        return found
+
+    def named(self, module: str, name: str) -> Any:
+        """Return what has that name in that module at present."""
+        for one in self._modules(module):
+            for known in (name, *CLASSES.get((module, name), ())):
+                if hasattr(one, known):
+                    return getattr(one, known)
+        raise LookupError(f"the earlier version has no {module}.{name}: add the name that it had to CLASSES")
+
+    def reads_level(self, level: int) -> bool:
+        """Whether the version reads the forms of a compatibility level; one without levels reads the first."""
+        try:
+            return level in self.named("common.features", "SUPPORTED")
+        except LookupError:
+            return level == 1
+
+    def controller(
+        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: NodeLevels
+    ) -> Controller:
+        """Make a controller that supports what the earlier version does; one without levels is told of none."""
+        operators = self.module("settings.operators")
+        raw = operators.Raw()
+        if "rollout" in raw.__struct_fields__:
+            known = self.named("settings.rollout", "RolloutSettings")
+            raw = operators.Raw(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
+        controller: Controller = self.named("controller", "Controller")(
+            self.named("settings.platform", "parse")(settings),
+            operators.Operators(raw),
+            clock,
+            *(EarlierPort(port, self) for port in ports),
+            peers,
+        )
+        return controller
+
+    def request(self, request: Request) -> Any:
+        """Return the request as the earlier version's server makes it."""
+        made = self.named("net.http", "Request")
+        return made(request.method, request.path, request.query, request.body, request.answered_at)
+
+    def peers(self, peers: type[Peers]) -> type[Peers]:
+        """Give the overriding methods the names by which the earlier version calls them."""
+        for present, names in ATTRIBUTES["peers.link", "Peers"].items():
+            for earlier in names:
+                if present in vars(peers) and hasattr(peers, earlier):
+                    setattr(peers, earlier, vars(peers)[present])
+        return peers
+
+
+class EarlierPort:
+    """A port that answers and fails with the earlier version's own types."""
+
+    def __init__(self, port: Port, version: EarlierVersion) -> None:
+        """Wrap a port of this version."""
+        self._port = port
+        self._answer = version.named("net.http", "Answer")
+        self._no_response = version.named("net.http", "NoResponseError")
+        self._not_sent = version.named("net.http", "NotSentError")
+
+    async def call(
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
+    ) -> Any:
+        """Call the service as the port does."""
+        try:
+            answer: Answer = await self._port.call(method, path, body, timeout=timeout, sure=sure)
+        except NotSentError as error:
+            raise self._not_sent(str(error)) from error
+        except NoResponseError as error:
+            raise self._no_response(str(error)) from error
+        return self._answer(answer.status, answer.body)
+
+
+def _add_names(owner: type, names: dict[str, tuple[str, ...]]) -> None:
+    """Let instances answer to present names: asked only for attributes that the class does not have."""
+
+    def find(instance: Any, present: str) -> Any:
+        for earlier in names.get(present, ()):
+            if hasattr(instance, earlier):
+                return getattr(instance, earlier)
+        raise AttributeError(f"{owner.__name__} has no {present}")
+
+    if names:
+        owner.__getattr__ = find  # type: ignore[attr-defined]
