--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -6,12 +6,13 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
 from elmthread.store.job_spec import JobSpec
 
 JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,64}\Z")
 
 
-class InvalidSubmissionError(Exception):
+class InvalidSubmissionError(ElmthreadError):
     """The body can't be a submission; says which field is wrong."""
 
 
--- a/src/elmthread/common/states.py
+++ b/src/elmthread/common/states.py
@@ -5,12 +5,14 @@
 from enum import Enum
 from typing import TypeVar
 
+from elmthread.common.errors import ElmthreadError
+
 log = logging.getLogger(__name__)
 
 S = TypeVar("S", bound=Enum)
 
 
-class TransitionError(Exception):
+class TransitionError(ElmthreadError):
     """A change of state that the table does not allow: a fault in the program."""
 
 
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -8,6 +8,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.machines import messages
 from elmthread.net.http import Answer, Caller, NoResponseError
 from elmthread.store.machine_type import MachineType
@@ -22,11 +23,11 @@
 MOST_LISTED = 500
 
 
-class CloudError(Exception):
+class CloudError(ElmthreadError):
     """No usable answer; the request may have been carried out."""
 
 
-class NoCapacityError(Exception):
+class NoCapacityError(ElmthreadError):
     """The cloud has none of this type, zone and kind now."""
 
 
--- a/src/elmthread/net/http.py
+++ b/src/elmthread/net/http.py
@@ -15,6 +15,7 @@
 import httptools
 
 from elmthread.common.clock import Clock, seconds, steady
+from elmthread.common.errors import ElmthreadError
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +63,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class MalformedBodyError(Exception):
+class MalformedBodyError(ElmthreadError):
     """The body is not CBOR."""
 
 
@@ -229,7 +230,7 @@
             return again(503, seconds(1), "internal error")
 
 
-class MalformedRequestError(Exception):
+class MalformedRequestError(ElmthreadError):
     """What came is no request, or is too large."""
 
 
@@ -332,7 +333,7 @@
     return _head(response.status, len(payload), retry, close) + payload
 
 
-class NoResponseError(Exception):
+class NoResponseError(ElmthreadError):
     """No usable answer: the request may or may not have been carried out."""
 
 
--- a/src/elmthread/peers/link.py
+++ b/src/elmthread/peers/link.py
@@ -14,6 +14,7 @@
 import pynetstring
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.states import step
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, Message, decode, encode
 
@@ -27,7 +28,7 @@
 SILENCE = seconds(2.8)
 
 
-class PeerUnreachableError(Exception):
+class PeerUnreachableError(ElmthreadError):
     """The other node did not answer; it may have acted all the same."""
 
 
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -8,6 +8,7 @@
 import pynetstring
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.peers.messages import LeaderAnnouncement, decode
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage
 from elmthread.settings.platform import Platform, split_address
@@ -18,7 +19,7 @@
 MOST_BYTES = 64 * 1024
 
 
-class NotToldError(Exception):
+class NotToldError(ElmthreadError):
     """A controller could not be reached, or did not announce itself in time."""
 
 
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
 from elmthread.reachability.links import Link, LinkState
 
 # Whole numbers of messages begin below this, at random, so that those of an earlier process are no echo.
@@ -41,7 +42,7 @@
     successor_fencing_token: Count = 0
 
 
-class InvalidViewError(Exception):
+class InvalidViewError(ElmthreadError):
     """A view that can't be read, or that contradicts itself or what this node knows."""
 
 
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -17,6 +17,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import SupportedLevels
 from elmthread.common.states import step
 from elmthread.rollout import messages
@@ -55,7 +56,7 @@
     members: frozenset[str]
 
 
-class IncompatibleLevelError(Exception):
+class IncompatibleLevelError(ElmthreadError):
     """The active level is none that this process can read and write."""
 
     def __init__(self, level: int, supported: SupportedLevels) -> None:
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.messages import KeyValue
@@ -48,7 +49,7 @@
     level: Level
 
 
-class UnreadableLevelError(Exception):
+class UnreadableLevelError(ElmthreadError):
     """The record of the active level, or the fence, is malformed: nothing may be concluded from it."""
 
 
--- a/src/elmthread/settings/expressions.py
+++ b/src/elmthread/settings/expressions.py
@@ -10,6 +10,8 @@
 
 from simpleeval import EvalWithCompoundTypes
 
+from elmthread.common.errors import ElmthreadError
+
 MAX_LENGTH = 400
 MAX_NODES = 80
 
@@ -25,7 +27,7 @@
 _EQUALS = (ast.Eq, ast.NotEq)
 
 
-class ExpressionError(Exception):
+class ExpressionError(ElmthreadError):
     """What is wrong with an expression, in one line."""
 
 
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -8,9 +8,10 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 
 
-class SettingsError(Exception):
+class SettingsError(ElmthreadError):
     """One clear line naming the field that is wrong."""
 
 
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -10,6 +10,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.net.http import Answer, Caller, NoResponseError
 from elmthread.store import messages
 from elmthread.store.pacing import TokenBucket
@@ -21,7 +22,7 @@
 READ_TIME = seconds(2)
 
 
-class StoreError(Exception):
+class StoreError(ElmthreadError):
     """What can become of a request to the state service."""
 
 
--- a/src/elmthread/store/log.py
+++ b/src/elmthread/store/log.py
@@ -16,6 +16,8 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
+
 SLOTS = "s/"
 # Space in a value for its own frame, and for characters that the text's quoting adds.
 FRAME = 64
@@ -26,7 +28,7 @@
     text: str
 
 
-class UnreadableRecordError(Exception):
+class UnreadableRecordError(ElmthreadError):
     """A slot that can't be read: named, and never taken for empty."""
 
 
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -17,6 +17,7 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.store import messages
 from elmthread.store.client import (
     ConflictError,
@@ -85,7 +86,7 @@
     size: int = 0
 
 
-class WriterStoppedError(Exception):
+class WriterStoppedError(ElmthreadError):
     """This leader is no more; nothing that waited was made durable by us."""
 
 
