--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -7,8 +7,8 @@
 from elmthread.cluster.job import Job
 from elmthread.common.clock import ZERO
 from elmthread.common.features import ActiveFeatures, Feature
-from elmthread.placement.decide import TaskRequest
-from elmthread.placement.service import may_ever_run
+from elmthread.placement.feasibility import infeasibility
+from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts
 from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
@@ -81,7 +81,7 @@
         request = TaskRequest(
             job_id=spec.id,
             team=spec.team,
-            sort_key=(),
+            sort_key=SortKey(PlacementClass.ON_TIME),
             # A batch's tasks may take turns, replicas can't.
             count=spec.tasks if spec.form == SERVICE else 1,
             cpus=spec.cpus,
@@ -93,5 +93,4 @@
         record = job_record(self.new(spec, ZERO))
         if weight(job_key(spec.id), text_of(record)) > self._most_record:
             return "its record is larger than the state service takes"
-        types = [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in kinds]
-        return may_ever_run(request, team, types)
+        return infeasibility(request, team, kinds)
--- a/src/elmthread/autoscaling/decide.py
+++ b/src/elmthread/autoscaling/decide.py
@@ -226,37 +226,3 @@
         else:
             kept.append(offer)
     return kept
-
-
-@dataclass(slots=True, frozen=True)
-class Line:
-    """A job in its team's line: core-seconds left, the soonest it can end, and its deadline."""
-
-    job_id: str
-    due: float
-    work: float
-    own: float
-
-
-def jobs_to_put_off(lines: Sequence[Line], cores: float, ahead: float = 0.0) -> set[str]:
-    """The jobs to put last so that the most others end in time, on `cores` shared by all.
-
-    `ahead` core-seconds of other work come first.
-    By deadline; whenever one would end late, the one with the most work so far is put last
-    (Moore and Hodgson's rule, which leaves the fewest jobs late on one server).
-    """
-    last: set[str] = set()
-    taken: list[Line] = []
-    total = ahead
-    for line in sorted(lines, key=lambda line: line.due):
-        if line.own > line.due:
-            last.add(line.job_id)
-            continue
-        taken.append(line)
-        total += line.work
-        if total / cores > line.due:
-            worst = max(taken, key=lambda line: line.work)
-            taken.remove(worst)
-            total -= worst.work
-            last.add(worst.job_id)
-    return last
--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -16,8 +16,11 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.service import MachineManager
-from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
-from elmthread.placement.service import Scheduler
+from elmthread.placement.bin_packing import is_allowed
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
+from elmthread.placement.scheduler import Scheduler
 from elmthread.settings.operators import Operators
 
 log = logging.getLogger(__name__)
@@ -155,7 +158,7 @@
         slots = []
         for m in self._cluster.machines.values():
             if not m.provides_capacity(now) or not any(
-                allowed(request, m.machine_type, m.zone, m.spot) for request in waiting
+                is_allowed(request, m.machine_type, m.zone, m.spot) for request in waiting
             ):
                 continue
             firm_part = m.urgent_cpus / m.cpus_used if m.cpus_used else 0.0
@@ -220,7 +223,7 @@
         return tuple(
             machine.name
             for kind, machines in self._serving.items()
-            if allowed(request, *kind)
+            if is_allowed(request, *kind)
             and request.cpus <= machines[0].cpus
             and request.gpus <= machines[0].gpus
             and request.memory_gb <= machines[0].memory_gb
@@ -290,7 +293,7 @@
             cores = min(remaining_quota, request.count * request.cpus)
             team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
             # A team at its limit still uses all of that as its running tasks end.
-            usable = max(min(self._scheduler.limit(request.team), request.count * request.cpus), request.cpus)
+            usable = max(min(self._scheduler.cpu_quota(request.team), request.count * request.cpus), request.cpus)
             work = request.count * request.cpus * each
             due = (
                 job.submitted_at + (job.latest_deadline if hard else job.target_deadline * MARGIN) - now
@@ -324,7 +327,7 @@
                 supplies.append(Supply(float(max(1, round(kind.boot_s * BOOT - age))), machine.cpus))
         for order in self._machines.instance_requests.values():
             coming = self._catalog.types.get(order.kind.machine_type)
-            if coming is not None and allowed(request, order.kind.machine_type, order.kind.zone, order.kind.spot):
+            if coming is not None and is_allowed(request, order.kind.machine_type, order.kind.zone, order.kind.spot):
                 supplies.append(Supply(coming.boot_s * BOOT, coming.cpus * order.count))
         return supplies
 
@@ -369,7 +372,7 @@
                     if self._machines.is_unavailable(InstanceKind(kind.name, zone, spot)):
                         continue
                     if any(
-                        allowed(request, kind.name, zone, spot)
+                        is_allowed(request, kind.name, zone, spot)
                         and request.cpus <= kind.cpus
                         and request.gpus <= kind.gpus
                         and request.memory_gb <= kind.memory_gb
@@ -439,7 +442,7 @@
         for allocation in machine.allocations.values():
             job = allocation.job
             moving = any(other.stop_mode is not None for other in job.allocations.values())
-            if not moving and job.running_count == job.task_count and self._scheduler.has_room(allocation):
+            if not moving and job.running_count == job.task_count and self._scheduler.has_room_elsewhere(allocation):
                 log.info("%s/%s moves off %s, which is not needed", job.id, allocation.task, machine.name)
                 allocation.stop_mode = StopMode.CHECKPOINT
 
--- a/src/elmthread/autoscaling/services.py
+++ b/src/elmthread/autoscaling/services.py
@@ -13,7 +13,10 @@
 
 from elmthread.autoscaling.decide import Offer
 from elmthread.common.clock import seconds
-from elmthread.placement.decide import TINY, FreeCapacity, RemainingQuota, TaskRequest, allowed, place
+from elmthread.placement.bin_packing import EPSILON, is_allowed, place
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
 
 # How far back the growth of the demand of services is looked for, and the shortest rise judged.
 TREND = seconds(60)
@@ -46,7 +49,9 @@
     ]
     place(left, slots, remaining_quotas)
     return [
-        request for request in left if request.count > 0 and remaining_quotas[request.team].cpus + TINY >= request.cpus
+        request
+        for request in left
+        if request.count > 0 and remaining_quotas[request.team].cpus + EPSILON >= request.cpus
     ]
 
 
@@ -88,7 +93,7 @@
 
 def _takes(request: TaskRequest, offer: Offer) -> bool:
     return (
-        allowed(request, offer.machine_type, offer.zone, offer.spot)
+        is_allowed(request, offer.machine_type, offer.zone, offer.spot)
         and request.tasks_by_zone.get(offer.zone, 0) < request.max_per_zone
         and request.cpus <= offer.cores
         and request.gpus <= offer.gpus
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -29,7 +29,7 @@
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
 from elmthread.placement.attempts import AttemptCounter
-from elmthread.placement.service import Scheduler, SchedulerSettings
+from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
 from elmthread.reachability.zones import ZoneHealth
--- /dev/null
+++ b/src/elmthread/placement/bin_packing.py
@@ -0,0 +1,241 @@
+"""Bin packing: which waiting tasks go to which machine. Pure functions over requests and free capacity."""
+
+import math
+from collections.abc import Iterable
+from enum import IntEnum
+from typing import NamedTuple
+
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
+
+# Tolerance for sums of fractional cores, GPUs and gigabytes.
+EPSILON = 1e-6
+# Seconds of image fetching that one time the cheapest price per core is worth, and the most
+# that price may count for, in times of the cheapest.
+PRICE_WEIGHT_S = 10.0
+URGENT_PRICE_WEIGHT_S = 2.0
+MAX_PRICE_EXCESS = 5.0
+
+
+class Placement(NamedTuple):
+    """Tasks of one request that go to one machine."""
+
+    request: TaskRequest
+    capacity: FreeCapacity
+    task_count: int
+
+
+def is_allowed(request: TaskRequest, machine_type: str, zone: str, spot: bool) -> bool:
+    """Return whether the job itself allows machines of this type, zone and kind."""
+    return (
+        (request.machine_types is None or machine_type in request.machine_types)
+        and (request.zone is None or zone == request.zone)
+        and (request.spot or not spot)
+        and not (request.one_zone and request.tasks_by_zone and zone not in request.tasks_by_zone)
+    )
+
+
+def fitting_tasks(
+    request: TaskRequest, capacity: FreeCapacity, remaining_quota: RemainingQuota, spread_replicas: bool = False
+) -> int:
+    """Return how many of the tasks fit the machine, the team's quota and the bounds by zone.
+
+    `spread_replicas`: count no more than the preferred number of the job's tasks on one machine.
+    """
+    if capacity.name in request.excluded_machines or not is_allowed(
+        request, capacity.machine_type, capacity.zone, capacity.spot
+    ):
+        return 0
+    count = request.count
+    if (
+        request.record_bytes_per_task > 0
+        and capacity.record_bytes_left < request.record_bytes_per_job + count * request.record_bytes_per_task
+    ):
+        count = int((capacity.record_bytes_left - request.record_bytes_per_job) // request.record_bytes_per_task)
+    if spread_replicas and request.preferred_max_per_machine < math.inf:
+        count = min(count, int(request.preferred_max_per_machine) - request.tasks_by_machine.get(capacity.name, 0))
+    cpus = min(capacity.cpus, remaining_quota.cpus)
+    if request.cpus > 0:
+        count = min(count, int(cpus / request.cpus + EPSILON))
+    if request.gpus > 0:
+        count = min(count, int(min(capacity.gpus, remaining_quota.gpus) / request.gpus + EPSILON))
+    if request.memory_gb > 0:
+        count = min(count, int(capacity.memory_gb / request.memory_gb + EPSILON))
+    if request.max_per_zone < math.inf:
+        count = min(count, int(request.max_per_zone) - request.tasks_by_zone.get(capacity.zone, 0))
+    return max(0, count)
+
+
+def assign_tasks(request: TaskRequest, capacity: FreeCapacity, remaining_quota: RemainingQuota, count: int) -> None:
+    """Move `count` tasks from the request to the machine, and count them against both and the quota."""
+    request.count -= count
+    request.tasks_by_zone[capacity.zone] = request.tasks_by_zone.get(capacity.zone, 0) + count
+    capacity.cpus -= count * request.cpus
+    capacity.gpus -= count * request.gpus
+    capacity.memory_gb -= count * request.memory_gb
+    capacity.record_bytes_left -= request.record_bytes_per_job + count * request.record_bytes_per_task
+    if request.preferred_max_per_machine < math.inf:
+        request.tasks_by_machine[capacity.name] = request.tasks_by_machine.get(capacity.name, 0) + count
+    if request.image not in capacity.cached_images:
+        capacity.images_being_fetched.add(request.image)
+    remaining_quota.cpus -= count * request.cpus
+    remaining_quota.gpus -= count * request.gpus
+
+
+class ImageAccess(IntEnum):
+    """How a machine would come by a job's image; several fetches share the rate of one machine."""
+
+    CACHED = 0
+    FETCHING = 1
+    FETCH_ALONE = 2
+    FETCH_SHARED = 3
+
+
+# The cost of each, in fetch times of the image alone.
+IMAGE_ACCESS_COST = {
+    ImageAccess.CACHED: 0.0,
+    ImageAccess.FETCHING: 0.5,
+    ImageAccess.FETCH_ALONE: 1.0,
+    ImageAccess.FETCH_SHARED: 2.0,
+}
+
+
+def image_access(request: TaskRequest, capacity: FreeCapacity) -> ImageAccess:
+    """Return how the machine would come by the job's image."""
+    if request.image in capacity.cached_images:
+        return ImageAccess.CACHED
+    if request.image in capacity.images_being_fetched:
+        return ImageAccess.FETCHING
+    return ImageAccess.FETCH_SHARED if capacity.images_being_fetched else ImageAccess.FETCH_ALONE
+
+
+def price_penalty_s(request: TaskRequest, price: float, cheapest: float) -> float:
+    """Return the price per core weighed in seconds of waiting for an image."""
+    weight = URGENT_PRICE_WEIGHT_S if request.urgent else PRICE_WEIGHT_S
+    return weight * min(price / cheapest - 1.0 if cheapest > 0 else 0.0, MAX_PRICE_EXCESS)
+
+
+def place(
+    requests: Iterable[TaskRequest],
+    capacities: Iterable[FreeCapacity],
+    remaining_quotas: dict[str, RemainingQuota],
+) -> list[Placement]:
+    """Give tasks to machines in the order of `requests`; requests, capacities and quotas are used up.
+
+    Machines that differ only in room, images and zone form one group, so that a job is weighed
+    against a few groups and not against every machine. `tests/reference.py` looks at every
+    machine; the tests compare the two.
+    """
+    packer = _Packer(capacities)
+    for request in requests:
+        remaining_quota = remaining_quotas.setdefault(request.team, RemainingQuota())
+        if request.count <= 0:
+            continue
+        if remaining_quota.cpus + EPSILON < request.cpus:
+            if request.urgent:
+                remaining_quota.hold_back()
+            continue
+        if request.preferred_max_per_machine < math.inf:
+            packer.pack(request, remaining_quota, spread_replicas=True)
+        if request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
+            packer.pack(request, remaining_quota, spread_replicas=False)
+        if request.urgent and request.count > 0 and remaining_quota.cpus + EPSILON < request.cpus:
+            remaining_quota.hold_back()
+    return packer.placements
+
+
+class _MachineGroup:
+    """Machines alike but for their room, images and zone, the fullest first."""
+
+    def __init__(self, capacities: list[FreeCapacity]) -> None:
+        self.capacities = capacities
+        self.is_sorted = False
+
+    def sort(self) -> list[FreeCapacity]:
+        if not self.is_sorted:
+            self.capacities = [capacity for capacity in self.capacities if capacity.cpus > EPSILON]
+            self.capacities.sort(key=_by_free_cpus)
+            self.is_sorted = True
+        return self.capacities
+
+    def by_image_access(self, request: TaskRequest) -> dict[ImageAccess, list[FreeCapacity]]:
+        by_access: dict[ImageAccess, list[FreeCapacity]] = {}
+        for capacity in self.capacities:
+            by_access.setdefault(image_access(request, capacity), []).append(capacity)
+        return by_access
+
+
+def _by_free_cpus(capacity: FreeCapacity) -> tuple[float, str]:
+    return (capacity.cpus, capacity.name)
+
+
+class _GroupRank(NamedTuple):
+    """A group, as far as its machines come by the image in one way; the smallest is filled first."""
+
+    draining: bool
+    cost_s: float
+    group: int
+    access: ImageAccess
+
+
+class _Packer:
+    """Fills groups of machines with the tasks of one request after the other."""
+
+    def __init__(self, capacities: Iterable[FreeCapacity]) -> None:
+        self.placements: list[Placement] = []
+        self._cheapest = math.inf
+        by_kind: dict[tuple[bool, str, bool, float, float], list[FreeCapacity]] = {}
+        for capacity in capacities:
+            self._cheapest = min(self._cheapest, capacity.price_per_core)
+            if capacity.cpus > EPSILON:
+                by_kind.setdefault(
+                    (
+                        capacity.draining,
+                        capacity.machine_type,
+                        capacity.spot,
+                        capacity.price_per_core,
+                        capacity.image_fetch_rate,
+                    ),
+                    [],
+                ).append(capacity)
+        self._groups = [_MachineGroup(alike) for alike in by_kind.values()]
+
+    def pack(self, request: TaskRequest, remaining_quota: RemainingQuota, spread_replicas: bool) -> None:
+        """Place as many of the tasks as fit."""
+        by_access: dict[int, dict[ImageAccess, list[FreeCapacity]]] = {}
+        for _, _, index, access in self._ranks(request):
+            group = self._groups[index]
+            if index not in by_access:
+                by_access[index] = group.by_image_access(request)
+            for capacity in by_access[index].get(access, ()):
+                count = fitting_tasks(request, capacity, remaining_quota, spread_replicas)
+                if count <= 0:
+                    continue
+                assign_tasks(request, capacity, remaining_quota, count)
+                group.is_sorted = False
+                self.placements.append(Placement(request, capacity, count))
+                if request.count <= 0 or remaining_quota.cpus + EPSILON < request.cpus:
+                    return
+
+    def _ranks(self, request: TaskRequest) -> list[_GroupRank]:
+        """Rank each group that the job allows, once for each way in which its machines come by the image."""
+        ranks: list[_GroupRank] = []
+        for index, group in enumerate(self._groups):
+            if not group.sort():
+                continue
+            sample = group.capacities[0]
+            if (request.machine_types is not None and sample.machine_type not in request.machine_types) or (
+                sample.spot and not request.spot
+            ):
+                continue
+            if group.capacities[-1].cpus + EPSILON < request.cpus:
+                continue
+            fetch_s = request.image_gb / sample.image_fetch_rate
+            penalty_s = price_penalty_s(request, sample.price_per_core, self._cheapest)
+            ranks += [
+                _GroupRank(sample.draining, IMAGE_ACCESS_COST[access] * fetch_s + penalty_s, index, access)
+                for access in ImageAccess
+            ]
+        ranks.sort()
+        return ranks
--- /dev/null
+++ b/src/elmthread/placement/capacity.py
@@ -0,0 +1,55 @@
+"""The free capacity of a machine, as bin packing and preemption see it."""
+
+import math
+from collections.abc import Collection
+from dataclasses import dataclass, field
+
+from elmthread.cluster.allocation import AllocationState
+from elmthread.cluster.machine import Machine
+from elmthread.cluster.state import ClusterState
+
+# An allocation in one of these states may still wait for its image.
+_BEFORE_START = frozenset({AllocationState.PLANNED, AllocationState.COMMITTED, AllocationState.FETCHING})
+
+
+@dataclass(slots=True)
+class FreeCapacity:
+    """A machine with what is free on it; used up while tasks are placed."""
+
+    name: str
+    machine_type: str
+    zone: str
+    spot: bool
+    cpus: float
+    gpus: float
+    memory_gb: float
+    price_per_core: float = 0.0  # per hour and core
+    image_fetch_rate: float = 1.0  # GB per second
+    cached_images: Collection[str] = frozenset()
+    # Images that the machine fetches now, or will for tasks that it has been given.
+    images_being_fetched: set[str] = field(default_factory=set)
+    record_bytes_left: float = math.inf  # bytes that its record in the store may still take
+    draining: bool = False
+
+
+def free_capacity(machine: Machine, cluster: ClusterState) -> FreeCapacity:
+    """Return what is free on the machine."""
+    return FreeCapacity(
+        name=machine.name,
+        machine_type=machine.machine_type,
+        zone=machine.zone,
+        spot=machine.spot,
+        cpus=machine.free_cpus,
+        gpus=machine.gpus - machine.gpus_used,
+        memory_gb=machine.memory_gb - machine.memory_gb_used,
+        price_per_core=machine.price_per_core,
+        image_fetch_rate=machine.image_fetch_rate,
+        cached_images=machine.cached_images,
+        images_being_fetched={
+            allocation.job.spec.image
+            for allocation in machine.allocations.values()
+            if allocation.state in _BEFORE_START and allocation.job.spec.image not in machine.cached_images
+        },
+        record_bytes_left=cluster.record_bytes_left(machine),
+        draining=machine.draining,
+    )
--- /dev/null
+++ b/src/elmthread/placement/feasibility.py
@@ -0,0 +1,22 @@
+"""Whether a job can run at all, by its team's quota and the machine types that the cloud offers."""
+
+from collections.abc import Iterable
+
+from elmthread.placement.requests import TaskRequest
+from elmthread.settings.platform import Team
+from elmthread.store.machine_type import MachineType
+
+
+def infeasibility(request: TaskRequest, team: Team, machine_types: Iterable[MachineType]) -> str | None:
+    """Return why the job can never run, or None; `request.count` of its tasks must be able to run at once."""
+    if request.cpus * request.count > team.cpu_quota or request.gpus * request.count > team.gpu_quota:
+        subject = "one task needs" if request.count == 1 else "its replicas together need"
+        return f"{subject} more than the team's limit"
+    for kind in machine_types:
+        if request.machine_types is not None and kind.name not in request.machine_types:
+            continue
+        if request.zone is not None and request.zone not in kind.zones:
+            continue
+        if request.cpus <= kind.cpus and request.gpus <= kind.gpus and request.memory_gb <= kind.memory_gb:
+            return None
+    return "a task fits no allowed machine type"
--- /dev/null
+++ b/src/elmthread/placement/interruptions.py
@@ -0,0 +1,73 @@
+"""Spot interruptions: tasks on machines that the cloud will take are stopped in time, with a checkpoint if possible."""
+
+from datetime import timedelta
+
+from elmthread.cluster.allocation import Allocation, StopMode
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.cluster.state import ClusterState
+from elmthread.common.clock import seconds
+from elmthread.placement.bin_packing import fitting_tasks
+from elmthread.placement.capacity import free_capacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import RequestFactory
+
+# Heartbeat intervals that a stop command takes at most to reach a machine.
+STOP_DELIVERY_HEARTBEATS = 1.5
+
+
+def has_room_elsewhere(cluster: ClusterState, requests: RequestFactory, allocation: Allocation) -> bool:
+    """Return whether another machine has room for the task, once it is off its own."""
+    request = requests.request_of(allocation.job)
+    zone = allocation.machine.zone
+    if zone in request.tasks_by_zone:
+        request.tasks_by_zone[zone] -= 1
+    return any(
+        fitting_tasks(request, free_capacity(machine, cluster), RemainingQuota())
+        for machine in cluster.up_machines()
+        if machine.is_schedulable
+        and not machine.draining
+        and machine is not allocation.machine
+        and machine.free_cpus >= request.cpus
+    )
+
+
+class SpotInterruptions:
+    """Stops tasks on machines for which an interruption notice has come."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        requests: RequestFactory,
+        run_times: RunTimeModel,
+        heartbeat_interval: timedelta,
+    ) -> None:
+        """`heartbeat_interval` bounds how soon a command reaches a machine."""
+        self._cluster = cluster
+        self._requests = requests
+        self._run_times = run_times
+        self._max_stop_delay = heartbeat_interval * STOP_DELIVERY_HEARTBEATS
+
+    def stop_tasks(self, now: timedelta) -> None:
+        """Stop what can't end before its machine is taken."""
+        for machine in self._cluster.up_machines():
+            if machine.interruption_at is None:
+                continue
+            time_left = machine.interruption_at - now
+            for allocation in machine.allocations.values():
+                if allocation.stop_mode is not None or self._ends_within(allocation, time_left, now):
+                    continue
+                if allocation.job.is_service and not self._should_move(allocation, time_left):
+                    continue
+                allocation.stop_mode = StopMode.CHECKPOINT
+
+    def _should_move(self, allocation: Allocation, time_left: timedelta) -> bool:
+        """Return whether to move a replica now; until another machine has room it serves on, as long as it can."""
+        stop_time = self._max_stop_delay + seconds(allocation.job.spec.checkpoint_duration_s)
+        if allocation.started_at is None or time_left < stop_time:
+            return True
+        return has_room_elsewhere(self._cluster, self._requests, allocation)
+
+    def _ends_within(self, allocation: Allocation, time_left: timedelta, now: timedelta) -> bool:
+        if allocation.started_at is None or allocation.job.is_service:
+            return False
+        return self._run_times.expected(allocation.job) - (now - allocation.started_at) < time_left
--- /dev/null
+++ b/src/elmthread/placement/job_order.py
@@ -0,0 +1,155 @@
+"""The order in which waiting jobs get room.
+
+Long waiting jobs of which nothing has begun start one task first. Then comes urgent work by
+priority and deadline, then work within a team's guarantee, then the other work by deadline;
+jobs that would only make others late go behind them.
+"""
+
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+from elmthread.cluster import health
+from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
+from elmthread.placement.moore_hodgson import JobWork, jobs_to_put_off
+from elmthread.placement.quotas import TeamQuotas
+from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
+
+# Guarantees and the jobs to put off are judged anew this often, and when a job comes or goes.
+REORDER_INTERVAL = seconds(1)
+# A job that has waited for this long, and of which nothing has begun, starts one task before
+# all others. One that is put off has tasks in turn with the others again, within a share of
+# the cores that all such jobs divide among themselves.
+STARVATION_AGE = seconds(150)
+PUT_OFF_CORE_SHARE = 0.1
+
+
+def is_starving(job: Job, now: timedelta) -> bool:
+    """Return whether the job has waited for long and no task of it is done."""
+    return not job.done_count and now - job.submitted_at > STARVATION_AGE
+
+
+@dataclass
+class _Backlog:
+    """The work of all teams that is left: core-seconds, and the cores that services hold or soon will."""
+
+    deferrable: dict[str, list[JobWork]] = field(default_factory=dict)
+    urgent_core_seconds: dict[str, float] = field(default_factory=dict)
+    service_cpus: dict[str, float] = field(default_factory=dict)
+
+
+class JobOrder:
+    """Turns the waiting tasks of all jobs into requests in the order in which they get room."""
+
+    def __init__(
+        self, context: TermContext, quotas: TeamQuotas, requests: RequestFactory, run_times: RunTimeModel
+    ) -> None:
+        """`run_times` says how long tasks run."""
+        self._cluster = context.cluster
+        self._events = context.events
+        self._quotas = quotas
+        self._requests = requests
+        self._run_times = run_times
+        self._guaranteed: set[str] = set()
+        self._put_off: set[str] = set()
+        self._judged_at: timedelta | None = None
+
+    def requests(self, now: timedelta) -> list[TaskRequest]:
+        """Return what waits, in the order in which it gets room."""
+        if self._events.take_jobs_changed() or self._judged_at is None or now - self._judged_at >= REORDER_INTERVAL:
+            self._judged_at = now
+            self._guaranteed = self._quotas.guaranteed_jobs()
+            self._put_off = self._jobs_to_put_off(now)
+        requests: list[TaskRequest] = []
+        put_off: list[tuple[timedelta, TaskRequest]] = []
+        for job in self._cluster.open_jobs.values():
+            count = len(job.pending_tasks)
+            if not count or job.durable_state is not JobState.OPEN or job.retry_at > now:
+                continue
+            health.release(job, now)
+            sort_key = self._sort_key(job, now)
+            request = self._requests.make(job, sort_key, count)
+            requests.append(request)
+            if is_starving(job, now) and not job.allocations:
+                # Whatever the load, something of every job begins.
+                first_task = SortKey(PlacementClass.FIRST_TASK, job.priority_rank, sort_key.due_s)
+                requests.append(request.split_off(1, first_task))
+            if sort_key.placement_class is PlacementClass.PUT_OFF and now - job.submitted_at > STARVATION_AGE:
+                put_off.append((job.submitted_at, request))
+        if put_off:
+            requests += self._share_of_put_off(put_off)
+        requests.sort(key=lambda request: request.sort_key)
+        return requests
+
+    def _sort_key(self, job: Job, now: timedelta) -> SortKey:
+        due_s = (job.submitted_at + job.target_deadline - now).total_seconds()
+        if job.urgent:
+            return SortKey(PlacementClass.URGENT, job.priority_rank, due_s)
+        if job.id in self._guaranteed:
+            return SortKey(PlacementClass.GUARANTEED, 0, due_s)
+        if job.id in self._put_off:
+            return SortKey(PlacementClass.PUT_OFF, 0, due_s)
+        return SortKey(PlacementClass.ON_TIME, 0, due_s)
+
+    def _share_of_put_off(self, put_off: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
+        """Split off tasks of jobs put off for long, so that they go in turn with the others."""
+        requests = []
+        cores = PUT_OFF_CORE_SHARE * sum(
+            machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable
+        )
+        for _, request in sorted(put_off, key=lambda entry: entry[0]):
+            cores -= len(self._cluster.jobs[request.job_id].allocations) * request.cpus
+            count = min(request.count, int(cores / request.cpus))
+            if count > 0:
+                cores -= count * request.cpus
+                requests.append(request.split_off(count, SortKey(PlacementClass.ON_TIME, 0, request.sort_key.due_s)))
+        return requests
+
+    def _jobs_to_put_off(self, now: timedelta) -> set[str]:
+        """Choose the deferrable jobs that wait behind the others, so that the most end in time.
+
+        Where the work does not fit, which jobs are late is a matter of order alone. A team gets
+        no more than its quota; all teams together get the cores that there are or that are
+        coming. Urgent work goes first.
+        """
+        backlog = self._backlog(now)
+        put_off: set[str] = set()
+        for team, jobs in backlog.deferrable.items():
+            cores = self._quotas.teams[team].cpu_quota - backlog.service_cpus.get(team, 0.0)
+            if cores > 0:
+                put_off |= jobs_to_put_off(jobs, cores, backlog.urgent_core_seconds.get(team, 0.0))
+        cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.provides_capacity(now))
+        cores -= sum(backlog.service_cpus.values())
+        if cores > 0:
+            others = [job for jobs in backlog.deferrable.values() for job in jobs if job.job_id not in put_off]
+            put_off |= jobs_to_put_off(others, cores, sum(backlog.urgent_core_seconds.values()))
+        return put_off
+
+    def _backlog(self, now: timedelta) -> _Backlog:
+        """Sum up the work that is left, and set the deadline by which each job is ordered."""
+        backlog = _Backlog()
+        for job in self._cluster.open_jobs.values():
+            team = self._quotas.teams.get(job.spec.team)
+            if team is None:
+                continue
+            if job.is_service:
+                # Replicas have no end: what they hold is no team's to share out.
+                cpus = job.task_count * job.spec.cpus
+                backlog.service_cpus[team.name] = backlog.service_cpus.get(team.name, 0.0) + cpus
+                continue
+            run_time_s = self._run_times.expected(job).total_seconds()
+            # Of what runs, about half is still to do.
+            core_seconds = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * run_time_s
+            min_duration_s = max(run_time_s, core_seconds / team.cpu_quota) if job.pending_tasks else 0.0
+            if (job.submitted_at + job.deadline - now).total_seconds() < min_duration_s:
+                job.target_deadline = job.latest_deadline
+            if job.urgent:
+                urgent = backlog.urgent_core_seconds
+                urgent[team.name] = urgent.get(team.name, 0.0) + core_seconds
+                continue
+            due_s = (job.submitted_at + job.target_deadline - now).total_seconds()
+            work = JobWork(job.id, due_s, core_seconds, min_duration_s)
+            backlog.deferrable.setdefault(team.name, []).append(work)
+        return backlog
--- /dev/null
+++ b/src/elmthread/placement/requests.py
@@ -0,0 +1,116 @@
+"""Requests for room: the waiting tasks of one job, what they need, and their place in the order."""
+
+import math
+from collections import Counter
+from collections.abc import Collection
+from dataclasses import dataclass, field, replace
+from enum import IntEnum
+from typing import NamedTuple, Self
+
+from elmthread.cluster.job import Job
+from elmthread.cluster.state import entry_size, task_size
+from elmthread.placement.attempts import AttemptCounter
+
+# Bounds the work of one scheduling round, and so the attempt numbers that it may use.
+MAX_TASKS_PLACED_PER_ROUND = 400
+# One machine is preferably given this part of a service's replicas at most.
+REPLICA_SPREAD = 3
+
+
+class PlacementClass(IntEnum):
+    """The classes of requests, in the order in which they get room."""
+
+    FIRST_TASK = 0
+    URGENT = 1
+    GUARANTEED = 2
+    ON_TIME = 3
+    PUT_OFF = 4
+
+
+class SortKey(NamedTuple):
+    """The place of a request in the order: by class, then priority rank, then deadline."""
+
+    placement_class: PlacementClass
+    priority_rank: int = 0
+    due_s: float = 0.0  # seconds from now
+
+
+@dataclass(slots=True)
+class TaskRequest:
+    """Tasks of one job that wait for room, all alike; used up while they are placed."""
+
+    job_id: str
+    team: str
+    sort_key: SortKey
+    count: int
+    cpus: float
+    gpus: float
+    memory_gb: float
+    image: str = ""
+    image_gb: float = 0.0
+    machine_types: frozenset[str] | None = None
+    zone: str | None = None
+    spot: bool = True
+    one_zone: bool = False
+    # Tasks of the job by zone, as far as they may be on machines now.
+    tasks_by_zone: dict[str, int] = field(default_factory=dict)
+    max_per_zone: float = math.inf  # for a spread job: most tasks in one zone
+    # Machines on which the job has failed: not tried again there.
+    excluded_machines: Collection[str] = frozenset()
+    urgent: bool = False
+    priority_rank: int = 0
+    # Bytes that its tasks take in a machine's record: once for the job, and for each task.
+    record_bytes_per_job: int = 0
+    record_bytes_per_task: int = 0
+    # Replicas that one machine is given as long as others have room, so that the loss of a
+    # machine does not stop a whole service.
+    preferred_max_per_machine: float = math.inf
+    # Tasks of the job by machine, as far as they may be there now; kept only with such a bound.
+    tasks_by_machine: dict[str, int] = field(default_factory=dict)
+
+    def split_off(self, count: int, sort_key: SortKey) -> Self:
+        """Move `count` of the tasks to another place in the order; the counts by zone stay shared."""
+        self.count -= count
+        return replace(self, sort_key=sort_key, count=count)
+
+
+class RequestFactory:
+    """Makes requests from jobs."""
+
+    def __init__(self, attempts: AttemptCounter) -> None:
+        """`attempts` bounds the digits, and so the bytes, of an attempt in a machine's record."""
+        self._attempts = attempts
+
+    def request_of(self, job: Job) -> TaskRequest:
+        """Return a request for one task of the job, whether any waits or not."""
+        return self.make(job, SortKey(PlacementClass.ON_TIME), 1)
+
+    def make(self, job: Job, sort_key: SortKey, count: int) -> TaskRequest:
+        """Return a request for `count` tasks of the job."""
+        spec = job.spec
+        return TaskRequest(
+            job_id=job.id,
+            team=spec.team,
+            sort_key=sort_key,
+            count=count,
+            cpus=spec.cpus,
+            gpus=spec.gpus,
+            memory_gb=spec.ram_gb,
+            image=spec.image,
+            image_gb=spec.image_gb,
+            machine_types=job.machine_types,
+            zone=spec.zone,
+            spot=spec.spot,
+            one_zone=spec.one_zone,
+            tasks_by_zone=dict(job.tasks_by_zone) if spec.one_zone or spec.spread else {},
+            max_per_zone=math.ceil(job.task_count / 2) if spec.spread else math.inf,
+            excluded_machines=job.failed_machines,
+            urgent=job.urgent,
+            priority_rank=job.priority_rank,
+            record_bytes_per_job=entry_size(job.id),
+            record_bytes_per_task=task_size(job.task_count, self._attempts.last + MAX_TASKS_PLACED_PER_ROUND),
+            preferred_max_per_machine=math.ceil(job.task_count / REPLICA_SPREAD) if job.is_service else math.inf,
+            tasks_by_machine=Counter(allocation.machine.name for allocation in job.allocations.values())
+            if job.is_service
+            else {},
+        )
--- /dev/null
+++ b/src/elmthread/placement/scheduler.py
@@ -0,0 +1,116 @@
+"""The scheduling round: allocations for what starts, stops for what is interrupted or preempted."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import Protocol
+
+from elmthread.cluster.allocation import Allocation, AllocationState
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.leadership.context import TermContext
+from elmthread.placement.attempts import AttemptCounter
+from elmthread.placement.bin_packing import Placement, place
+from elmthread.placement.capacity import free_capacity
+from elmthread.placement.interruptions import SpotInterruptions, has_room_elsewhere
+from elmthread.placement.job_order import JobOrder
+from elmthread.placement.preemption import Preemption
+from elmthread.placement.quotas import RemainingQuota, TeamQuotas
+from elmthread.placement.requests import MAX_TASKS_PLACED_PER_ROUND, RequestFactory, TaskRequest
+from elmthread.settings.platform import Team
+
+
+class AssignmentSink(Protocol):
+    """What makes the assignments of a machine durable."""
+
+    def assign(self, machine: Machine) -> None:
+        """Write the machine's new allocations; they start once that is durable."""
+
+
+@dataclass(frozen=True)
+class SchedulerSettings:
+    """What the scheduler needs of the platform's settings."""
+
+    teams: Mapping[str, Team]
+    heartbeat_interval: timedelta
+
+
+class Scheduler:
+    """Places waiting tasks on machines, and answers what waits and what fits."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        settings: SchedulerSettings,
+        attempts: AttemptCounter,
+        assignments: AssignmentSink,
+        run_times: RunTimeModel,
+    ) -> None:
+        """`assignments` makes what is placed durable; `run_times` says how long tasks run."""
+        self._cluster = context.cluster
+        self._clock = context.clock
+        self._attempts = attempts
+        self._assignments = assignments
+        self._requests = RequestFactory(attempts)
+        self._quotas = TeamQuotas(context.cluster, settings.teams)
+        self._job_order = JobOrder(context, self._quotas, self._requests, run_times)
+        self._interruptions = SpotInterruptions(context.cluster, self._requests, run_times, settings.heartbeat_interval)
+        self._preemption = Preemption(context.cluster)
+
+    def run_round(self) -> None:
+        """Stop what spot interruptions end, place what waits, and preempt for urgent work left without room."""
+        now = self._clock()
+        self._interruptions.stop_tasks(now)
+        requests = self.requests(now)
+        if not requests:
+            self._cluster.has_waiting_tasks = False
+            return
+        remaining_quotas = self.remaining_quotas()
+        capacities = [
+            free_capacity(machine, self._cluster)
+            for machine in self._cluster.up_machines()
+            if machine.is_schedulable and machine.cpus > machine.cpus_used
+        ]
+        is_at_limit = self._allocate(place(requests, capacities, remaining_quotas))
+        self._cluster.has_waiting_tasks = is_at_limit or any(request.count > 0 for request in requests)
+        if not is_at_limit:
+            self._preemption.run(requests, remaining_quotas, now)
+
+    def _allocate(self, placements: list[Placement]) -> bool:
+        """Carry out placements up to the limit of a round; return whether that was reached."""
+        assigned: dict[str, Machine] = {}
+        tasks_left = MAX_TASKS_PLACED_PER_ROUND
+        for request, capacity, count in placements:
+            machine = self._cluster.machines[capacity.name]
+            job = self._cluster.jobs[request.job_id]
+            for _ in range(min(count, tasks_left)):
+                task = job.pending_tasks.popleft()
+                self._cluster.allocate(machine, job, task, self._attempts.next(), AllocationState.PLANNED)
+                assigned[machine.name] = machine
+            tasks_left -= count
+            if tasks_left <= 0:
+                break
+        for machine in assigned.values():
+            self._assignments.assign(machine)
+        return tasks_left <= 0
+
+    def requests(self, now: timedelta) -> list[TaskRequest]:
+        """Return what waits, in the order in which it gets room."""
+        return self._job_order.requests(now)
+
+    def request_of(self, job: Job) -> TaskRequest:
+        """Return a request for one task of the job, whether any waits or not."""
+        return self._requests.request_of(job)
+
+    def remaining_quotas(self) -> dict[str, RemainingQuota]:
+        """Return what each team may still use, as objects of the caller's own."""
+        return self._quotas.remaining()
+
+    def cpu_quota(self, team: str) -> float:
+        """Return the cores that the team may use at once."""
+        return self._quotas.cpu_quota(team)
+
+    def has_room_elsewhere(self, allocation: Allocation) -> bool:
+        """Return whether another machine has room for the task, once it is off its own."""
+        return has_room_elsewhere(self._cluster, self._requests, allocation)
--- /dev/null
+++ b/src/elmthread/placement/tests/reference.py
@@ -0,0 +1,129 @@
+"""Reference models of bin packing and preemption: they look at every machine for every job and every task."""
+
+import math
+
+from elmthread.placement.bin_packing import (
+    EPSILON,
+    IMAGE_ACCESS_COST,
+    Placement,
+    assign_tasks,
+    fitting_tasks,
+    image_access,
+    is_allowed,
+    price_penalty_s,
+)
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
+from elmthread.placement.victims import PreemptionCandidate, cheapest_victims
+
+
+def preference(request: TaskRequest, capacity: FreeCapacity, cheapest: float) -> tuple[bool, float, float, str]:
+    """Return a key, the best machine first: draining machines come last; then by the time to fetch the
+    image and the price; then full machines first.
+    """
+    fetch = IMAGE_ACCESS_COST[image_access(request, capacity)] * request.image_gb / capacity.image_fetch_rate
+    return (
+        capacity.draining,
+        fetch + price_penalty_s(request, capacity.price_per_core, cheapest),
+        capacity.cpus,
+        capacity.name,
+    )
+
+
+def place(
+    requests: list[TaskRequest], capacities: list[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
+) -> list[Placement]:
+    """Give tasks to machines in the order of `requests`; requests, capacities and quotas are used up."""
+    placements: list[Placement] = []
+    cheapest = min((capacity.price_per_core for capacity in capacities), default=0.0)
+    open_capacities = [capacity for capacity in capacities if capacity.cpus > EPSILON]
+    for request in requests:
+        remaining_quota = remaining_quotas.setdefault(request.team, RemainingQuota())
+        if request.count <= 0:
+            continue
+        if remaining_quota.cpus + EPSILON < request.cpus:
+            if request.urgent:
+                remaining_quota.hold_back()
+            continue
+        # Replicas are spread over machines as long as there is room for that, and then go wherever there is any.
+        for spread_replicas in (True, False):
+            choice = [
+                capacity
+                for capacity in open_capacities
+                if fitting_tasks(request, capacity, remaining_quota, spread_replicas)
+            ]
+            choice.sort(key=lambda capacity: preference(request, capacity, cheapest))
+            for capacity in choice:
+                count = fitting_tasks(request, capacity, remaining_quota, spread_replicas)
+                if count <= 0:
+                    continue
+                assign_tasks(request, capacity, remaining_quota, count)
+                placements.append(Placement(request, capacity, count))
+        if request.urgent and request.count > 0 and remaining_quota.cpus + EPSILON < request.cpus:
+            remaining_quota.hold_back()
+        open_capacities = [capacity for capacity in open_capacities if capacity.cpus > EPSILON]
+    return placements
+
+
+def preempt(
+    request: TaskRequest,
+    capacities: dict[str, FreeCapacity],
+    candidates: list[PreemptionCandidate],
+    remaining_quota: RemainingQuota,
+) -> list[PreemptionCandidate]:
+    """Choose the tasks to stop so that `request` gets room: those that lose least for the room they free.
+
+    `capacities` counts room that is already being freed. Each machine is filled as far as its
+    candidates allow; machines where the loss for each task gained is least come first.
+    """
+    chosen: list[PreemptionCandidate] = []
+    by_machine: dict[str, list[PreemptionCandidate]] = {}
+    for candidate in candidates:
+        by_machine.setdefault(candidate.machine, []).append(candidate)
+    # A team at its limit makes room for its urgent work itself, wherever its tasks run.
+    own = sorted(
+        (candidate for candidate in candidates if candidate.team == request.team), key=lambda candidate: candidate.loss
+    )
+    while own and remaining_quota.cpus + EPSILON < request.count * request.cpus:
+        candidate = own.pop(0)
+        by_machine[candidate.machine].remove(candidate)
+        remaining_quota.cpus += candidate.cpus
+        remaining_quota.gpus += candidate.gpus
+        capacity = capacities.get(candidate.machine)
+        if capacity is not None:
+            capacity.cpus += candidate.cpus
+            capacity.gpus += candidate.gpus
+            capacity.memory_gb += candidate.memory_gb
+        chosen.append(candidate)
+    if chosen:
+        place([request], list(capacities.values()), {request.team: remaining_quota})
+    while request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
+        best: tuple[float, list[PreemptionCandidate], FreeCapacity] | None = None
+        for name, held in by_machine.items():
+            capacity = capacities.get(name)
+            if (
+                capacity is None
+                or name in request.excluded_machines
+                or not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot)
+            ):
+                continue
+            if request.max_per_zone < math.inf and request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
+                continue
+            victims = cheapest_victims(request, capacity, held)
+            if victims is None:
+                continue
+            loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
+            if best is None or loss < best[0]:
+                best = (loss, victims, capacity)
+        if best is None:
+            break
+        _, victims, capacity = best
+        for candidate in victims:
+            by_machine[capacity.name].remove(candidate)
+            capacity.cpus += candidate.cpus
+            capacity.gpus += candidate.gpus
+            capacity.memory_gb += candidate.memory_gb
+        chosen += victims
+        assign_tasks(request, capacity, remaining_quota, 1)
+    return chosen
--- /dev/null
+++ b/src/elmthread/placement/tests/test_moore_hodgson.py
@@ -0,0 +1,34 @@
+"""Moore and Hodgson's rule against brute force over small cases."""
+
+import itertools
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from elmthread.placement.moore_hodgson import JobWork, jobs_to_put_off
+
+steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+
+
+@steady
+@given(
+    st.lists(st.tuples(st.integers(1, 30), st.integers(1, 20)), min_size=1, max_size=7),
+    st.integers(1, 3),
+)
+def test_jobs_to_put_off_leave_the_fewest_late(work: list[tuple[int, int]], cores: int) -> None:
+    all_jobs = [JobWork(str(n), float(due), float(core_seconds), 0.0) for n, (due, core_seconds) in enumerate(work)]
+
+    def feasible(subset: tuple[JobWork, ...]) -> bool:
+        total = 0.0
+        for job in sorted(subset, key=lambda job: job.due_s):
+            total += job.core_seconds / cores
+            if total > job.due_s:
+                return False
+        return True
+
+    most = max(
+        count
+        for count in range(len(all_jobs) + 1)
+        if any(feasible(subset) for subset in itertools.combinations(all_jobs, count))
+    )
+    assert len(all_jobs) - len(jobs_to_put_off(all_jobs, float(cores))) == most
--- /dev/null
+++ b/src/elmthread/placement/victims.py
@@ -0,0 +1,153 @@
+"""Which running tasks to stop so that urgent work gets room. Pure functions over candidates and free capacity."""
+
+import heapq
+from dataclasses import dataclass
+from datetime import timedelta
+
+from elmthread.common.clock import ZERO
+from elmthread.placement.bin_packing import EPSILON, assign_tasks, is_allowed, place
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
+
+
+@dataclass(slots=True)
+class PreemptionCandidate:
+    """A running task that may be stopped, and the run time that stopping it loses."""
+
+    attempt: int
+    machine: str
+    team: str
+    cpus: float
+    gpus: float
+    memory_gb: float
+    loss: timedelta = ZERO
+    priority_rank: int = 9
+
+
+def preempt(
+    request: TaskRequest,
+    capacities: dict[str, FreeCapacity],
+    candidates: dict[str, list[PreemptionCandidate]],
+    remaining_quota: RemainingQuota,
+) -> list[PreemptionCandidate]:
+    """Choose the tasks to stop so that `request` gets room: those that lose least for the room they free.
+
+    `capacities` counts room that is already being freed; `candidates` are by machine, and those
+    that are chosen are removed. Machines where the loss for one task's room is least come first.
+    """
+    selection = _VictimSelection(request, capacities, candidates, remaining_quota)
+    selection.stop_own_team()
+    if request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
+        selection.stop_by_machine()
+    return selection.chosen
+
+
+def cheapest_victims(
+    request: TaskRequest, capacity: FreeCapacity, candidates: list[PreemptionCandidate]
+) -> list[PreemptionCandidate] | None:
+    """Return the candidates with the least loss whose room, with what is free, fits one task; None if it can't."""
+    cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
+    victims: list[PreemptionCandidate] = []
+    for candidate in sorted(
+        (other for other in candidates if other.priority_rank > request.priority_rank),
+        key=lambda candidate: candidate.loss,
+    ):
+        if (
+            cpus + EPSILON >= request.cpus
+            and gpus + EPSILON >= request.gpus
+            and memory_gb + EPSILON >= request.memory_gb
+        ):
+            break
+        victims.append(candidate)
+        cpus += candidate.cpus
+        gpus += candidate.gpus
+        memory_gb += candidate.memory_gb
+    if cpus + EPSILON >= request.cpus and gpus + EPSILON >= request.gpus and memory_gb + EPSILON >= request.memory_gb:
+        return victims
+    return None
+
+
+class _VictimSelection:
+    """The choice for one request."""
+
+    def __init__(
+        self,
+        request: TaskRequest,
+        capacities: dict[str, FreeCapacity],
+        candidates: dict[str, list[PreemptionCandidate]],
+        remaining_quota: RemainingQuota,
+    ) -> None:
+        self.chosen: list[PreemptionCandidate] = []
+        self._request = request
+        self._capacities = capacities
+        self._candidates = candidates
+        self._remaining_quota = remaining_quota
+        # A heap of machines by the weighted loss for one task's room; equal ones in the order of `candidates`.
+        self._machines_by_loss: list[tuple[float, int, str]] = []
+
+    def stop_own_team(self) -> None:
+        """Free quota where the team is at its limit: by its own tasks, wherever they run."""
+        request, quota = self._request, self._remaining_quota
+        if quota.cpus + EPSILON >= request.count * request.cpus:
+            return
+        own = [
+            candidate
+            for held in self._candidates.values()
+            for candidate in held
+            if candidate.team == request.team and candidate.priority_rank > request.priority_rank
+        ]
+        own.sort(key=lambda candidate: candidate.loss)
+        for candidate in own:
+            if quota.cpus + EPSILON >= request.count * request.cpus:
+                break
+            quota.cpus += candidate.cpus
+            quota.gpus += candidate.gpus
+            self._stop(candidate)
+        if self.chosen:
+            place([request], self._capacities.values(), {request.team: quota})
+
+    def stop_by_machine(self) -> None:
+        """Free room for one task after the other where that loses least.
+
+        Each machine is judged once, and again only after it was chosen, as only its own loss changes.
+        """
+        request, quota = self._request, self._remaining_quota
+        for order, name in enumerate(self._candidates):
+            self._offer(order, name)
+        while self._machines_by_loss and request.count > 0 and quota.cpus + EPSILON >= request.cpus:
+            _, order, name = heapq.heappop(self._machines_by_loss)
+            capacity = self._capacities[name]
+            if not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot):
+                continue
+            if request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
+                continue
+            victims = cheapest_victims(request, capacity, self._candidates[name])
+            if victims is None:
+                continue
+            for candidate in victims:
+                self._stop(candidate)
+            assign_tasks(request, capacity, quota, 1)
+            self._offer(order, name)
+
+    def _offer(self, order: int, name: str) -> None:
+        request, capacity = self._request, self._capacities.get(name)
+        if (
+            capacity is None
+            or name in request.excluded_machines
+            or not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot)
+        ):
+            return
+        victims = cheapest_victims(request, capacity, self._candidates[name])
+        if victims is not None:
+            loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
+            heapq.heappush(self._machines_by_loss, (loss, order, name))
+
+    def _stop(self, candidate: PreemptionCandidate) -> None:
+        self._candidates[candidate.machine].remove(candidate)
+        capacity = self._capacities.get(candidate.machine)
+        if capacity is not None:
+            capacity.cpus += candidate.cpus
+            capacity.gpus += candidate.gpus
+            capacity.memory_gb += candidate.memory_gb
+        self.chosen.append(candidate)
