--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -218,7 +218,7 @@
             leader = self.leader
             if leader is None:
                 return response
-        return await leader.heartbeat_handler.heartbeat(request)
+        return await leader.heartbeat_handler.handle(request)
 
     def hear(self, lead: LeaderAnnouncement) -> None:
         """What another node says about who leads and who comes to it."""
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -41,7 +41,8 @@
 from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter, WriteLimits
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
+from elmthread.workers.reconciliation import HeartbeatReconciler
 
 log = logging.getLogger(__name__)
 
@@ -91,8 +92,9 @@
         self._assignments = Assignments(self.context)
         self.machine_manager = self._make_machine_manager()
         self.job_service = self._make_job_service()
+        reconciler = HeartbeatReconciler(self.context, self._completions, self.run_times)
         self.heartbeat_handler = HeartbeatHandler(
-            self.context, self._assignments, self._completions, self.catalog, self.run_times, self.leases
+            self.context, reconciler, self._assignments, self.catalog, self.leases
         )
         self.scheduler = self._make_scheduler()
         self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -13,7 +13,7 @@
 
 from elmthread.common.clock import Clock
 from elmthread.net.http import MalformedBodyError, Request, Response, decode
-from elmthread.workers.messages import Sender, elsewhere
+from elmthread.workers.messages import Sender, redirect_body
 
 # How many machines are named, the last that came.
 SOME = 16
@@ -61,7 +61,7 @@
         if sender is not None:
             self._arrived_at = self._clock()
         if leader is None or sender is None or sender.fencing_token != fencing_token:
-            return Response(421, elsewhere(leader))
+            return Response(421, redirect_body(leader))
         if fencing_token != self._missed:
             self._came.clear()
             self._told_count = 0
@@ -71,7 +71,7 @@
         self._came[sender.machine] = (self._clock(), sender.incarnation, sender.sequence)
         # One is never many: in a small fleet, the round of all nodes would cost it its lease.
         many = max(1.0, self._machines * MANY)
-        return Response(421, elsewhere(leader if len(self._came) <= many else None))
+        return Response(421, redirect_body(leader if len(self._came) <= many else None))
 
     def strays(self, fencing_token: int) -> tuple[int, list[Stray]]:
         """How many machines came here of late because they did not reach that leader, and some of them."""
--- /dev/null
+++ b/src/elmthread/workers/commands.py
@@ -0,0 +1,107 @@
+"""The commands that a machine's allocations call for.
+
+Commands are sent only in responses to heartbeats. A worker drops a response that comes late, so
+a start is never executed after the worker's next heartbeat was made: if that heartbeat does not
+list the task, the task is not there. What should be there is sent again in each response until
+a heartbeat shows it. That is why no start is ever sent straight to a worker's address.
+"""
+
+from datetime import timedelta
+
+from elmthread.cluster.allocation import Allocation, AllocationState, StopMode
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.leadership.context import TermContext
+from elmthread.workers import messages
+from elmthread.workers.messages import (
+    Command,
+    Heartbeat,
+    RemoveCommand,
+    StartCommand,
+    StopCommand,
+    TaskState,
+    TaskStatus,
+)
+
+MAX_COMMANDS_PER_RESPONSE = 300
+
+
+class CommandPlanner:
+    """Derives the commands for a machine from its allocations."""
+
+    def __init__(self, context: TermContext) -> None:
+        """`context` is that of the term whose allocations are sent."""
+        self._cluster = context.cluster
+        self._events = context.events
+        self._term = context.term
+        self._clock = context.clock
+
+    def commands_for(self, machine: Machine) -> list[Command]:
+        """Return stops and then starts; allocations that are not wanted and were never sent are released."""
+        leads = self._term.holds_lease()
+        stops: list[Command] = []
+        starts: list[Command] = []
+        now = self._clock()
+        for allocation in list(machine.allocations.values()):
+            job = allocation.job
+            if not job.is_open or job.is_done(allocation.task):
+                allocation.stop_mode = StopMode.KILL
+            elif allocation.stop_mode is None and _was_seen(allocation):
+                # It runs and is to go on, as most do.
+                continue
+            name = messages.task_name(job.id, allocation.task)
+            unwanted = _is_unwanted(allocation)
+            if unwanted and not allocation.start_sent and not _was_seen(allocation):
+                self._release_unsent(allocation, now)
+            elif allocation.stop_mode is not None:
+                stops.append(StopCommand(name, allocation.attempt, _grace_s(allocation)))
+            elif allocation.state is AllocationState.COMMITTED and leads and not unwanted:
+                allocation.start_sent = True
+                starts.append(StartCommand(name, allocation.attempt))
+        return stops + starts
+
+    def stops_of_closed_jobs(self, heartbeat: Heartbeat) -> list[Command]:
+        """Return stops of tasks whose jobs have ended: right however old the heartbeat is.
+
+        A response renews the lease. If leaders changed so often that each sent nothing but its
+        token, tasks of cancelled jobs would run on.
+        """
+        stops: list[Command] = []
+        for task in heartbeat.tasks:
+            task_id = task.task_id()
+            job = self._cluster.jobs.get(task_id.job_id) if task_id and task.state != TaskState.EXITED else None
+            if job is not None and not job.is_open:
+                stops.append(StopCommand(task.name, task.attempt, 0.0))
+        return stops[:MAX_COMMANDS_PER_RESPONSE]
+
+    def _release_unsent(self, allocation: Allocation, now: timedelta) -> None:
+        """Release an allocation of which no start is on its way, so that it can't be on the machine."""
+        self._cluster.release(allocation, now)
+        self._events.notify_changed()
+
+
+def removals(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
+    """Return commands that remove those exited tasks whose completions are durable, or need not be."""
+    return [
+        RemoveCommand(task.name, task.attempt) for task in exited if task.attempt not in machine.uncommitted_completions
+    ]
+
+
+def _was_seen(allocation: Allocation) -> bool:
+    """Return whether a heartbeat has listed it, or may do so."""
+    state = allocation.state
+    return state is not AllocationState.PLANNED and state is not AllocationState.COMMITTED
+
+
+def _is_unwanted(allocation: Allocation) -> bool:
+    machine = allocation.machine
+    return (
+        allocation.stop_mode is not None
+        or machine.state is not MachineState.UP
+        or machine.responses_lost_since is not None
+    )
+
+
+def _grace_s(allocation: Allocation) -> float:
+    spec = allocation.job.spec
+    saves = allocation.stop_mode is StopMode.CHECKPOINT and spec.makes_checkpoints
+    return spec.checkpoint_duration_s if saves else 0.0
--- /dev/null
+++ b/src/elmthread/workers/heartbeats.py
@@ -0,0 +1,120 @@
+"""Workers' heartbeats: which of them count, and the responses to them."""
+
+import logging
+
+import msgspec
+
+from elmthread.cluster.allocation import AllocationState
+from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.leases import WorkerLeases
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
+from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
+from elmthread.persistence.assignments import Assignments
+from elmthread.workers import messages
+from elmthread.workers.commands import MAX_COMMANDS_PER_RESPONSE, CommandPlanner, removals
+from elmthread.workers.messages import Command, Heartbeat, HeartbeatResponse, StartCommand
+from elmthread.workers.reconciliation import HeartbeatReconciler
+from elmthread.workers.responsiveness import ResponsivenessMonitor
+
+log = logging.getLogger(__name__)
+
+# A response waits this long for starts that are about to become durable.
+ASSIGNMENT_WAIT = seconds(0.4)
+RETRY_AFTER = seconds(1)
+
+
+class HeartbeatHandler:
+    """Handles the heartbeats of one term."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        reconciler: HeartbeatReconciler,
+        assignments: Assignments,
+        catalog: MachineTypeCatalog,
+        leases: WorkerLeases,
+    ) -> None:
+        """Handle heartbeats with these; `catalog` gives sizes to machines that were not known before."""
+        self._cluster = context.cluster
+        self._term = context.term
+        self._clock = context.clock
+        self._reconciler = reconciler
+        self._assignments = assignments
+        self._catalog = catalog
+        self._commands = CommandPlanner(context)
+        self._responsiveness = ResponsivenessMonitor(leases.duration)
+        self._rejected_count = 0
+
+    async def handle(self, request: Request) -> Response:
+        """Return the response to a heartbeat, which may wait a moment for new assignments."""
+        try:
+            heartbeat = messages.read_heartbeat(decode(request.body))
+        except (MalformedBodyError, msgspec.ValidationError) as error:
+            self._rejected_count += 1
+            log.info("malformed heartbeat rejected (%s heartbeats so far): %s", self._rejected_count, error)
+            return Response(400, {"error": "malformed report"})
+        if heartbeat.fencing_token > self._term.fencing_token:
+            self._term.observe_token(heartbeat.fencing_token)
+        if not self._term.may_answer_workers():
+            return self._redirect()
+        if heartbeat.machine in self._cluster.deleted_machines:
+            # Late: the cloud has confirmed the machine's deletion.
+            return again(503, RETRY_AFTER, "machine is gone")
+        machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
+        heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+        if heartbeat_id <= machine.last_heartbeat_id or heartbeat.incarnation <= machine.expired_incarnation:
+            self._rejected_count += 1
+            return again(503, RETRY_AFTER, "an older report")
+        if heartbeat.fencing_token < self._term.fencing_token:
+            # The first response carries this term's token; what the next heartbeat lists, no earlier
+            # leader can change any more. Until then this may be a late copy of a heartbeat that an
+            # earlier leader has had: it is no sign of life.
+            machine.last_heartbeat_id = heartbeat_id
+            return self._respond(machine, self._commands.stops_of_closed_jobs(heartbeat))
+        return await self._handle_current(machine, heartbeat, request)
+
+    async def _handle_current(self, machine: Machine, heartbeat: Heartbeat, request: Request) -> Response:
+        """Handle the newest heartbeat of a machine that has seen this term's token."""
+        now = self._clock()
+        self._responsiveness.observe_heartbeat(machine, heartbeat, request.answered_at, now)
+        machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+        machine.last_heartbeat_at = now
+        machine.heartbeat_overdue = False
+        found = self._reconciler.reconcile(machine, heartbeat, now)
+        self._responsiveness.observe_starts(machine, found.start_was_lost, now)
+        if machine.is_schedulable and self._expects_assignments(machine):
+            await self._assignments.wait_for(machine, ASSIGNMENT_WAIT)
+            if not self._term.may_answer_workers():
+                return self._redirect()
+        commands = [*found.stops, *removals(machine, found.exited), *self._commands.commands_for(machine)]
+        return self._respond(machine, commands[:MAX_COMMANDS_PER_RESPONSE])
+
+    def _respond(self, machine: Machine, commands: list[Command]) -> Response:
+        machine.last_response_at = self._clock()
+        body = msgspec.to_builtins(HeartbeatResponse(self._term.fencing_token, commands))
+        # Checked once more when the bytes leave: no start may be sent after the leader's lease.
+        has_start = any(isinstance(command, StartCommand) for command in commands)
+        return Response(200, body, sure=self._term.holds_lease if has_start else self._term.may_answer_workers)
+
+    def _redirect(self) -> Response:
+        return Response(421, messages.redirect_body(self._term.leader))
+
+    def _adopt(self, heartbeat: Heartbeat) -> Machine:
+        """Add a machine that was requested by an earlier leader, or by a request whose outcome is unknown."""
+        machine = Machine(
+            heartbeat.machine,
+            InstanceKind(heartbeat.machine_type, heartbeat.zone, heartbeat.spot),
+            MachineState.UNCONFIRMED,
+            self._clock(),
+        )
+        self._catalog.apply_to(machine)
+        self._cluster.add_machine(machine)
+        return machine
+
+    def _expects_assignments(self, machine: Machine) -> bool:
+        """Return whether starts are being made durable for it, or it has room and tasks are waiting."""
+        return (machine.free_cpus >= 1.0 and self._cluster.has_waiting_tasks) or any(
+            allocation.state is AllocationState.PLANNED for allocation in machine.allocations.values()
+        )
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -1,30 +1,78 @@
-"""Workers' reports and the commands in their answers; wire words stay here."""
+"""Workers' heartbeats and the commands in the responses, in the words of the wire."""
 
+from enum import StrEnum
 from operator import attrgetter
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
 from elmthread.common.clock import seconds
 
-# Where workers report to.
+# Where workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
 # A worker gives a controller up after this time without a response.
 HEARTBEAT_RESPONSE_TIMEOUT = seconds(4)
-# Counts, versions, tokens and attempts are smaller than this.
-MOST = 1 << 64
+# Incarnations, sequence numbers, tokens and attempts are smaller than this.
+NUMBER_LIMIT = 1 << 64
+MAX_TASK_NUMBER_DIGITS = 7
 
 
-class Task(msgspec.Struct, rename={"name": "piece", "attempt": "try", "state": "status", "why": "cause"}):
+class TaskState(StrEnum):
+    """States that a worker reports of a task; the values are the words of the wire."""
+
+    FETCHING = "fetching"
+    RUNNING = "running"
+    CHECKPOINTING = "saving"
+    EXITED = "exited"
+
+
+class ExitReason(StrEnum):
+    """Why a task exited, as far as the leader acts on it; the values are the words of the wire."""
+
+    COMPLETED = "done"
+    FAILED = "error"
+    NO_CAPACITY = "no_room"
+    ALREADY_RUNNING = "in_use"
+    UNKNOWN_JOB = "no_such"
+
+
+START_REFUSALS = frozenset({ExitReason.NO_CAPACITY, ExitReason.ALREADY_RUNNING, ExitReason.UNKNOWN_JOB})
+
+
+class TaskId(NamedTuple):
+    """A task of a job, by its number in the job, from 0 on."""
+
+    job_id: str
+    number: int
+
+
+class TaskStatus(
+    msgspec.Struct,
+    rename={
+        "name": "piece",
+        "attempt": "try",
+        "state": "status",
+        "exit_reason": "cause",
+        "has_checkpoint": "saved",
+    },
+):
+    """One task on a machine, as a heartbeat lists it.
+
+    `state` and `exit_reason` hold values of TaskState and ExitReason, or words that this version does not know.
+    """
+
     name: str
     attempt: int
     state: str
-    why: str | None = None
-    saved: bool = False
+    exit_reason: str | None = None
+    has_checkpoint: bool = False
 
-    def split(self) -> tuple[str, int] | None:
-        job_id, _, index = self.name.rpartition("/")
-        return (job_id, int(index)) if job_id and index.isdigit() and len(index) <= 7 else None
+    def task_id(self) -> TaskId | None:
+        """Return the task that the name means; None if the name is malformed."""
+        job_id, _, number = self.name.rpartition("/")
+        if job_id and number.isdigit() and len(number) <= MAX_TASK_NUMBER_DIGITS:
+            return TaskId(job_id, int(number))
+        return None
 
 
 class Heartbeat(
@@ -42,6 +90,8 @@
         "tasks": "pieces",
     },
 ):
+    """A worker's status: which machine it is, what it has seen of leaders, and all tasks on it."""
+
     machine: str
     address: str
     machine_type: str
@@ -49,20 +99,22 @@
     spot: bool
     incarnation: int
     sequence: int
+    # The highest that the worker has seen.
     fencing_token: int
+    # Time until the cloud takes the machine away.
     interruption_notice_s: float | None = None
-    tasks: list[Task] = []
+    tasks: list[TaskStatus] = []
 
 
 _attempt_of = attrgetter("attempt")
 
 
 def read_heartbeat(body: Any) -> Heartbeat:
-    """Raises msgspec.ValidationError."""
+    """Return the heartbeat that a decoded body holds. Raises msgspec.ValidationError."""
     heartbeat = msgspec.convert(body, Heartbeat)
-    # A token is believed: one that can't be would make every leader give way.
+    # Leaders give way to a higher token, so one that can't have been issued must not get in.
     numbers = (heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, *map(_attempt_of, heartbeat.tasks))
-    if min(numbers) < 0 or max(numbers) >= MOST:
+    if min(numbers) < 0 or max(numbers) >= NUMBER_LIMIT:
         raise msgspec.ValidationError("a number is out of range")
     return heartbeat
 
@@ -70,7 +122,7 @@
 class Sender(
     msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
-    """Who sent it and when, of a report that is not for this node."""
+    """What identifies a heartbeat; all that a node which does not lead reads of it."""
 
     machine: str
     incarnation: int
@@ -78,33 +130,60 @@
     fencing_token: int
 
 
-def task_name(job_id: str, task: int) -> str:
-    return f"{job_id}/{task}"
+def task_name(job_id: str, number: int) -> str:
+    """Return the task's name on the wire."""
+    return f"{job_id}/{number}"
+
+
+class StartCommand(msgspec.Struct, tag_field="verb", tag="start", rename={"task": "piece", "attempt": "try"}):
+    """Start an attempt of a task."""
 
+    task: str
+    attempt: int
 
-START = "start"
 
+class StopCommand(
+    msgspec.Struct,
+    tag_field="verb",
+    tag="halt",
+    rename={"task": "piece", "attempt": "try", "grace_s": "wind_down_s"},
+):
+    """Stop an attempt of a task; one that makes checkpoints saves first if `grace_s` is enough for it."""
 
-def start(name: str, attempt: int) -> dict[str, Any]:
-    return {"verb": START, "piece": name, "try": attempt}
+    task: str
+    attempt: int
+    grace_s: float
 
 
-def halt(name: str, attempt: int, grace_s: float) -> dict[str, Any]:
-    return {"verb": "halt", "piece": name, "try": attempt, "wind_down_s": grace_s}
+class RemoveCommand(msgspec.Struct, tag_field="verb", tag="reap", rename={"task": "piece", "attempt": "try"}):
+    """Remove an exited attempt from the worker's heartbeats."""
 
+    task: str
+    attempt: int
+
+
+Command = StartCommand | StopCommand | RemoveCommand
+
+
+class HeartbeatResponse(msgspec.Struct, rename={"fencing_token": "baton", "commands": "orders"}):
+    """The leader's response to a heartbeat; the worker executes the commands in their order."""
+
+    fencing_token: int
+    commands: list[Command]
 
-def reap(name: str, attempt: int) -> dict[str, Any]:
-    return {"verb": "reap", "piece": name, "try": attempt}
 
+class Redirect(msgspec.Struct, omit_defaults=True, rename={"leader": "foreman"}):
+    """The response of a node that does not lead; `leader` is absent where it knows none."""
 
-def orders(fencing_token: int, commands: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"baton": fencing_token, "orders": commands}
+    leader: str | None = None
 
 
-def elsewhere(leader: str | None) -> dict[str, Any]:
-    return {} if leader is None else {"foreman": leader}
+def redirect_body(leader: str | None) -> dict[str, Any]:
+    """Return the body of a redirect to that leader."""
+    body: dict[str, Any] = msgspec.to_builtins(Redirect(leader))
+    return body
 
 
 def names_leader(body: Any) -> bool:
-    """Whether an answer sends the worker to a certain controller."""
+    """Return whether a response body sends the worker to a certain controller."""
     return isinstance(body, dict) and "foreman" in body
--- /dev/null
+++ b/src/elmthread/workers/reconciliation.py
@@ -0,0 +1,191 @@
+"""Reconciliation of what a heartbeat lists with the allocations of its machine."""
+
+import logging
+from dataclasses import dataclass
+from datetime import timedelta
+from functools import partial
+
+from elmthread.cluster import health
+from elmthread.cluster.allocation import SEEN, Allocation, AllocationState, StopMode
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.common.clock import seconds
+from elmthread.leadership.context import TermContext
+from elmthread.persistence.completions import CompletionRecorder
+from elmthread.workers.messages import (
+    START_REFUSALS,
+    ExitReason,
+    Heartbeat,
+    StopCommand,
+    TaskId,
+    TaskState,
+    TaskStatus,
+)
+
+log = logging.getLogger(__name__)
+
+ALLOCATION_STATES: dict[str, AllocationState] = {
+    TaskState.FETCHING: AllocationState.FETCHING,
+    TaskState.RUNNING: AllocationState.RUNNING,
+    TaskState.CHECKPOINTING: AllocationState.CHECKPOINTING,
+}
+# An allocation in one of these states that a heartbeat leaves out is not on the machine.
+MUST_BE_LISTED = SEEN | {AllocationState.UNCONFIRMED}
+
+
+@dataclass(slots=True)
+class Reconciliation:
+    """What follows for the response from one heartbeat."""
+
+    # Exited tasks, which the worker is to remove once their completions are durable.
+    exited: list[TaskStatus]
+    # Stops of tasks that belong to no known job.
+    stops: list[StopCommand]
+    # Whether a start that was sent in the last response is not listed.
+    start_was_lost: bool
+
+
+class HeartbeatReconciler:
+    """Brings allocations, completions and machine health up to date with heartbeats."""
+
+    def __init__(self, context: TermContext, completions: CompletionRecorder, run_times: RunTimeModel) -> None:
+        """`completions` makes completed tasks durable; `run_times` is given how long they ran."""
+        self._cluster = context.cluster
+        self._events = context.events
+        self._completions = completions
+        self._run_times = run_times
+
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> Reconciliation:
+        """Apply a heartbeat, which must be the machine's newest, to the machine and its allocations."""
+        self._observe_machine(machine, heartbeat, now)
+        exited: list[TaskStatus] = []
+        stops: list[StopCommand] = []
+        for task in heartbeat.tasks:
+            allocation = machine.allocations.get(task.attempt)
+            if allocation is not None and ALLOCATION_STATES.get(task.state) is allocation.state:
+                # Unchanged since the last heartbeat, as most tasks are.
+                continue
+            if task.state == TaskState.EXITED:
+                self._observe_exit(machine, allocation, task, now)
+                exited.append(task)
+            elif allocation is not None:
+                self._observe_state(allocation, task, now)
+            else:
+                stops += self._observe_unexpected(machine, task, now)
+        return Reconciliation(exited, stops, self._reconcile_missing(machine, heartbeat, now))
+
+    def _observe_machine(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> None:
+        if machine.state in (MachineState.BOOTING, MachineState.UNCONFIRMED):
+            machine.transition_to(MachineState.UP)
+            machine.idle_since = now
+            self._events.notify_changed()
+        if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
+            log.info("%s will be interrupted by the cloud in %.1f s", machine.name, heartbeat.interruption_notice_s)
+            machine.interruption_at = now + seconds(max(0.0, heartbeat.interruption_notice_s))
+            self._events.notify_changed()
+
+    def _reconcile_missing(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
+        """Release what the heartbeat shows to be gone; return whether a start that was sent is missing."""
+        start_was_lost = False
+        for allocation in _missing_allocations(machine, heartbeat):
+            if allocation.state in MUST_BE_LISTED:
+                # Killed with its incarnation, or never sent by the leader before this one.
+                log.info("%s no longer has %s/%s", machine.name, allocation.job.id, allocation.task)
+                self._release(allocation, now)
+            elif allocation.start_sent:
+                # The response with its start was lost, and won't be executed any more.
+                allocation.start_sent = False
+                start_was_lost = True
+        return start_was_lost
+
+    def _observe_state(self, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
+        state = ALLOCATION_STATES.get(task.state)
+        if state is None:
+            log.info("unknown task state %r", task.state)
+            return
+        if state is not AllocationState.FETCHING:
+            allocation.machine.cached_images[allocation.job.spec.image] = allocation.job.spec.image_gb
+            if allocation.started_at is None:
+                allocation.started_at = now
+                _log_start(allocation, now)
+        allocation.transition_to(state)
+
+    def _observe_unexpected(self, machine: Machine, task: TaskStatus, now: timedelta) -> list[StopCommand]:
+        """Count a task that no record names for as long as it is there, and have it stopped."""
+        task_id = task.task_id()
+        job = self._job_of(task_id)
+        log.info("%s has %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
+        if task_id is None or job is None or not 0 <= task_id.number < job.task_count:
+            return [StopCommand(task.name, task.attempt, 0.0)]
+        allocation = self._cluster.allocate(machine, job, task_id.number, task.attempt, AllocationState.UNCONFIRMED)
+        allocation.stop_mode = StopMode.KILL
+        self._observe_state(allocation, task, now)
+        if task_id.number in job.pending_tasks:
+            job.pending_tasks.remove(task_id.number)
+        return []
+
+    def _observe_exit(self, machine: Machine, allocation: Allocation | None, task: TaskStatus, now: timedelta) -> None:
+        task_id = task.task_id()
+        job = allocation.job if allocation is not None else self._job_of(task_id)
+        if allocation is not None:
+            log.debug("%s on %s exited: %s", task.name, machine.name, task.exit_reason)
+            self._judge_exit(machine, allocation, task, now)
+        if task.exit_reason == ExitReason.COMPLETED and job is not None and task_id is not None:
+            self._record_completion(machine, allocation, job, task_id.number, task.attempt)
+        if allocation is not None:
+            self._release(allocation, now)
+
+    def _record_completion(
+        self, machine: Machine, allocation: Allocation | None, job: Job, number: int, attempt: int
+    ) -> None:
+        """Make a completion durable; until then the worker must not remove the task."""
+        if job.is_service or not 0 <= number < job.task_count or not job.is_open or job.is_done(number):
+            return
+        job.mark_done(number)
+        if allocation is None and number in job.pending_tasks:
+            job.pending_tasks.remove(number)
+        machine.uncommitted_completions[attempt] = (job.id, number)
+        self._completions.record(job, number, partial(_completion_is_durable, machine, attempt))
+
+    def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
+        """Take what an exit says about the health of the machine and about the job's run time."""
+        job = allocation.job
+        completed = task.exit_reason == ExitReason.COMPLETED
+        if job.is_service and (completed or health.has_run_steadily(allocation, now)):
+            health.record_replica_end(allocation, now)
+        elif completed:
+            machine.cached_images[job.spec.image] = job.spec.image_gb
+            health.record_success(machine, job)
+            if allocation.started_at is not None and allocation.stop_mode is None:
+                self._run_times.saw(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
+        elif task.exit_reason == ExitReason.FAILED:
+            log.info("%s failed on %s", task.name, machine.name)
+            health.record_failure(machine, job, now)
+        elif task.exit_reason in START_REFUSALS:
+            log.info("%s refused to start %s: %s", machine.name, task.name, task.exit_reason)
+            health.record_refusal(job, now)
+
+    def _job_of(self, task_id: TaskId | None) -> Job | None:
+        return None if task_id is None else self._cluster.jobs.get(task_id.job_id)
+
+    def _release(self, allocation: Allocation, now: timedelta) -> None:
+        self._cluster.release(allocation, now)
+        self._events.notify_changed()
+
+
+def _missing_allocations(machine: Machine, heartbeat: Heartbeat) -> list[Allocation]:
+    listed = {task.attempt for task in heartbeat.tasks}
+    if machine.allocations.keys() <= listed:
+        return []
+    return [allocation for attempt, allocation in machine.allocations.items() if attempt not in listed]
+
+
+def _completion_is_durable(machine: Machine, attempt: int) -> None:
+    machine.uncommitted_completions.pop(attempt, None)
+
+
+def _log_start(allocation: Allocation, now: timedelta) -> None:
+    job = allocation.job
+    waited_s = (now - job.submitted_at).total_seconds()
+    log.debug("%s/%s runs on %s after %.1f s", job.id, allocation.task, allocation.machine.name, waited_s)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -12,7 +12,7 @@
 
 from elmthread.net.http import Server
 from elmthread.placement import decide
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
 from tests.test_world import day
 from tests.world.counting import count_calls, count_changes
 from tests.world.world import ZONES, World, job
@@ -32,7 +32,7 @@
     calls: Counter[str] = Counter()
     changes: Counter[int] = Counter()
     count_calls(monkeypatch, calls, decide, "fits")
-    count_calls(monkeypatch, calls, HeartbeatHandler, "heartbeat")
+    count_calls(monkeypatch, calls, HeartbeatHandler, "handle")
 
     async def script(world: World) -> None:
         count_changes(world, changes)
@@ -72,7 +72,7 @@
     assert starts < 1.02 * len(world.rules.starts)
     assert calls["fits"] < FITS_PER_START * starts, calls["fits"] / starts
     assert max(changes.values()) <= CHANGES_PER_SECOND
-    assert calls["heartbeat"] > MACHINES
+    assert calls["handle"] > MACHINES
 
 
 def test_as_many_connections_may_wait_to_be_taken_as_may_be_open(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -12,7 +12,8 @@
 from elmthread.placement import decide
 from elmthread.placement.service import Scheduler
 from elmthread.workers import messages
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
+from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.test_world import day, set_apart
 from tests.world.counting import count_calls, count_changes
 from tests.world.world import World, job, start
@@ -195,8 +196,8 @@
     """Most of what reports list runs on as before: neither is it taken in again, nor weighed for a command."""
     work: Counter[str] = Counter()
 
-    count_calls(monkeypatch, work, HeartbeatHandler, "heartbeat")
-    count_calls(monkeypatch, work, HeartbeatHandler, "_seen")
+    count_calls(monkeypatch, work, HeartbeatHandler, "handle")
+    count_calls(monkeypatch, work, HeartbeatReconciler, "_observe_state")
     count_calls(monkeypatch, work, messages, "task_name")
 
     async def script(world: World) -> None:
@@ -206,12 +207,12 @@
         assert await world.submit(job(1, pieces=40, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
         assert len(world.rules.where) == 40
-        assert work["_seen"] >= 40 and work["task_name"] >= 40
+        assert work["_observe_state"] >= 40 and work["task_name"] >= 40
         work.clear()
         await asyncio.sleep(15)
         assert len(world.rules.where) == 40
-        assert work["heartbeat"] >= 10
-        assert work["_seen"] == work["task_name"] == 0
+        assert work["handle"] >= 10
+        assert work["_observe_state"] == work["task_name"] == 0
 
     day(script, machines=0)
 
