--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -4,6 +4,7 @@
 import logging
 from dataclasses import dataclass
 from datetime import timedelta
+from functools import partial
 from typing import Any
 
 from elmthread.api import messages
@@ -14,7 +15,7 @@
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http import Response, again
-from elmthread.persistence.completions import record_maker
+from elmthread.persistence.completions import make_job_record
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
 from elmthread.store.writer import WritePriority, WriterStoppedError
@@ -112,7 +113,9 @@
             job.durable_state = job.state_being_written
             self._events.notify_jobs_changed()
 
-        stored = self._writer.write_and_wait(job_key(job.id), WritePriority.USER, record_maker(job), durable)
+        stored = self._writer.write_and_wait(
+            job_key(job.id), WritePriority.USER, partial(make_job_record, job), durable
+        )
         self._storing[job.id] = stored
 
         def over(done: asyncio.Future[None]) -> None:
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -2,8 +2,9 @@
 
 import asyncio
 from datetime import timedelta
+from functools import partial
 
-from elmthread.cluster.allocation import AllocationState
+from elmthread.cluster.allocation import Allocation, AllocationState
 from elmthread.cluster.machine import Machine
 from elmthread.leadership.context import TermContext
 from elmthread.store.assignments import machine_record
@@ -26,24 +27,11 @@
         planned = [
             allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
         ]
-
-        def durable() -> None:
-            # Only what the written record held; later plans wait for a record of their own.
-            for allocation in planned:
-                if (
-                    allocation.state is AllocationState.PLANNED
-                    and machine.allocations.get(allocation.attempt) is allocation
-                ):
-                    allocation.transition_to(AllocationState.COMMITTED)
-            event = self._waiting.get(machine.name)
-            if event is not None:
-                event.set()
-
         self._writer.write(
             machine_key(machine.name),
             WritePriority.ASSIGNMENT,
-            lambda: machine_record(machine, self._features),
-            durable,
+            partial(machine_record, machine, self._features),
+            partial(self._mark_committed, machine, planned),
         )
 
     async def wait_for(self, machine: Machine, timeout: timedelta) -> None:
@@ -57,3 +45,15 @@
         finally:
             if self._waiting.get(machine.name) is event:
                 del self._waiting[machine.name]
+
+    def _mark_committed(self, machine: Machine, planned: list[Allocation]) -> None:
+        """Mark what the written record held; later plans wait for a record of their own."""
+        for allocation in planned:
+            if (
+                allocation.state is AllocationState.PLANNED
+                and machine.allocations.get(allocation.attempt) is allocation
+            ):
+                allocation.transition_to(AllocationState.COMMITTED)
+        event = self._waiting.get(machine.name)
+        if event is not None:
+            event.set()
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -1,6 +1,7 @@
 """The ends of tasks and jobs on their way to the store."""
 
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from elmthread.cluster.job import Job, JobState
@@ -10,14 +11,10 @@
 from elmthread.store.writer import WritePriority
 
 
-def record_maker(job: Job) -> Callable[[], Any]:
-    """Return what makes the job's record when it is written, and notes which state went into it."""
-
-    def make() -> Any:
-        job.state_being_written = job.state
-        return job_record(job)
-
-    return make
+def make_job_record(job: Job) -> Any:
+    """Return the job's record as it is to be written now, and note which state goes into it."""
+    job.state_being_written = job.state
+    return job_record(job)
 
 
 class CompletionRecorder:
@@ -29,23 +26,32 @@
         self._writer = context.writer
         self._features = context.features
 
-    def record(self, job: Job, task: int, durable: Callable[[], None]) -> None:
-        """Record that a task is done; `durable` is called once that is in the store."""
+    def record(self, job: Job, task: int, on_durable: Callable[[], None]) -> None:
+        """Record that a task is done; `on_durable` is called once that is in the store."""
         if job.done_count == job.task_count:
-            self._cluster.close_job(job, JobState.DONE)
-
-            def stored() -> None:
-                job.durable_state = job.state_being_written
-                durable()
-                for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
-                    self._writer.delete(done_key(job.id, chunk))
-
-            self._writer.write(job_key(job.id), WritePriority.COMPLETION, record_maker(job), stored)
+            self._record_end(job, on_durable)
             return
         chunk = task // job.tasks_per_chunk
         self._writer.write(
             done_key(job.id, chunk),
             WritePriority.COMPLETION,
-            lambda: done_record(job, chunk, self._features),
-            durable,
+            partial(done_record, job, chunk, self._features),
+            on_durable,
         )
+
+    def _record_end(self, job: Job, on_durable: Callable[[], None]) -> None:
+        """Record that the job is done, which includes all its tasks."""
+        self._cluster.close_job(job, JobState.DONE)
+        self._writer.write(
+            job_key(job.id),
+            WritePriority.COMPLETION,
+            partial(make_job_record, job),
+            partial(self._mark_durable, job, on_durable),
+        )
+
+    def _mark_durable(self, job: Job, on_durable: Callable[[], None]) -> None:
+        """Note that the job's end is in the store, where it replaces the records of done tasks."""
+        job.durable_state = job.state_being_written
+        on_durable()
+        for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
+            self._writer.delete(done_key(job.id, chunk))
