--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -13,8 +13,8 @@
 from elmthread.settings.platform import Facts
 from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
 from elmthread.store.job_spec import SERVICE, JobSpec
-from elmthread.store.log import slot_bytes, text_of, weight
 from elmthread.store.machine_type import MachineType
+from elmthread.store.pages import json_text, page_capacity, record_bytes
 from elmthread.store.records import job_key, job_record
 
 
@@ -26,7 +26,7 @@
         value_kb = facts.state.kept().value_kb
         self._chunk = chunk_tasks(value_kb)
         self._bitmap_chunk = bitmap_chunk_tasks(value_kb)
-        self._most_record = slot_bytes(value_kb)
+        self._most_record = page_capacity(value_kb)
         # What is wanted of each class: the soonest bound, and how much later the last one is.
         self._within: dict[str, list[float]] = {}
         self._times: dict[str, float] = {}
@@ -91,7 +91,7 @@
             zone=spec.zone,
         )
         record = job_record(self.new(spec, ZERO))
-        if weight(job_key(spec.id), text_of(record)) > self._most_record:
+        if record_bytes(job_key(spec.id), json_text(record)) > self._most_record:
             return "its record is larger than the state service takes"
         types = [(t.name, t.cpus, t.gpus, t.memory_gb, t.zones) for t in kinds]
         return may_ever_run(request, team, types)
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -17,7 +17,8 @@
 from elmthread.persistence.completions import record_maker
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
-from elmthread.store.writer import WritePriority, WriterStoppedError
+from elmthread.store.write_queue import WritePriority
+from elmthread.store.writer import WriterStoppedError
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -15,7 +15,7 @@
 from elmthread.net.http import Response
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.term import SureTerm, term_context
 from tests.world.world import job as wire
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -38,9 +38,10 @@
 from elmthread.settings.platform import Platform
 from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
-from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import RecordWriter, WriteLimits
+from elmthread.store.page_batch import WriteLimits
+from elmthread.store.pages import RecordPages, page_capacity
+from elmthread.store.writer import RecordWriter
 from elmthread.workers.service import HeartbeatHandler
 
 log = logging.getLogger(__name__)
@@ -101,14 +102,14 @@
     def _make_context(self) -> TermContext:
         node = self._node
         limits = node.platform.facts.state.kept()
-        pages = RecordPages(slot_bytes(limits.value_kb))
+        pages = RecordPages(page_capacity(limits.value_kb))
         rate = limits.write_rps * LEADERS_PART
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
         return TermContext(
             term=self.term,
             store=node.state,
             writer=RecordWriter(node.state, pages, self.term, write_limits, node.clock),
-            cluster=ClusterState(pages.most, machine_frame),
+            cluster=ClusterState(pages.capacity, machine_frame),
             events=ClusterEvents(),
             features=node.rollout.features,
             clock=node.clock,
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -207,7 +207,7 @@
                 await asyncio.sleep(RETRY.total_seconds())
 
     async def _round(self) -> None:
-        page = await self._client.page(LEADER, None, 10)
+        page = await self._client.read_page(LEADER, None, 10)
         item = next((item for item in page.items if item.key == LEADER), None)
         if item is None:
             self.leader = None
@@ -235,7 +235,7 @@
         revision = page.revision
         while True:
             news = await self._client.watch(LEADER, revision, self._standing.watch_time(WATCH))
-            if news.news:
+            if news.events:
                 return
             revision = max(revision, news.revision)
 
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -28,7 +28,7 @@
     rental_key,
     types_records,
 )
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -187,7 +187,7 @@
                     break
                 after = page.machines[-1].name
                 while not self._cloud.calls.take():
-                    await asyncio.sleep(self._cloud.calls.wait().total_seconds())
+                    await asyncio.sleep(self._cloud.calls.time_until().total_seconds())
         except (CloudError, NoCapacityError) as error:
             log.info("list: %s", error)
             return
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -19,7 +19,7 @@
 from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.term import term_context
 
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -8,7 +8,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.store.assignments import machine_record
 from elmthread.store.records import machine_key
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 
 class Assignments:
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -7,7 +7,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.store.done_marks import done_record
 from elmthread.store.records import done_key, job_key, job_record
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 
 def record_maker(job: Job) -> Callable[[], Any]:
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -20,13 +20,13 @@
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
-from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_all
-from elmthread.store.done_marks import MOST_MARKS, mark_done, read_done
+from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_prefix
+from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, mark_done, read_done
 from elmthread.store.job_spec import BATCH, JobSpec
-from elmthread.store.log import SLOTS, UnreadableRecordError
 from elmthread.store.machine_type import MachineType
+from elmthread.store.pages import PAGE_PREFIX, UnreadableRecordError
 from elmthread.store.records import LAYOUT
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +61,7 @@
     async def load(self) -> None:
         """Rebuilds the view: jobs, done tasks, assignments, rentals in doubt, machine types."""
         level = await self._all(rollout_messages.PREFIX) if self._rollout.enabled else []
-        view = self._pages.load((item.key, item.value, item.mod_revision) for item in await self._all(SLOTS))
+        view = self._pages.load((item.key, item.value, item.mod_revision) for item in await self._all(PAGE_PREFIX))
         # Before anything else is read: on a level that is not known here, nothing may be.
         self._rollout.load(level, view)
         view.pop(rollout_messages.FENCE_KEY, None)
@@ -118,14 +118,14 @@
             taken_over()
 
     async def _all(self, prefix: str) -> list[messages.KeyValue]:
-        items, _ = await read_all(self._page, prefix, PAGE)
-        return items
+        found = await read_prefix(self._page, prefix, PAGE)
+        return found.items
 
-    async def _page(self, prefix: str, after: str | None, most: int) -> messages.Page:
+    async def _page(self, prefix: str, after: str | None, most: int) -> messages.RangePage:
         """One page, asked for until the state service answers."""
         while True:
             try:
-                return await self._store.page(prefix, after, most)
+                return await self._store.read_page(prefix, after, most)
             except (StoreUnavailableError, UnknownOutcomeError) as error:
                 log.info("loading %s: %s", prefix, error)
                 await asyncio.sleep(RETRY.total_seconds())
@@ -135,7 +135,7 @@
         state = JobState(record.state)
         if record.spec is None:
             spec = _finished_spec(key.removeprefix("j/"), record.tasks)
-            job = Job(spec, datetime.now(UTC), self._clock(), seconds(0), 1.0, False, MOST_MARKS)
+            job = Job(spec, datetime.now(UTC), self._clock(), seconds(0), 1.0, False, MAX_TASKS_PER_CHUNK)
         else:
             submitted = records.submitted_at(record)
             age = max(timedelta(), datetime.now(UTC) - submitted)
--- a/src/elmthread/rollout/store.py
+++ b/src/elmthread/rollout/store.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from elmthread.rollout import messages
-from elmthread.store.client import KeyValueStore, read_all
+from elmthread.store.client import KeyValueStore, read_prefix
 from elmthread.store.messages import KeyValue
 
 PAGE = 200
@@ -18,5 +18,5 @@
 
 async def read_records(client: KeyValueStore) -> RolloutRecords:
     """Reads page by page. Raises what the client raises."""
-    items, revision = await read_all(client.page, messages.PREFIX, PAGE)
-    return RolloutRecords(items, revision)
+    found = await read_prefix(client.read_page, messages.PREFIX, PAGE)
+    return RolloutRecords(found.items, found.revision)
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -25,7 +25,7 @@
 from elmthread.store import messages as store
 from elmthread.store.client import ConflictError, StoreError
 from elmthread.store.records import LEADER
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -8,14 +8,14 @@
 from elmthread.common.features import SupportedLevels
 from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError, Membership
 from elmthread.settings.rollout import RolloutSettings
-from elmthread.store.messages import Page
+from elmthread.store.messages import RangePage
 
 
 class SlowStore:
     """A store that is empty, and takes a while to carry out a transaction."""
 
-    async def page(self, prefix: str, after: str | None, most: int) -> Page:
-        return Page([], 1)
+    async def read_page(self, prefix: str, after: str | None, page_size: int) -> RangePage:
+        return RangePage([], 1)
 
     async def compare_and_swap(self, comparisons: Any, then: Any) -> int:
         await asyncio.sleep(0.05)
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -13,7 +13,7 @@
 from elmthread.cluster.machine import Machine
 from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
 from elmthread.store.job_spec import MAX_TASKS_PER_JOB
-from elmthread.store.log import text_of, weight
+from elmthread.store.pages import json_text, record_bytes
 from elmthread.store.records import machine_key
 
 
@@ -48,7 +48,7 @@
         return pairs
     runs = _runs_record(pairs)
     # What a machine may be given is reckoned by the first form: no record may be larger than that.
-    return runs if len(text_of(runs)) < len(text_of(pairs)) else pairs
+    return runs if len(json_text(runs)) < len(json_text(pairs)) else pairs
 
 
 def read_machine(value: Any, supported: SupportedLevels) -> MachineRecord:
@@ -63,7 +63,7 @@
 def machine_frame(machine: Machine) -> int:
     """Bytes of a slot that a machine's record takes at most before anything is assigned to it."""
     record = MachineRecord(machine.machine_type, machine.zone, True, True, {"": []})
-    return weight(machine_key(machine.name), text_of(record))
+    return record_bytes(machine_key(machine.name), json_text(record))
 
 
 def _pairs_record(machine: Machine) -> MachineRecord:
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -1,7 +1,7 @@
-"""The state service met through its protocol: reads, transactions, grants and watches."""
+"""Client of the key-value store: reads, compare-and-swap transactions, leases and watches."""
 
 import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Sequence
 from dataclasses import dataclass
 from datetime import timedelta
 from typing import Any, Protocol, TypeVar
@@ -19,23 +19,23 @@
 
 T = TypeVar("T", bound=msgspec.Struct)
 
-READ_TIME = seconds(2)
+REQUEST_TIMEOUT = seconds(2)
 
 
 class StoreError(ElmthreadError):
-    """What can become of a request to the state service."""
+    """A request to the key-value store did not succeed."""
 
 
 class StoreUnavailableError(StoreError):
-    """The request was surely not executed (503, 429, or refused by our own pacing)."""
+    """The request was surely not executed: status 503 or 429, or beyond the rate that this client keeps to."""
 
 
 class RateLimitedError(StoreUnavailableError):
-    """Refused as beyond the rate of requests or changes."""
+    """The store refused the request as beyond its rate of requests or changes."""
 
 
 class RejectedTransactionError(StoreError):
-    """A transaction that the service takes for malformed or too large: not executed, and never will be."""
+    """The store takes the transaction for malformed or too large: it was not executed, and never will be."""
 
 
 class UnknownOutcomeError(StoreError):
@@ -43,115 +43,144 @@
 
 
 class ExpiredError(StoreError):
-    """The grant is gone, or a watch asked for changes that are no longer kept."""
+    """The lease has ended, or a watch asked for changes that are no longer kept."""
 
 
 @dataclass
 class ConflictError(StoreError):
-    """A guard failed; names the keys."""
+    """A comparison of the transaction failed, so nothing was changed."""
 
+    # The keys whose revision was another one.
     failed: list[str]
 
 
-class RoundTrips(Protocol):
-    """Who wants to know which requests were executed, and when they began."""
+class RequestObserver(Protocol):
+    """Observes which requests were executed, and when they were sent: the link to the store."""
 
     def begin(self) -> timedelta:
-        """A request is sent now."""
+        """Return the time at which a request is sent."""
 
     def hear(self) -> None:
-        """An answer came that proves no execution."""
+        """Note a response that does not prove execution."""
 
     def confirm(self, began: timedelta) -> None:
-        """A request that began then was executed."""
+        """Note that a request sent at that time was executed."""
 
 
-ReadPage = Callable[[str, str | None, int], Awaitable[messages.Page]]
+# Reads one page of a prefix: the prefix, the key to start after, and the most items.
+PageReader = Callable[[str, str | None, int], Awaitable[messages.RangePage]]
 
 
-async def read_all(read_page: ReadPage, prefix: str, most: int) -> tuple[list[messages.KeyValue], int]:
-    """All records under a prefix, `most` to a page, and the revision of the first page.
+@dataclass(frozen=True)
+class PrefixRecords:
+    """All records under a prefix; a watch from `revision` sees whatever changed while they were read."""
 
-    A watch from that revision sees whatever changes while the other pages are read. Raises what `read_page` raises.
-    """
+    items: list[messages.KeyValue]
+    revision: int
+
+
+async def read_prefix(read_page: PageReader, prefix: str, page_size: int) -> PrefixRecords:
+    """Return all records under a prefix, read page by page. Raises what `read_page` raises."""
     items: list[messages.KeyValue] = []
-    page = await read_page(prefix, None, most)
+    page = await read_page(prefix, None, page_size)
     first_revision = page.revision
     while True:
         items += page.items
         if not page.more or not page.items:
-            return items, first_revision
-        page = await read_page(prefix, page.items[-1].key, most)
+            return PrefixRecords(items, first_revision)
+        page = await read_page(prefix, page.items[-1].key, page_size)
 
 
 class KeyValueStore:
-    def __init__(self, caller: Caller, requests: TokenBucket, link: RoundTrips | None = None) -> None:
-        """`link` is told of each request that was answered."""
-        self._link = link
+    """One way to the key-value store, within a rate of requests.
+
+    Each method raises StoreUnavailableError or UnknownOutcomeError if the request fails.
+    """
+
+    def __init__(self, caller: Caller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
+        """Send requests by `caller` within the rate of `requests`; `observer` learns which were executed."""
+        self._observer = observer
         self._caller = caller
         self._requests = requests
 
     async def get(self, key: str) -> messages.KeyValue | None:
+        """Return the key with its value, None if it does not exist."""
         answer = await self._call("GET", f"/store/{key}")
         if answer.status == 404:
             return None
-        return _read(answer, messages.KeyValue)
+        return _decode(answer, messages.KeyValue)
 
-    async def page(self, prefix: str, after: str | None, most: int) -> messages.Page:
+    async def read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
+        """Return the first keys under a prefix, or those that follow `after`."""
         since = "" if after is None else f"&since={quote(after, safe='/')}"
-        answer = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={most}")
-        return _read(answer, messages.Page)
+        answer = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={page_size}")
+        return _decode(answer, messages.RangePage)
 
     async def compare_and_swap(
-        self, comparisons: list[dict[str, Any]], then: list[dict[str, Any]], timeout: timedelta = READ_TIME
+        self,
+        comparisons: Sequence[messages.Comparison],
+        operations: Sequence[messages.Put],
+        timeout: timedelta = REQUEST_TIMEOUT,
     ) -> int:
-        answer = await self._call("POST", "/txn", {"guards": comparisons, "then": then}, timeout)
+        """Execute the operations if all comparisons hold, and return the revision.
+
+        Raises ConflictError if one does not hold, RejectedTransactionError if the store never takes this transaction.
+        """
+        transaction = messages.Transaction(list(comparisons), list(operations))
+        answer = await self._call("POST", "/txn", msgspec.to_builtins(transaction), timeout)
         if answer.status == 409:
-            raise ConflictError(_read(answer, messages.Conflict, 409).failed)
+            raise ConflictError(_decode(answer, messages.Conflict, 409).failed)
         if answer.status == 400:
             raise RejectedTransactionError(str(answer.body))
-        return _read(answer, messages.Revision).revision
+        return _decode(answer, messages.Revision).revision
 
     async def grant_lease(self, ttl: timedelta) -> int:
+        """Return the number of a new lease that ends `ttl` after its last renewal."""
         answer = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
-        return _read(answer, messages.LeaseGrant).lease_id
+        return _decode(answer, messages.LeaseGrant).lease_id
 
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
-        # Renewals skip the pacing: room for them is kept by everything else.
-        answer = await self._raw("POST", f"/grants/{lease_id}/extend", {}, timeout)
+        """Renew a lease. Raises ExpiredError if it has ended."""
+        # Renewals are not held to the rate: everything else leaves room for them.
+        answer = await self._send("POST", f"/grants/{lease_id}/extend", {}, timeout)
         if answer.status == 404:
-            raise ExpiredError(f"grant {lease_id}")
-        _known(answer, 200)
+            raise ExpiredError(f"lease {lease_id}")
+        _require_status(answer, 200)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        answer = await self._raw("DELETE", f"/grants/{lease_id}", None, READ_TIME)
+        """End a lease, with all keys that expire with it; one that has ended already is no error."""
+        answer = await self._send("DELETE", f"/grants/{lease_id}", None, REQUEST_TIMEOUT)
         if answer.status != 404:
-            _known(answer, 200)
+            _require_status(answer, 200)
 
     async def watch(self, prefix: str, since: int, block: timedelta) -> messages.WatchEvents:
+        """Return what changed under a prefix after revision `since`, as soon as something has or `block` is over.
+
+        Raises ExpiredError if changes since then are no longer kept.
+        """
         ms = round(block.total_seconds() * 1000)
         path = f"/watch?starts={prefix}&since={since}&block_ms={ms}"
-        answer = await self._call("GET", path, None, block + READ_TIME)
+        answer = await self._call("GET", path, None, block + REQUEST_TIMEOUT)
         if answer.status == 410:
             raise ExpiredError("watch")
-        return _read(answer, messages.WatchEvents)
+        return _decode(answer, messages.WatchEvents)
 
-    async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = READ_TIME) -> Answer:
+    async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = REQUEST_TIMEOUT) -> Answer:
         if not self._requests.take():
-            raise StoreUnavailableError("our own pacing")
-        return await self._raw(method, path, body, timeout)
+            raise StoreUnavailableError("the request rate of this client is exhausted")
+        return await self._send(method, path, body, timeout)
 
-    async def _raw(self, method: str, path: str, body: Any, timeout: timedelta) -> Answer:
-        began = self._link.begin() if self._link is not None else None
+    async def _send(self, method: str, path: str, body: Any, timeout: timedelta) -> Answer:
+        began = self._observer.begin() if self._observer is not None else None
         try:
             answer = await self._caller.call(method, path, body, timeout=timeout)
         except NoResponseError as error:
             raise UnknownOutcomeError(str(error)) from error
-        if self._link is not None and began is not None:
+        if self._observer is not None and began is not None:
             if answer.status in (429, 503):
-                self._link.hear()
+                self._observer.hear()
             else:
-                self._link.confirm(began)
+                self._observer.confirm(began)
         if answer.status == 429:
             self._requests.drain()
             raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {answer.body}")
@@ -160,16 +189,16 @@
         return answer
 
 
-def _known(answer: Answer, *statuses: int) -> None:
-    if answer.status not in statuses:
-        log.error("state service: unexpected status %s: %s", answer.status, answer.body)
+def _require_status(answer: Answer, expected: int) -> None:
+    if answer.status != expected:
+        log.error("the key-value store sent unexpected status %s: %s", answer.status, answer.body)
         raise UnknownOutcomeError(f"status {answer.status}")
 
 
-def _read(answer: Answer, kind: type[T], status: int = 200) -> T:
-    _known(answer, status)
+def _decode(answer: Answer, kind: type[T], status: int = 200) -> T:
+    _require_status(answer, status)
     try:
         return msgspec.convert(answer.body, kind)
     except msgspec.ValidationError as error:
-        log.error("state service: malformed answer: %s", error)
+        log.error("the key-value store sent a malformed response: %s", error)
         raise UnknownOutcomeError(str(error)) from error
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -10,7 +10,7 @@
 
 # The most tasks in one record of done marks: each finished task writes its record anew, so a
 # record takes a small part of a slot only.
-MOST_MARKS = 1024
+MAX_TASKS_PER_CHUNK = 1024
 MARKS_PART = 1 / 32
 # Compressed bitmaps seldom come near their largest size, so that one may take more.
 BITMAP_PART = 1 / 11
@@ -18,12 +18,12 @@
 
 def chunk_tasks(value_kb: float) -> int:
     """Tasks a chunk of done marks: one hexadecimal digit stands for four."""
-    return min(MOST_MARKS, max(8, int(value_kb * 1024 * MARKS_PART) * 4 // 8 * 8))
+    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MARKS_PART) * 4 // 8 * 8))
 
 
 def bitmap_chunk_tasks(value_kb: float) -> int:
     """Tasks a chunk of a compressed bitmap: at the worst, four characters stand for 24 tasks."""
-    return min(MOST_MARKS, max(8, int(value_kb * 1024 * BITMAP_PART) * 6 // 8 * 8))
+    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * BITMAP_PART) * 6 // 8 * 8))
 
 
 class DoneRecord(msgspec.Struct):
--- a/src/elmthread/store/messages.py
+++ b/src/elmthread/store/messages.py
@@ -1,4 +1,4 @@
-"""The state service's words on the wire."""
+"""Messages of the key-value store, with its words on the wire."""
 
 from typing import Any
 
@@ -6,46 +6,75 @@
 
 
 class KeyValue(msgspec.Struct, rename={"key": "k", "mod_revision": "stamp", "lease_id": "hold"}):
+    """A key with its value, the revision that last changed it, and the lease that it expires with."""
+
     key: str
     value: Any
     mod_revision: int
     lease_id: int | None = None
 
 
-class Page(msgspec.Struct, rename={"items": "pairs", "more": "has_next", "revision": "ledger_rev"}):
+class RangePage(msgspec.Struct, rename={"items": "pairs", "more": "has_next", "revision": "ledger_rev"}):
+    """Some of the keys under a prefix, in order, as of `revision`; `more` of them follow."""
+
     items: list[KeyValue]
     revision: int
     more: bool = False
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger_rev"}):
+    """The revision at which a transaction was executed."""
+
     revision: int
 
 
 class Conflict(msgspec.Struct, rename={"revision": "ledger_rev"}):
+    """The keys whose comparison failed; nothing was changed."""
+
     failed: list[str]
     revision: int = 0
 
 
 class LeaseGrant(msgspec.Struct, rename={"lease_id": "hold"}):
+    """A new lease."""
+
     lease_id: int
 
 
-class WatchEvents(msgspec.Struct, rename={"revision": "ledger_rev"}):
+class WatchEvents(msgspec.Struct, rename={"revision": "ledger_rev", "events": "news"}):
+    """What changed under a prefix up to `revision`; no events if nothing did in time."""
+
     revision: int
-    news: list[dict[str, Any]] = []
+    events: list[dict[str, Any]] = []
+
+
+class Comparison(msgspec.Struct, frozen=True, rename={"key": "k", "mod_revision": "stamp"}):
+    """A condition of a transaction: the key was last changed at that revision; 0 if it must not exist."""
+
+    key: str
+    mod_revision: int
+
+
+class Put(msgspec.Struct, frozen=True, omit_defaults=True, rename={"key": "put", "lease_id": "hold"}):
+    """Set the key, which expires with the lease if one is named."""
+
+    key: str
+    value: Any
+    lease_id: int | None = None
+
 
+class Transaction(msgspec.Struct, frozen=True, rename={"comparisons": "guards", "operations": "then"}):
+    """Operations that are executed together, and only if all comparisons hold."""
 
-def compare(key: str, mod_revision: int) -> dict[str, Any]:
-    return {"k": key, "stamp": mod_revision}
+    comparisons: list[Comparison]
+    operations: list[Put]
 
 
-def put(key: str, value: Any, lease_id: int | None = None) -> dict[str, Any]:
-    change = {"put": key, "value": value}
-    if lease_id is not None:
-        change["hold"] = lease_id
-    return change
+def compare(key: str, mod_revision: int) -> Comparison:
+    """Return the condition that the key was last changed at that revision; 0 if it must not exist."""
+    return Comparison(key, mod_revision)
 
 
-def delete(key: str) -> dict[str, Any]:
-    return {"delete": key}
+def put(key: str, value: Any, lease_id: int | None = None) -> Put:
+    """Return the operation that sets the key, which expires with the lease if one is named."""
+    return Put(key, value, lease_id)
--- a/src/elmthread/store/pacing.py
+++ b/src/elmthread/store/pacing.py
@@ -1,4 +1,4 @@
-"""A token bucket: keeps calls within a rate and leaves room for what matters more."""
+"""A token bucket: keeps calls within a rate, and leaves room for those that matter more."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,34 +8,38 @@
 
 @dataclass
 class TokenBucket:
+    """Holds at most `burst` tokens, starts full and gains `rate` tokens a second."""
+
     rate: float
     burst: float
     clock: Clock
-    _level: float = field(init=False)
-    _at: timedelta = field(init=False)
+    _tokens: float = field(init=False)
+    _updated_at: timedelta = field(init=False)
 
     def __post_init__(self) -> None:
-        self._level = self.burst
-        self._at = self.clock()
+        """Start full."""
+        self._tokens = self.burst
+        self._updated_at = self.clock()
 
     def level(self) -> float:
+        """Return how many tokens there are now; below 0 after taking with a negative `keep`."""
         now = self.clock()
-        self._level = min(self.burst, self._level + (now - self._at).total_seconds() * self.rate)
-        self._at = now
-        return self._level
+        self._tokens = min(self.burst, self._tokens + (now - self._updated_at).total_seconds() * self.rate)
+        self._updated_at = now
+        return self._tokens
 
     def take(self, count: float = 1.0, keep: float = 0.0) -> bool:
-        """Takes count if that leaves at least keep in the bucket."""
+        """Take `count` tokens and return True, or take none if fewer than `keep` would be left."""
         if self.level() - count < keep:
             return False
-        self._level -= count
+        self._tokens -= count
         return True
 
-    def wait(self, count: float = 1.0, keep: float = 0.0) -> timedelta:
-        """How long until take(count, keep) can succeed."""
+    def time_until(self, count: float = 1.0, keep: float = 0.0) -> timedelta:
+        """Return how long it is until `take(count, keep)` can succeed."""
         return seconds(max(0.0, (count + keep - self.level()) / self.rate))
 
     def drain(self) -> None:
-        """The other side says that the rate is exceeded: start from empty."""
+        """Empty the bucket, as the other side says that the rate is exceeded."""
         self.level()
-        self._level = min(self._level, 0.0)
+        self._tokens = min(self._tokens, 0.0)
--- /dev/null
+++ b/src/elmthread/store/page_batch.py
@@ -0,0 +1,146 @@
+"""Packs waiting writes into the pages of one transaction."""
+
+import logging
+from dataclasses import dataclass, field
+
+from elmthread.common.clock import ZERO, Clock, seconds
+from elmthread.store.pacing import TokenBucket
+from elmthread.store.pages import RecordPage, RecordPages, json_text, record_bytes
+from elmthread.store.write_queue import PendingWrite, WriteQueue
+
+log = logging.getLogger(__name__)
+
+MAX_TRANSACTION_BYTES = 60 * 1024
+# How long records are written one by one after a transaction was rejected, and pages one by one
+# after a transaction was beyond the rate of changes.
+ISOLATION_TIME = seconds(30)
+
+
+@dataclass(frozen=True)
+class WriteLimits:
+    """What the store accepts from one leader."""
+
+    # Puts and deletes a second.
+    changes: TokenBucket
+    # Puts and deletes in a transaction.
+    max_operations: int
+
+
+@dataclass(eq=False, slots=True)
+class PageWrite:
+    """A page that a transaction writes, with the records that go into it as JSON."""
+
+    page: RecordPage
+    number: int
+    texts: dict[str, str] = field(default_factory=dict)
+    size: int = 0
+
+
+@dataclass(eq=False, slots=True)
+class PageBatch:
+    """The pages of one transaction, and the writes that they carry."""
+
+    pages: list[PageWrite] = field(default_factory=list)
+    writes: list[PendingWrite] = field(default_factory=list)
+
+    @property
+    def page_sizes(self) -> str:
+        """The bytes of records in each page, for the log."""
+        return ", ".join(str(page.size) for page in self.pages)
+
+    def has_room(self, size: int, capacity: int) -> bool:
+        """Return whether `size` bytes more go into the last page."""
+        return bool(self.pages) and self.pages[-1].size + size <= capacity
+
+    def add(self, write: PendingWrite, text: str, size: int) -> None:
+        """Add a record to the last page."""
+        page = self.pages[-1]
+        page.texts[write.key] = text
+        page.size += size
+        self.writes.append(write)
+
+
+class BatchPacker:
+    """Chooses what goes into the next transaction, within the rate and the limits of the store."""
+
+    def __init__(self, queue: WriteQueue, pages: RecordPages, limits: WriteLimits, clock: Clock) -> None:
+        """Take writes from `queue` and pages that may be overwritten from `pages`."""
+        self._queue = queue
+        self._pages = pages
+        self._limits = limits
+        self._clock = clock
+        self._isolate_records_until = ZERO
+        self._isolate_pages_until = ZERO
+
+    @property
+    def isolates_records(self) -> bool:
+        """Whether each record goes into a transaction of its own now."""
+        return self._clock() < self._isolate_records_until
+
+    def isolate_records(self) -> None:
+        """Put one record into each transaction for a while, so that one that can't be stored is found."""
+        self._isolate_records_until = self._clock() + ISOLATION_TIME
+
+    def isolate_pages(self) -> None:
+        """Put one page into each transaction for a while, as more are beyond the rate of changes."""
+        self._isolate_pages_until = self._clock() + ISOLATION_TIME
+
+    def pack(self) -> PageBatch:
+        """Return the writes that wait, by priority, in as many pages as the rate and the limits allow."""
+        max_pages = self._max_pages()
+        isolates_records = self.isolates_records
+        capacity = self._pages.capacity
+        batch = PageBatch()
+        for write in self._queue.ready():
+            text = self._value_text(write)
+            if text is None:
+                continue
+            size = record_bytes(write.key, text)
+            if size > capacity:
+                # Never confirmed as durable: what depends on it stays undone, and all else goes on.
+                log.error("record %s takes %s bytes, more than a page can hold; it is not written", write.key, size)
+                self._queue.remove(write)
+                continue
+            if isolates_records and batch.pages:
+                break
+            if not batch.has_room(size, capacity):
+                if len(batch.pages) >= max_pages:
+                    break
+                batch.pages.append(PageWrite(self._pages.allocate(), self._pages.next_number()))
+            batch.add(write, text, size)
+            self._queue.start(write)
+        if batch.pages:
+            self._limits.changes.take(len(batch.pages), -self._limits.changes.burst)
+            if not isolates_records:
+                self._compact(batch.pages[-1])
+        return batch
+
+    def _max_pages(self) -> int:
+        affordable = max(1, int(self._limits.changes.level()))
+        fitting = max(1, MAX_TRANSACTION_BYTES // self._pages.capacity)
+        if self._clock() < self._isolate_pages_until:
+            return 1
+        return min(self._limits.max_operations, affordable, fitting)
+
+    def _value_text(self, write: PendingWrite) -> str | None:
+        """Return the record as JSON, None if it is deleted and was never written or is deleted already."""
+        value = write.make_value()
+        if value is None and write.key not in self._pages:
+            # Nothing to change, which is durable.
+            self._queue.remove(write)
+            write.notify_durable()
+            return None
+        return json_text(value)
+
+    def _compact(self, last: PageWrite) -> None:
+        """Move current records of nearly empty and of oversized pages into the last page, to free theirs."""
+        while True:
+            excluded, room = self._queue.keys(), self._pages.capacity - last.size
+            moved = self._pages.oversized_records(excluded, room)
+            if not moved and self._pages.is_fragmented:
+                moved = self._pages.smallest_page_records(excluded, room)
+            if not moved:
+                return
+            last.texts |= moved
+            last.size += sum(record_bytes(key, text) for key, text in moved.items())
+            self._queue.hold(moved)
--- /dev/null
+++ b/src/elmthread/store/pages.py
@@ -0,0 +1,235 @@
+"""Pages of packed records: many small records are written as the one change that their page costs.
+
+A page is a key `s/NNNN` whose value holds a sequence number and the text of many records. Each
+transaction fills pages that hold no current record, so the newest version of a record is the one
+in the page with the highest number. Pages are overwritten and never deleted: the modification
+revision of a page only grows, so a transaction that compares it is carried out at most once.
+
+A deleted record is kept as a null for as long as any page holds an older version of it: a reader
+must not find that version again.
+"""
+
+from collections.abc import Iterable
+from collections.abc import Set as AbstractSet
+from dataclasses import dataclass, field
+from itertools import count
+from typing import Any
+
+import msgspec
+
+from elmthread.common.errors import ElmthreadError
+
+PAGE_PREFIX = "s/"
+# Room in a page's value for the fields around the text, and for what its quoting adds.
+PAGE_OVERHEAD_BYTES = 64
+# A deleted record, as JSON.
+DELETED = "null"
+# Pages that may be in use beyond twice what the current records need, before pages are compacted.
+SPARE_PAGES = 24
+
+
+class PageRecord(msgspec.Struct):
+    """The value of a page: its place in the order of writing, and its records as a JSON object."""
+
+    number: int
+    text: str
+
+
+class UnreadableRecordError(ElmthreadError):
+    """A stored page or record can't be read; it is named, and never treated as empty."""
+
+
+def pack_records(records: dict[str, str]) -> str:
+    """Return the text of a page; `records` maps keys to values that are JSON already."""
+    return "{" + ",".join(f"{json_text(key)}:{text}" for key, text in records.items()) + "}"
+
+
+def page_capacity(value_kb: float) -> int:
+    """Return how many bytes the records of one page may take, where a value may take `value_kb` KiB."""
+    return int(value_kb * 1024) - PAGE_OVERHEAD_BYTES
+
+
+def json_text(value: Any) -> str:
+    """Return the value as JSON."""
+    return msgspec.json.encode(value).decode()
+
+
+def record_bytes(key: str, text: str) -> int:
+    r"""Return the bytes that a record takes at most in a page's value, where its quotes are escaped once more.
+
+    Characters beyond ASCII count as written out (`\u03b1`), as the store may count them.
+    """
+    whole = key + text
+    size = len(whole) if whole.isascii() else 3 * len(whole.encode("utf-16-le"))
+    return size + whole.count('"') + whole.count("\\") + 8
+
+
+@dataclass(slots=True, eq=False)
+class RecordPage:
+    """One page: its last known revision, and which of its records are current."""
+
+    key: str
+    mod_revision: int = 0
+    # All records in it, current or not.
+    keys: frozenset[str] = frozenset()
+    # The records of which no newer version is durable, and the bytes that they take.
+    current: set[str] = field(default_factory=set)
+    current_bytes: int = 0
+
+
+class RecordPages:
+    """Where the newest durable version of each record is stored, and which pages may be overwritten."""
+
+    def __init__(self, capacity: int) -> None:
+        """Know no page; `capacity` bytes of records go into one (`page_capacity`)."""
+        self.capacity = capacity
+        self.last_number = 0
+        self._pages: dict[str, RecordPage] = {}
+        self._free: list[RecordPage] = []
+        self._allocated: set[str] = set()
+        self._page_of: dict[str, RecordPage] = {}
+        self._texts: dict[str, str] = {}
+        # Bytes of all current records, and the pages written when values were allowed to be larger.
+        self._current_bytes = 0
+        self._oversized: set[str] = set()
+        # In how many pages a version of each record stands.
+        self._copies: dict[str, int] = {}
+
+    def load(self, items: Iterable[tuple[str, Any, int]]) -> dict[str, Any]:
+        """Read all pages, given as (key, value, revision), and return the newest version of each record.
+
+        Raises UnreadableRecordError, which names the page.
+        """
+        read = []
+        for key, value, mod_revision in items:
+            try:
+                page = msgspec.convert(value, PageRecord)
+                records: dict[str, msgspec.Raw] = msgspec.json.decode(page.text, type=dict[str, msgspec.Raw])
+            except msgspec.MsgspecError as error:
+                raise UnreadableRecordError(f"{key}: {error}") from error
+            read.append((page.number, key, mod_revision, {name: bytes(raw).decode() for name, raw in records.items()}))
+        read.sort(key=lambda one: one[0])
+        for number, key, mod_revision, texts in read:
+            self._record_content(self._pages.setdefault(key, RecordPage(key)), mod_revision, texts)
+            self.last_number = max(self.last_number, number)
+        return {name: msgspec.json.decode(text) for name, text in self._texts.items() if text != DELETED}
+
+    def __contains__(self, key: str) -> bool:
+        """Return whether the record exists: it was written, and not deleted since."""
+        return self._texts.get(key, DELETED) != DELETED
+
+    def allocate(self) -> RecordPage:
+        """Return a page that may be overwritten; `commit` or `release` must follow."""
+        page = self._free.pop() if self._free else self._create()
+        self._allocated.add(page.key)
+        return page
+
+    def _create(self) -> RecordPage:
+        """Return a page under the first key that none has.
+
+        There may be gaps: of two transactions under way, the one for the earlier page can be lost with
+        its leader. The number of pages would then name one that exists, and the comparison with its
+        revision would fail for every leader.
+        """
+        keys = (f"{PAGE_PREFIX}{number:04d}" for number in count())
+        key = next(key for key in keys if key not in self._pages)
+        page = self._pages[key] = RecordPage(key)
+        return page
+
+    def release(self, page: RecordPage) -> None:
+        """Free an allocated page that surely was not and will not be written."""
+        self._allocated.discard(page.key)
+        self._free.append(page)
+
+    def commit(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
+        """Note that an allocated page is durable with these records."""
+        self._allocated.discard(page.key)
+        self._record_content(page, mod_revision, texts)
+
+    def next_number(self) -> int:
+        """Return the sequence number for the next page that is written."""
+        self.last_number += 1
+        return self.last_number
+
+    def _record_content(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
+        previous, page.mod_revision, page.keys = page.keys, mod_revision, frozenset(texts)
+        for key, text in texts.items():
+            self._copies[key] = self._copies.get(key, 0) + 1
+            old_page = self._page_of.get(key)
+            if old_page is not None:
+                self._supersede(old_page, key)
+            self._page_of[key] = page
+            self._texts[key] = text
+            size = record_bytes(key, text)
+            page.current.add(key)
+            page.current_bytes += size
+            self._current_bytes += size
+        if page.current_bytes > self.capacity:
+            self._oversized.add(page.key)
+        for key in previous:
+            self._copies[key] -= 1
+        for key in (*previous, *texts):
+            self._purge_if_deleted(key)
+        if not page.current and page.key not in self._allocated and page not in self._free:
+            self._free.append(page)
+
+    def _supersede(self, page: RecordPage, key: str) -> None:
+        """Note that the page's version of the record is no longer current."""
+        size = record_bytes(key, self._texts[key])
+        page.current.discard(key)
+        page.current_bytes -= size
+        self._current_bytes -= size
+        if page.current_bytes <= self.capacity:
+            self._oversized.discard(page.key)
+        if not page.current and page.key not in self._allocated:
+            self._free.append(page)
+
+    def _purge_if_deleted(self, key: str) -> None:
+        """Forget a deleted record once no page holds an older version of it."""
+        page = self._page_of.get(key)
+        if page is None or self._texts[key] != DELETED or self._copies[key] > 1:
+            return
+        self._supersede(page, key)
+        del self._page_of[key], self._texts[key]
+        # The null that stays in the page means the same as no record.
+        page.keys -= {key}
+        del self._copies[key]
+
+    @property
+    def is_fragmented(self) -> bool:
+        """Whether many more pages are in use than the current records need."""
+        used = len(self._pages) - len(self._free)
+        return used > SPARE_PAGES + 2 * self._current_bytes // self.capacity
+
+    def oversized_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
+        """Return as many current records of a page larger than `capacity` as fit into `room` bytes.
+
+        What larger values were allowed to hold is moved a few records at a time, as the whole would
+        never fit. A record that is itself too large stays, readable, until a newer version of it is
+        written.
+        """
+        moved: dict[str, str] = {}
+        for name in self._oversized:
+            page = self._pages[name]
+            for key in sorted(page.current - excluded):
+                size = record_bytes(key, self._texts[key])
+                if size <= room:
+                    moved[key] = self._texts[key]
+                    room -= size
+            if moved:
+                break
+        return moved
+
+    def smallest_page_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
+        """Return the current records of the page with the fewest bytes of them, if they fit into `room` bytes."""
+        smallest: RecordPage | None = None
+        for page in self._pages.values():
+            if (
+                page.current
+                and page.key not in self._allocated
+                and page.current_bytes <= room
+                and (smallest is None or page.current_bytes < smallest.current_bytes)
+                and not page.current & excluded
+            ):
+                smallest = page
+        return {} if smallest is None else {key: self._texts[key] for key in smallest.current}
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -12,8 +12,8 @@
 
 from elmthread.cluster.job import Job, JobState
 from elmthread.store.job_spec import JobSpec
-from elmthread.store.log import text_of, weight
 from elmthread.store.machine_type import MachineType
+from elmthread.store.pages import json_text, record_bytes
 
 LEADER = "leader"
 TYPES = "t/types"
@@ -37,7 +37,7 @@
 
 def types_records(types: list[MachineType], most: int) -> dict[str, list[MachineType]]:
     """The machine types as one record, or, where that is more than `most` bytes, as one for each."""
-    if weight(TYPES, text_of(types)) <= most:
+    if record_bytes(TYPES, json_text(types)) <= most:
         return {TYPES: types}
     return {f"{TYPE_PARTS}{number:04d}": [kind] for number, kind in enumerate(types)}
 
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import ZERO
 from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
-from elmthread.store.log import text_of
+from elmthread.store.pages import json_text
 
 BEFORE = SupportedLevels(1, 1)
 
@@ -65,7 +65,7 @@
     machine = machine_with(list(assigned.values()))
     old, new = machine_record(machine, level(1)), machine_record(machine, level(2))
     assert isinstance(old, MachineRecord)
-    assert len(text_of(new)) <= len(text_of(old))
+    assert len(json_text(new)) <= len(json_text(old))
     for record, supported in ((old, BEFORE), (old, SUPPORTED), (new, SUPPORTED)):
         read = read_machine(msgspec.to_builtins(record), supported)
         assert plain(read) == set(assigned.values())
--- a/src/elmthread/store/tests/test_bitmaps.py
+++ b/src/elmthread/store/tests/test_bitmaps.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from elmthread.store.bitmaps import Bitmap, compress, expand
-from elmthread.store.done_marks import MOST_MARKS, bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, bitmap_chunk_tasks, chunk_tasks
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
-@given(st.integers(1, MOST_MARKS), st.sampled_from([0.0, 0.02, 0.5, 0.98, 1.0]), st.integers(0, 10_000))
+@given(st.integers(1, MAX_TASKS_PER_CHUNK), st.sampled_from([0.0, 0.02, 0.5, 0.98, 1.0]), st.integers(0, 10_000))
 def test_what_is_compressed_is_found_again(count: int, part: float, seed: int) -> None:
     rng = random.Random(seed)
     done = {task for task in range(count) if rng.random() < part}
@@ -20,7 +20,7 @@
     for task in done:
         marks[task >> 3] |= 1 << (task & 7)
     bitmap = compress(bytes(marks), count)
-    assert set(expand(bitmap, MOST_MARKS)) == done
+    assert set(expand(bitmap, MAX_TASKS_PER_CHUNK)) == done
     # Never much larger than the bits themselves; empty and full ones are small.
     assert len(bitmap.text) <= (count + 7) // 8 * 4 / 3 + 20
     if len(done) in (0, count):
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("value_kb", [0.7, 1.0, 2.0, 8.0, 16.0])
 def test_a_record_of_marks_takes_a_small_part_of_a_value(value_kb: float) -> None:
     tasks = bitmap_chunk_tasks(value_kb)
-    assert tasks % 8 == 0 and 8 <= tasks <= MOST_MARKS
+    assert tasks % 8 == 0 and 8 <= tasks <= MAX_TASKS_PER_CHUNK
     largest = compress(bytes([0b01010101] * (tasks // 8)), tasks)
     assert len(largest.text) <= max(24.0, value_kb * 1024 / 8)
     # In the form of the first level: a hexadecimal digit for four tasks.
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -6,6 +6,7 @@
 from functools import partial
 from typing import Any
 
+import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -13,10 +14,21 @@
 from elmthread.store import messages
 from elmthread.store.client import KeyValueStore
 from elmthread.store.done_marks import chunk_tasks
-from elmthread.store.log import FRAME, SLOTS, RecordPages, UnreadableRecordError, pack, slot_bytes, text_of, weight
 from elmthread.store.pacing import TokenBucket
+from elmthread.store.page_batch import WriteLimits
+from elmthread.store.pages import (
+    PAGE_OVERHEAD_BYTES,
+    PAGE_PREFIX,
+    RecordPages,
+    UnreadableRecordError,
+    json_text,
+    pack_records,
+    page_capacity,
+    record_bytes,
+)
 from elmthread.store.records import LEADER
-from elmthread.store.writer import RecordWriter, WriteLimits, WritePriority
+from elmthread.store.write_queue import WritePriority
+from elmthread.store.writer import RecordWriter
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
@@ -25,28 +37,33 @@
 VALUE = 2 * 1024
 
 
+def wire(put: messages.Put) -> Any:
+    """A transaction without conditions, as it is on the wire."""
+    return msgspec.to_builtins(messages.Transaction([], [put]))
+
+
 class Bench:
     def __init__(self, rate: float = 30.0) -> None:
         self.loop = SimLoop()
         asyncio.set_event_loop(self.loop)
         self.store = StateStore(self.loop, random.Random(1), 8, VALUE)
-        self.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "a"})]})
+        self.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "a"})))
         self.trouble = Trouble()
         client = KeyValueStore(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
         self.term = SureTerm(self.store.items[LEADER][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
-        self.writer = RecordWriter(client, RecordPages(slot_bytes(2)), self.term, limits, self.loop.clock)
+        self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
-    def slots(self) -> list[tuple[str, Any, int]]:
+    def pages(self) -> list[tuple[str, Any, int]]:
         return [
             (key, value, mod_revision)
             for key, (value, mod_revision, _) in self.store.items.items()
-            if key.startswith(SLOTS)
+            if key.startswith(PAGE_PREFIX)
         ]
 
     def read(self) -> dict[str, Any]:
         """What a new leader would find."""
-        return RecordPages(slot_bytes(2)).load(self.slots())
+        return RecordPages(page_capacity(2)).load(self.pages())
 
 
 def test_many_changes_go_in_few_transactions_within_the_rate() -> None:
@@ -57,7 +74,7 @@
         for number in range(1200):
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
-        assert len(bench.slots()) <= 20  # a burst of one second's worth, and a second's
+        assert len(bench.pages()) <= 20  # a burst of one second's worth, and a second's
         await asyncio.sleep(6)
         assert len(bench.read()) == 1200
         assert bench.store.revision < 60
@@ -78,7 +95,7 @@
         asked = bench.loop.now
         await bench.writer.write_and_wait("j/1", WritePriority.USER, lambda: {"n": 1}, lambda: None)
         assert bench.loop.now - asked < 0.3
-        assert bench.writer._waiting
+        assert bench.writer.queue.pending
         task.cancel()
 
     play(main(), bench.loop)
@@ -142,7 +159,7 @@
 
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
-        bench.store.apply("POST", "/txn", {"guards": [], "then": [messages.put(LEADER, {"node": "b"})]})
+        bench.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "b"})))
         bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.term.step_down_reasons and bench.read() == {}
@@ -153,7 +170,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 400)), max_size=300), st.floats(0.0, 0.3))
-def test_slots_hold_what_a_plain_map_holds(changes: list[tuple[int, int]], lost: float) -> None:
+def test_pages_hold_what_a_plain_map_holds(changes: list[tuple[int, int]], lost: float) -> None:
     """Records written, rewritten and deleted; read back as a new leader would, they are a map's."""
     bench = Bench()
     plain: dict[str, Any] = {}
@@ -174,9 +191,9 @@
         bench.trouble.lost = 0.0
         await asyncio.sleep(30)
         assert bench.read() == plain
-        # A new leader's slots go on from there.
+        # A new leader's pages go on from there.
         again = RecordPages(VALUE)
-        again.load(bench.slots())
+        again.load(bench.pages())
         assert all((name in again) == (name in plain) for name in (f"k/{key}" for key in range(41)))
         task.cancel()
 
@@ -184,7 +201,7 @@
     assert bench.store.bad_requests == []
 
 
-def test_slots_stay_few_however_long_it_writes() -> None:
+def test_pages_stay_few_however_long_it_writes() -> None:
     bench = Bench(rate=100.0)
 
     async def main() -> None:
@@ -195,13 +212,13 @@
             bench.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
             await asyncio.sleep(0.05)
         assert len(bench.read()) == 110
-        assert len(bench.slots()) < 40
+        assert len(bench.pages()) < 40
         task.cancel()
 
     play(main(), bench.loop)
 
 
-def test_a_slot_that_cannot_be_read_is_named() -> None:
+def test_a_page_that_cannot_be_read_is_named() -> None:
     for value in ({"number": 1, "text": "{"}, {"text": "{}"}, "{}", {"number": 1, "text": "[]"}):
         with pytest.raises(UnreadableRecordError, match="s/0003"):
             RecordPages(VALUE).load([("s/0003", value, 5)])
@@ -224,11 +241,11 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 @given(st.dictionaries(st.text(max_size=8), st.text(max_size=40), max_size=6))
-def test_weight_is_never_less_than_what_a_record_takes(records: dict[str, str]) -> None:
+def test_record_bytes_are_never_less_than_what_a_record_takes(records: dict[str, str]) -> None:
     """Names in any letters: a value that is too large would be refused for ever."""
-    texts = {key: text_of(value) for key, value in records.items()}
-    taken = len(json.dumps(pack(texts)))
-    assert sum(weight(key, text) for key, text in texts.items()) + FRAME >= taken
+    texts = {key: json_text(value) for key, value in records.items()}
+    taken = len(json.dumps(pack_records(texts)))
+    assert sum(record_bytes(key, text) for key, text in texts.items()) + PAGE_OVERHEAD_BYTES >= taken
 
 
 def test_records_fit_the_value_limit() -> None:
@@ -276,35 +293,35 @@
     play(main(), bench.loop)
 
 
-def test_large_slots_are_emptied_record_by_record() -> None:
-    """What larger values held is carried into slots of the new size, whatever its size."""
-    large = RecordPages(slot_bytes(16))
-    texts = {f"j/{number}": text_of("x" * 300) for number in range(40)}
-    texts["j/long"] = text_of("y" * 3000)
-    slot = large.take()
-    large.written(slot, 5, texts)
-    small = RecordPages(slot_bytes(2))
-    small.load([(slot.key, {"number": 7, "text": pack(texts)}, 5)])
+def test_large_pages_are_emptied_record_by_record() -> None:
+    """What larger values held is moved to pages of the new size, whatever its size."""
+    large = RecordPages(page_capacity(16))
+    texts = {f"j/{number}": json_text("x" * 300) for number in range(40)}
+    texts["j/long"] = json_text("y" * 3000)
+    page = large.allocate()
+    large.commit(page, 5, texts)
+    small = RecordPages(page_capacity(2))
+    small.load([(page.key, {"number": 7, "text": pack_records(texts)}, 5)])
     moved: dict[str, str] = {}
     for mod_revision in range(6, 40):
-        some = small.too_large(set(), small.most)
+        some = small.oversized_records(set(), small.capacity)
         if not some:
             break
-        assert sum(weight(key, text) for key, text in some.items()) <= small.most
-        small.written(small.take(), mod_revision, some)
+        assert sum(record_bytes(key, text) for key, text in some.items()) <= small.capacity
+        small.commit(small.allocate(), mod_revision, some)
         moved |= some
     # All but what is itself too large, which stays readable where it is.
     assert set(texts) - set(moved) <= {"j/long"} | {key for key in texts if key not in moved}
     assert "j/long" not in moved and "j/long" in small
     assert len(moved) >= 34
-    # Once a newer, smaller version of it is written, nothing keeps the large slot.
-    small.written(small.take(), 50, {"j/long": text_of("z")})
-    assert not small._large
+    # Once a newer, smaller version of it is written, nothing keeps the large page.
+    small.commit(small.allocate(), 50, {"j/long": json_text("z")})
+    assert not small._oversized
 
 
-def test_a_slot_lost_with_its_leader_is_filled_and_none_is_taken_for_new() -> None:
-    """Seen where writes came late: of two transactions under way, only the one with the later slot
-    was carried out. Each new leader counted the slots, took the last for one that did not exist,
+def test_a_page_lost_with_its_leader_is_written_and_none_is_taken_for_new() -> None:
+    """Seen where writes came late: of two transactions under way, only the one with the later page
+    was carried out. Each new leader counted the pages, took the last for one that did not exist,
     and lost leadership by its guard, for ever.
     """
     bench = Bench()
@@ -312,9 +329,11 @@
 
     async def main() -> None:
         for number in (0, 1, 3):
-            put = messages.put(f"{SLOTS}{number:04d}", {"number": number + 1, "text": f'{{"k/{number}":{number}}}'})
-            bench.store.apply("POST", "/txn", {"guards": [], "then": [put]})
-        assert writer.pages.load(bench.slots()) == {"k/0": 0, "k/1": 1, "k/3": 3}
+            put = messages.put(
+                f"{PAGE_PREFIX}{number:04d}", {"number": number + 1, "text": f'{{"k/{number}":{number}}}'}
+            )
+            bench.store.apply("POST", "/txn", wire(put))
+        assert writer.pages.load(bench.pages()) == {"k/0": 0, "k/1": 1, "k/3": 3}
         task = bench.loop.create_task(writer.run())
         for number in range(10, 14):
             bench.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
@@ -324,7 +343,7 @@
         assert {key: found[key] for key in ("k/0", "k/1", "k/3")} == {"k/0": 0, "k/1": 1, "k/3": 3}
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
         # The gap is closed, so the version in production, which counts, finds none either.
-        assert f"{SLOTS}0002" in bench.store.items
+        assert f"{PAGE_PREFIX}0002" in bench.store.items
         task.cancel()
 
     play(main(), bench.loop)
--- /dev/null
+++ b/src/elmthread/store/write_queue.py
@@ -0,0 +1,129 @@
+"""Records that wait to be written, by key, and the records that are on their way to the store."""
+
+import asyncio
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, field
+from datetime import timedelta
+from enum import IntEnum
+from typing import Any
+
+from elmthread.common.clock import ZERO, Clock, seconds
+
+
+class WritePriority(IntEnum):
+    """What is written first, and (see MAX_GATHERING_TIME) how long it may wait for more."""
+
+    USER = 0
+    ASSIGNMENT = 1
+    COMPLETION = 2
+    MAINTENANCE = 3
+
+
+# A record that has waited for this long starts a transaction; whatever else waits goes into it.
+MAX_GATHERING_TIME = {
+    WritePriority.USER: ZERO,
+    WritePriority.ASSIGNMENT: seconds(0.1),
+    WritePriority.COMPLETION: seconds(0.4),
+    WritePriority.MAINTENANCE: seconds(5),
+}
+
+# Makes a record's value at the moment of writing; None deletes the record.
+MakeValue = Callable[[], Any]
+
+
+@dataclass(eq=False, slots=True)
+class PendingWrite:
+    """A record that waits to be written."""
+
+    key: str
+    priority: WritePriority
+    make_value: MakeValue
+    waiting_since: timedelta
+    # Called once the value, or a newer one, is durable.
+    on_durable: list[Callable[[], None]] = field(default_factory=list)
+
+    def notify_durable(self) -> None:
+        """Call what waits for the record to be durable."""
+        for call in self.on_durable:
+            call()
+
+
+class WriteQueue:
+    """At most one waiting write for each key; a key in flight is not written again until it is finished."""
+
+    def __init__(self, clock: Clock) -> None:
+        """Start empty; `clock` says since when a write waits."""
+        self._clock = clock
+        self.pending: dict[str, PendingWrite] = {}
+        self._in_flight: set[str] = set()
+        # Set when a write was added or keys in flight were finished; the writer clears it.
+        self.changed = asyncio.Event()
+
+    def __contains__(self, key: str) -> bool:
+        """Return whether the record waits or is in flight."""
+        return key in self.pending or key in self._in_flight
+
+    def add(
+        self, key: str, priority: WritePriority, make_value: MakeValue, on_durable: Callable[[], None] | None
+    ) -> None:
+        """Let the record be written; a write of it that waits already takes the newer value and the higher priority."""
+        write = self.pending.get(key)
+        if write is None:
+            write = self.pending[key] = PendingWrite(key, priority, make_value, self._clock())
+        else:
+            write.priority = min(priority, write.priority)
+            write.make_value = make_value
+        if on_durable is not None:
+            write.on_durable.append(on_durable)
+        self.changed.set()
+
+    def requeue(self, writes: Iterable[PendingWrite]) -> None:
+        """Let writes wait again that surely were not and will not be carried out."""
+        for write in writes:
+            newer = self.pending.get(write.key)
+            if newer is None:
+                self.pending[write.key] = write
+                continue
+            newer.on_durable += write.on_durable
+            newer.priority = min(newer.priority, write.priority)
+            newer.waiting_since = write.waiting_since
+
+    def ready(self) -> list[PendingWrite]:
+        """Return the writes whose keys are not in flight, by priority and then by waiting time."""
+        return sorted(
+            (write for write in self.pending.values() if write.key not in self._in_flight),
+            key=lambda write: (write.priority, write.waiting_since),
+        )
+
+    def next_due(self) -> timedelta | None:
+        """Return when the first write has gathered for long enough, None if all that waits is in flight."""
+        return min(
+            (
+                write.waiting_since + MAX_GATHERING_TIME[write.priority]
+                for write in self.pending.values()
+                if write.key not in self._in_flight
+            ),
+            default=None,
+        )
+
+    def remove(self, write: PendingWrite) -> None:
+        """Drop a waiting write that needs no transaction, or can't have one."""
+        del self.pending[write.key]
+
+    def start(self, write: PendingWrite) -> None:
+        """Note that a waiting write is now in flight."""
+        del self.pending[write.key]
+        self._in_flight.add(write.key)
+
+    def hold(self, keys: Iterable[str]) -> None:
+        """Keep these keys from being written, as a transaction moves their records."""
+        self._in_flight.update(keys)
+
+    def finish(self, *keys: Iterable[str]) -> None:
+        """Let keys in flight be written again."""
+        self._in_flight.difference_update(*keys)
+        self.changed.set()
+
+    def keys(self) -> set[str]:
+        """Return all keys that wait or are in flight."""
+        return self._in_flight | self.pending.keys()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.store.log import SLOTS, RecordPages, slot_bytes
+from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.test_world import HISTORIES, TROUBLES, befall, day, restore
 from tests.world.world import NEXT, NODES, ZONES, World, daemon, job, start
 
@@ -47,13 +47,13 @@
     return [
         len(json.dumps(value, separators=(",", ":")))
         for key, (value, _, _) in world.store.items.items()
-        if key.startswith(SLOTS)
+        if key.startswith(PAGE_PREFIX)
     ]
 
 
 def records(world: World) -> dict[str, Any]:
-    slots = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)]
-    return RecordPages(slot_bytes(8)).load(slots)
+    pages = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)]
+    return RecordPages(page_capacity(8)).load(pages)
 
 
 @settings(HISTORIES, max_examples=25)
@@ -180,14 +180,16 @@
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
         fall(world)
-        # Whatever is written takes some of the large slots along.
+        # Whatever is written takes some of the large pages along.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
-        # Large slots may still stand there until they are written over, but nothing in them is current.
-        slots = RecordPages(slot_bytes(NEXT["value_kb"]))
-        slots.load((k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS))
-        assert not slots._large
+        # Large pages may still stand there until they are overwritten, but nothing in them is current.
+        pages = RecordPages(page_capacity(NEXT["value_kb"]))
+        pages.load(
+            (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)
+        )
+        assert not pages._oversized
         after = records(world)
         assert {key: after[key] for key in before} == before
 
@@ -286,7 +288,7 @@
         leader = world.leader
         assert leader is not None and leader.leader is not None
         # What waits to be written has not waited for long.
-        backlog = [change.since.total_seconds() for change in leader.leader.writer._waiting.values()]
+        backlog = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
         now = leader._clock().total_seconds()
         assert not backlog or now - min(backlog) < 8
         assert len(sizes(world)) < 250
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -20,7 +20,7 @@
 from elmthread.reachability.messages import read_view
 from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
 from elmthread.store.assignments import read_machine
-from elmthread.store.done_marks import MOST_MARKS, done_tasks, read_done
+from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, done_tasks, read_done
 from tests.test_world import day
 from tests.world.earlier import newest
 from tests.world.rollouts import begin_before, replace, until_level
@@ -79,7 +79,7 @@
     if form.startswith("message "):
         peers.decode(msgspec.json.encode(value))
     elif form == "done":
-        list(done_tasks(read_done(value, SUPPORTED), MOST_MARKS))
+        list(done_tasks(read_done(value, SUPPORTED), MAX_TASKS_PER_CHUNK))
     elif form == "machine":
         read_machine(value, SUPPORTED)
     elif form == "fence":
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -7,6 +7,7 @@
 from typing import Any
 from unittest import mock
 
+import msgspec
 import pytest
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
@@ -572,7 +573,7 @@
     def __init__(self, left_out: str) -> None:
         self._left_out, self.put = left_out, store.put
 
-    def compare(self, key: str, mod_revision: int) -> dict[str, Any]:
+    def compare(self, key: str, mod_revision: int) -> store.Comparison:
         """The comparison, of a key that never exists where it is left out."""
         return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
 
@@ -586,6 +587,12 @@
     await asyncio.sleep(4 * SOAK_S)
 
 
+def transaction(comparisons: list[store.Comparison], put: store.Put) -> dict[str, Any]:
+    """The transaction as it is on the wire."""
+    body: dict[str, Any] = msgspec.to_builtins(store.Transaction(comparisons, [put]))
+    return body
+
+
 def announce_before(world: World, node: str) -> dict[str, Any]:
     """The transaction by which a process of the version before announces itself."""
     key = f"rollout/nodes/{node}"
@@ -593,7 +600,7 @@
     comparisons = [store.compare(key, world.store.items[key][1])]
     if "rollout/level" in world.store.items:
         comparisons.append(store.compare("rollout/level", world.store.items["rollout/level"][1]))
-    return {"guards": comparisons, "then": [store.put(key, record)]}
+    return transaction(comparisons, store.put(key, record))
 
 
 def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
@@ -629,7 +636,7 @@
     def raised() -> None:
         fencing_token = world.store.items["leader"][1]
         put = store.put("rollout/level", {"level": 2, "token": fencing_token})
-        assert world.store._transact({"guards": [], "then": [put]}).status == 200
+        assert world.store._transact(transaction([], put)).status == 200
 
     before_putting(world, f"rollout/nodes/{NODES[2]}", raised)
     replace(world, NODES[2], BEFORE, 0.2)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from elmthread.store.log import SLOTS, RecordPages
+from elmthread.store.pages import PAGE_PREFIX, RecordPages
 from tests.test_world import day
 from tests.world.faults import errors_logged
 from tests.world.loop import play
@@ -31,8 +31,10 @@
         world.leader.election.step_down("told to")
         await asyncio.sleep(8)
         assert await world.poll("run-000002") == "done"
-        slots = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)]
-        assert RecordPages(8 * 1024).load(slots)["j/run-000002"] == {"state": "done", "tasks": 4}
+        pages = [
+            (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)
+        ]
+        assert RecordPages(8 * 1024).load(pages)["j/run-000002"] == {"state": "done", "tasks": 4}
 
     def before(world: World) -> None:
         spec = job(1, true_s=4.0)
@@ -103,6 +105,6 @@
             world.rules.submitted(job(0) | {"name_id": job_id, "pieces": 0})
         for place in range(0, count, 100):
             text = ",".join(f'"j/{job_id}":{{"state":"done","tasks":4}}' for job_id in ids[place : place + 100])
-            put(world, f"{SLOTS}{place // 100:04d}", {"number": place + 1, "text": "{" + text + "}"})
+            put(world, f"{PAGE_PREFIX}{place // 100:04d}", {"number": place + 1, "text": "{" + text + "}"})
 
     day(script, before=before)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
-from elmthread.store.log import SLOTS, RecordPages, slot_bytes
+from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.test_rollout import begin_old, fall, upgrade
 from tests.test_world import befall, day, restore
 from tests.world import earlier
@@ -132,8 +132,10 @@
                 over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
                 assert (machine, task) in view.holds or over, (machine, task)
             if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
-                known = RecordPages(slot_bytes(8)).load(
-                    (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)
+                known = RecordPages(page_capacity(8)).load(
+                    (k, v, mod_revision)
+                    for k, (v, mod_revision, _) in world.store.items.items()
+                    if k.startswith(PAGE_PREFIX)
                 )
                 assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
 
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -20,8 +20,8 @@
 from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
-from elmthread.store.log import PageRecord
 from elmthread.store.machine_type import MachineType
+from elmthread.store.pages import PageRecord
 from elmthread.store.records import JobRecord, RentalRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
