--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -7,15 +7,16 @@
 from elmthread.cluster.job import Job
 from elmthread.common.clock import ZERO
 from elmthread.common.features import ActiveFeatures, Feature
+from elmthread.persistence.records import job_record
 from elmthread.placement.decide import TaskRequest
 from elmthread.placement.service import may_ever_run
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts
-from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.done_marks import bits_per_chunk, marks_per_chunk
 from elmthread.store.job_spec import SERVICE, JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import json_text, page_capacity, record_bytes
-from elmthread.store.records import job_key, job_record
+from elmthread.store.records import job_key
 
 
 class JobFactory:
@@ -24,8 +25,8 @@
         self._operators = operators
         self._teams = {team.name: team for team in facts.teams}
         value_kb = facts.state.kept().value_kb
-        self._chunk = chunk_tasks(value_kb)
-        self._bitmap_chunk = bitmap_chunk_tasks(value_kb)
+        self._chunk = marks_per_chunk(value_kb)
+        self._bitmap_chunk = bits_per_chunk(value_kb)
         self._most_record = page_capacity(value_kb)
         # What is wanted of each class: the soonest bound, and how much later the last one is.
         self._within: dict[str, list[float]] = {}
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -28,6 +28,7 @@
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
+from elmthread.persistence.records import empty_machine_record_bytes
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
@@ -36,7 +37,6 @@
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
-from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.page_batch import WriteLimits
@@ -109,7 +109,7 @@
             term=self.term,
             store=node.state,
             writer=RecordWriter(node.state, pages, self.term, write_limits, node.clock),
-            cluster=ClusterState(pages.capacity, machine_frame),
+            cluster=ClusterState(pages.capacity, empty_machine_record_bytes),
             events=ClusterEvents(),
             features=node.rollout.features,
             clock=node.clock,
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -23,9 +23,9 @@
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
 from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.records import (
-    RentalRecord,
+    InstanceRequestRecord,
+    instance_request_key,
     machine_key,
-    rental_key,
     types_records,
 )
 from elmthread.store.write_queue import WritePriority
@@ -246,10 +246,13 @@
             return
         order = InstanceRequest(self._next_request_name(), kind, count, pool, self._clock())
         self.instance_requests[order.name] = order
-        record = RentalRecord(kind.machine_type, kind.zone, kind.spot, pool)
+        record = InstanceRequestRecord(kind.machine_type, kind.zone, kind.spot, pool)
         log.info("renting %s %s", count, kind)
         self._writer.write(
-            rental_key(order.name), WritePriority.ASSIGNMENT, lambda: record, lambda: self._ready.append(order)
+            instance_request_key(order.name),
+            WritePriority.ASSIGNMENT,
+            lambda: record,
+            lambda: self._ready.append(order),
         )
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
@@ -307,7 +310,7 @@
 
     def _over(self, order: InstanceRequest) -> None:
         self.instance_requests.pop(order.name, None)
-        self._writer.delete(rental_key(order.name))
+        self._writer.delete(instance_request_key(order.name))
         self._events.notify_changed()
 
     # Ends
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -6,7 +6,7 @@
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.machine import Machine
 from elmthread.leadership.context import TermContext
-from elmthread.store.assignments import machine_record
+from elmthread.persistence.records import machine_record
 from elmthread.store.records import machine_key
 from elmthread.store.write_queue import WritePriority
 
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -5,8 +5,8 @@
 
 from elmthread.cluster.job import Job, JobState
 from elmthread.leadership.context import TermContext
-from elmthread.store.done_marks import done_record
-from elmthread.store.records import done_key, job_key, job_record
+from elmthread.persistence.records import done_record, job_record
+from elmthread.store.records import done_key, job_key
 from elmthread.store.write_queue import WritePriority
 
 
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -16,12 +16,13 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
+from elmthread.persistence.records import mark_done
 from elmthread.rollout import messages as rollout_messages
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
 from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_prefix
-from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, mark_done, read_done
+from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, read_done
 from elmthread.store.job_spec import BATCH, JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PAGE_PREFIX, UnreadableRecordError
@@ -137,7 +138,7 @@
             spec = _finished_spec(key.removeprefix("j/"), record.tasks)
             job = Job(spec, datetime.now(UTC), self._clock(), seconds(0), 1.0, False, MAX_TASKS_PER_CHUNK)
         else:
-            submitted = records.submitted_at(record)
+            submitted = record.submission_time
             age = max(timedelta(), datetime.now(UTC) - submitted)
             job = self._factory.new(record.spec, self._clock() - age, submitted)
             job.tasks_per_chunk = record.chunk
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/persistence/tests/test_records.py
@@ -10,7 +10,8 @@
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import ZERO
 from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
-from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, machine_record, read_machine
+from elmthread.persistence.records import machine_record
+from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, read_machine
 from elmthread.store.pages import json_text
 
 BEFORE = SupportedLevels(1, 1)
--- a/src/elmthread/store/assignments.py
+++ b/src/elmthread/store/assignments.py
@@ -2,7 +2,7 @@
 
 They are most of what a leader writes. The first form lists each task with its attempt. The second one
 (`Feature.ASSIGNMENT_RUNS`) lists runs: tasks that are placed together mostly have consecutive numbers and
-consecutive attempts. It has no field `machine_type`, so a version that does not read it refuses it.
+consecutive attempts. It lacks a field of the first form (`build`), so a version that does not read it refuses it.
 """
 
 from collections.abc import Iterator
@@ -10,11 +10,8 @@
 
 import msgspec
 
-from elmthread.cluster.machine import Machine
-from elmthread.common.features import ActiveFeatures, Feature, SupportedLevels
+from elmthread.common.features import Feature, SupportedLevels
 from elmthread.store.job_spec import MAX_TASKS_PER_JOB
-from elmthread.store.pages import json_text, record_bytes
-from elmthread.store.records import machine_key
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True, rename={"machine_type": "build"}):
@@ -41,18 +38,8 @@
     runs: dict[str, list[int]] = {}
 
 
-def machine_record(machine: Machine, features: ActiveFeatures) -> MachineRecord | AssignmentRunsRecord:
-    """The assignments in the smaller of the forms that every controller reads."""
-    pairs = _pairs_record(machine)
-    if not features.is_active(Feature.ASSIGNMENT_RUNS) or not pairs.holds:
-        return pairs
-    runs = _runs_record(pairs)
-    # What a machine may be given is reckoned by the first form: no record may be larger than that.
-    return runs if len(json_text(runs)) < len(json_text(pairs)) else pairs
-
-
 def read_machine(value: Any, supported: SupportedLevels) -> MachineRecord:
-    """The record in the first form. Raises ValueError for what this process does not read."""
+    """Return a stored machine in the first form. Raises ValueError for what this process does not read."""
     if not (isinstance(value, dict) and "runs" in value and supported.reads(Feature.ASSIGNMENT_RUNS)):
         return msgspec.convert(value, MachineRecord)
     record = msgspec.convert(value, AssignmentRunsRecord)
@@ -60,27 +47,15 @@
     return MachineRecord(record.machine_type, record.zone, record.spot, record.pool, holds)
 
 
-def machine_frame(machine: Machine) -> int:
-    """Bytes of a slot that a machine's record takes at most before anything is assigned to it."""
-    record = MachineRecord(machine.machine_type, machine.zone, True, True, {"": []})
-    return record_bytes(machine_key(machine.name), json_text(record))
-
-
-def _pairs_record(machine: Machine) -> MachineRecord:
-    holds: dict[str, list[int]] = {}
-    for allocation in machine.allocations.values():
-        holds.setdefault(allocation.job.id, []).extend((allocation.task, allocation.attempt))
-    return MachineRecord(machine.machine_type, machine.zone, machine.spot, machine.in_deferrable_pool, holds)
-
-
-def _runs_record(pairs: MachineRecord) -> AssignmentRunsRecord:
-    base = min(min(numbers[1::2]) for numbers in pairs.holds.values())
-    runs = {job_id: _runs(numbers, base) for job_id, numbers in pairs.holds.items()}
-    return AssignmentRunsRecord(pairs.machine_type, pairs.zone, pairs.spot, pairs.pool, base, runs)
+def as_runs(record: MachineRecord) -> AssignmentRunsRecord:
+    """Return the machine in the second form; it must hold at least one task."""
+    base = min(min(numbers[1::2]) for numbers in record.holds.values())
+    runs = {job_id: _runs(numbers, base) for job_id, numbers in record.holds.items()}
+    return AssignmentRunsRecord(record.machine_type, record.zone, record.spot, record.pool, base, runs)
 
 
 def _runs(numbers: list[int], base: int) -> list[int]:
-    """Tasks and attempts that both go up by one, as runs."""
+    """Return runs of tasks whose numbers and attempts both go up by one."""
     found: list[int] = []
     next_task = next_attempt = -1
     for task, attempt in sorted(zip(numbers[::2], numbers[1::2], strict=True)):
@@ -93,6 +68,7 @@
 
 
 def _expanded(numbers: list[int], base: int) -> Iterator[int]:
+    """Yield task, attempt, task, attempt, ... of all runs."""
     for task, attempt, count in zip(numbers[::3], numbers[1::3], numbers[2::3], strict=True):
         if min(task, attempt) < 0 or not 1 <= count <= MAX_TASKS_PER_JOB:
             raise ValueError(f"not a run of tasks: {task}, {attempt}, {count}")
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -1,81 +1,96 @@
-"""What the store holds: the keys and the form of each record.
+"""The keys of the store, and the records that stand under them.
 
-`j/ID` a job, `d/ID/CHUNK` its done tasks, `m/NAME` a machine's assignments, `r/NAME` a
-rental request, `t/types` the machine types. They stand packed in slots (`log.py`), all but
-the leader key. An earlier form of the store had one key for each record; `layout` says that
-none is to be looked for any more.
+`j/ID` is a job, `d/ID/CHUNK` its done tasks, `m/NAME` a machine's assignments, `r/NAME` an instance
+request, `t/types` the machine types. All of them are packed into pages (`pages.py`); the leader key is
+not. An earlier layout had one key for each record; the record `layout` says that none of these is left.
 """
 
 from datetime import UTC, datetime
 
 import msgspec
 
-from elmthread.cluster.job import Job, JobState
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import json_text, record_bytes
 
 LEADER = "leader"
-TYPES = "t/types"
 LAYOUT = "layout"
-# Parts of the machine types, where all of them are more than a value may hold. An earlier version
-# passes over them, and asks the cloud, as it does at its first start.
+LAYOUT_OF_PAGES = 2
+JOBS = "j/"
+DONE_TASKS = "d/"
+MACHINES = "m/"
+INSTANCE_REQUESTS = "r/"
+MACHINE_TYPES = "t/"
+TYPES = "t/types"
+# Parts of the machine types, where all of them together are more than a value may hold. An earlier
+# version ignores them and asks the cloud, as it does at its first start.
 TYPE_PARTS = "y/"
 
 
 def job_key(job_id: str) -> str:
-    return f"j/{job_id}"
+    """Return the key of a job."""
+    return f"{JOBS}{job_id}"
 
 
 def done_key(job_id: str, chunk: int) -> str:
-    return f"d/{job_id}/{chunk:04d}"
+    """Return the key of a chunk of a job's done tasks."""
+    return f"{DONE_TASKS}{job_id}/{chunk:04d}"
 
 
 def machine_key(name: str) -> str:
-    return f"m/{name}"
+    """Return the key of a machine's assignments."""
+    return f"{MACHINES}{name}"
 
 
-def types_records(types: list[MachineType], most: int) -> dict[str, list[MachineType]]:
-    """The machine types as one record, or, where that is more than `most` bytes, as one for each."""
-    if record_bytes(TYPES, json_text(types)) <= most:
-        return {TYPES: types}
-    return {f"{TYPE_PARTS}{number:04d}": [kind] for number, kind in enumerate(types)}
+def instance_request_key(name: str) -> str:
+    """Return the key of an instance request."""
+    return f"{INSTANCE_REQUESTS}{name}"
 
 
-def rental_key(name: str) -> str:
-    return f"r/{name}"
+def types_records(types: list[MachineType], max_bytes: int) -> dict[str, list[MachineType]]:
+    """Return the machine types as one record, or as one for each if that is more than `max_bytes`."""
+    if record_bytes(TYPES, json_text(types)) <= max_bytes:
+        return {TYPES: types}
+    return {f"{TYPE_PARTS}{number:04d}": [machine_type] for number, machine_type in enumerate(types)}
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
+    """A job; of one that is done only its end is kept.
+
+    `state` is the value of a `cluster.job.JobState`, `at` the time of submission in seconds since the
+    epoch, `chunk` the number of tasks in each of its records of done tasks.
+    """
+
     state: str
     tasks: int
     at: float = 0.0
     chunk: int = 0
     spec: JobSpec | None = None
 
+    @property
+    def submission_time(self) -> datetime:
+        """When the job was submitted."""
+        return datetime.fromtimestamp(self.at, UTC)
+
+
+class InstanceRequestRecord(msgspec.Struct, rename={"machine_type": "build"}):
+    """An instance request that the cloud may have carried out."""
 
-class RentalRecord(msgspec.Struct, rename={"machine_type": "build"}):
     machine_type: str
     zone: str
     spot: bool
     pool: bool = False
 
 
-def job_record(job: Job) -> JobRecord:
-    if job.state is JobState.OPEN:
-        return JobRecord(
-            job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, job.spec
-        )
-    if job.state is JobState.CANCELLED:
-        # Tasks of a cancelled job may be on machines for a while: what they take, and whose
-        # limit they count for, must outlive the leader that cancelled it. Where they may run
-        # matters no more: a job with a long list that larger values once took must stay
-        # cancellable where values have become smaller.
-        spec = msgspec.structs.replace(job.spec, job_class="-", image="-", machine_types=None, zone=None)
-        return JobRecord(job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, spec)
-    # What is over is kept for ever, so it is kept small.
-    return JobRecord(job.state.value, job.task_count)
-
-
-def submitted_at(record: JobRecord) -> datetime:
-    return datetime.fromtimestamp(record.at, UTC)
+class DoneRecord(msgspec.Struct):
+    """Done tasks of a chunk: a bit for each, as hexadecimal digits."""
+
+    marks: str
+
+
+class DoneBitmapRecord(msgspec.Struct, omit_defaults=True):
+    """Done tasks of a chunk as a compressed bitmap (`Feature.DONE_BITMAPS`)."""
+
+    bits: str
+    # The bits stand for tasks that are not done.
+    inverted: bool = False
--- a/src/elmthread/store/tests/test_bitmaps.py
+++ b/src/elmthread/store/tests/test_bitmaps.py
@@ -7,8 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.store.bitmaps import Bitmap, compress, expand
-from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.bitmaps import compress, expand
+from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, bits_per_chunk, marks_per_chunk
+from elmthread.store.records import DoneBitmapRecord
 
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
@@ -22,9 +23,9 @@
     bitmap = compress(bytes(marks), count)
     assert set(expand(bitmap, MAX_TASKS_PER_CHUNK)) == done
     # Never much larger than the bits themselves; empty and full ones are small.
-    assert len(bitmap.text) <= (count + 7) // 8 * 4 / 3 + 20
+    assert len(bitmap.bits) <= (count + 7) // 8 * 4 / 3 + 20
     if len(done) in (0, count):
-        assert len(bitmap.text) <= 8
+        assert len(bitmap.bits) <= 8
 
 
 @pytest.mark.parametrize(
@@ -33,7 +34,7 @@
 )
 def test_what_is_no_bitmap_is_refused(text: str) -> None:
     with pytest.raises(ValueError):
-        list(expand(Bitmap(text, False), 64))
+        list(expand(DoneBitmapRecord(text, False), 64))
 
 
 def test_a_bitmap_of_more_tasks_than_its_chunk_is_refused() -> None:
@@ -44,9 +45,9 @@
 
 @pytest.mark.parametrize("value_kb", [0.7, 1.0, 2.0, 8.0, 16.0])
 def test_a_record_of_marks_takes_a_small_part_of_a_value(value_kb: float) -> None:
-    tasks = bitmap_chunk_tasks(value_kb)
+    tasks = bits_per_chunk(value_kb)
     assert tasks % 8 == 0 and 8 <= tasks <= MAX_TASKS_PER_CHUNK
     largest = compress(bytes([0b01010101] * (tasks // 8)), tasks)
-    assert len(largest.text) <= max(24.0, value_kb * 1024 / 8)
+    assert len(largest.bits) <= max(24.0, value_kb * 1024 / 8)
     # In the form of the first level: a hexadecimal digit for four tasks.
-    assert chunk_tasks(value_kb) / 4 <= max(2.0, value_kb * 1024 / 32)
+    assert marks_per_chunk(value_kb) / 4 <= max(2.0, value_kb * 1024 / 32)
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -13,7 +13,7 @@
 
 from elmthread.store import messages
 from elmthread.store.client import KeyValueStore
-from elmthread.store.done_marks import chunk_tasks
+from elmthread.store.done_marks import marks_per_chunk
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import (
@@ -250,7 +250,7 @@
 
 def test_records_fit_the_value_limit() -> None:
     for kilobytes in (1.0, 8.0, 16.0):
-        assert chunk_tasks(kilobytes) / 4 + 50 < kilobytes * 1024
+        assert marks_per_chunk(kilobytes) / 4 + 50 < kilobytes * 1024
 
 
 def test_a_refused_record_is_found_and_holds_up_no_other() -> None:
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -19,10 +19,9 @@
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
-from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PageRecord
-from elmthread.store.records import JobRecord, RentalRecord
+from elmthread.store.records import DoneBitmapRecord, DoneRecord, InstanceRequestRecord, JobRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
 # What msgspec takes from the classes.
@@ -36,7 +35,7 @@
     "job": JobRecord,
     "done": DoneRecord | DoneBitmapRecord,
     "machine": MachineRecord | AssignmentRunsRecord,
-    "rental": RentalRecord,
+    "rental": InstanceRequestRecord,
     "types": list[MachineType],
     "layout": int,
     "fence": FenceRecord,
