--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -18,7 +18,8 @@
 from elmthread.persistence.completions import make_job_record
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
-from elmthread.store.writer import WritePriority, WriterStoppedError
+from elmthread.store.write_queue import WritePriority
+from elmthread.store.writer import WriterStoppedError
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -18,16 +18,14 @@
 from elmthread.leadership.context import TermContext
 from elmthread.leadership.election import Election
 from elmthread.leadership.term import Term
-from elmthread.limits import (
-    LEADERS_PART,
-    users_at_once,
-)
+from elmthread.limits import LEADERS_PART, users_at_once
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
+from elmthread.persistence.records import empty_machine_record_bytes
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
@@ -36,11 +34,11 @@
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
-from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
-from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import RecordWriter, WriteLimits
+from elmthread.store.page_batch import WriteLimits
+from elmthread.store.pages import RecordPages, page_capacity
+from elmthread.store.writer import RecordWriter
 from elmthread.workers.heartbeats import HeartbeatHandler
 from elmthread.workers.reconciliation import HeartbeatReconciler
 
@@ -103,14 +101,14 @@
     def _make_context(self) -> TermContext:
         node = self._node
         limits = node.platform.facts.state.kept()
-        pages = RecordPages(slot_bytes(limits.value_kb))
+        pages = RecordPages(page_capacity(limits.value_kb))
         rate = limits.write_rps * LEADERS_PART
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
         return TermContext(
             term=self.term,
             store=node.state,
             writer=RecordWriter(node.state, pages, self.term, write_limits, node.clock),
-            cluster=ClusterState(pages.most, machine_frame),
+            cluster=ClusterState(pages.capacity, empty_machine_record_bytes),
             events=ClusterEvents(),
             features=node.rollout.features,
             clock=node.clock,
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -7,13 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.random_troubles import TROUBLES, befall, restore
-from tests.world.rollouts import (
-    BEFORE,
-    RolloutMonitor,
-    begin_before,
-    replace,
-    until_level,
-)
+from tests.world.rollouts import BEFORE, RolloutMonitor, begin_before, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import fall
