--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,6 +8,9 @@
 
 from tests.known_red import BadListError, KnownRed, read
 
+# The helpers' assertions say what they found, as those of test modules do: some tests match these messages.
+pytest.register_assert_rewrite("tests.world")
+
 if TYPE_CHECKING:
     from xdist.workermanage import WorkerController
 
