--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from elmthread.common.clock import seconds
-from elmthread.net.http import Answer, Client, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
 
 CALL_TIME = seconds(5)
 
@@ -48,5 +48,5 @@
         raise ValueError(f"{'standard input' if from_stdin else path}: not JSON: {error}") from error
 
 
-async def _call(server: str, method: str, path: str, body: Any) -> Answer:
-    return await Client(server).call(method, path, body, timeout=CALL_TIME)
+async def _call(server: str, method: str, path: str, body: Any) -> ClientResponse:
+    return await HttpClient(server).call(method, path, body, timeout=CALL_TIME)
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -11,7 +11,13 @@
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.load import OverloadControl, WorkClass
 from elmthread.leadership.election import Election
-from elmthread.net.http import UNSURE, MalformedBodyError, Request, Response, again, decode
+from elmthread.net.http_messages import (
+    MalformedBodyError,
+    Request,
+    Response,
+    decode_body,
+    retry_later,
+)
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
 from elmthread.rollout.gate import CompatibilityGate
@@ -36,7 +42,7 @@
 # Neither a user's: which process of its node this is. An earlier version refuses the question.
 WHICH_PROCESS = "process"
 
-TOO_MUCH = again(429, seconds(2), "too much to do")
+TOO_MUCH = retry_later(429, seconds(2), "too much to do")
 
 HeartbeatHandler = Callable[[Request], Awaitable[Response]]
 
@@ -82,7 +88,7 @@
 
     def _ready(self) -> Response:
         if not self._gate.admitted:
-            return again(503, SOON, "not admitted")
+            return retry_later(503, SOON, "not admitted")
         leader = self._election.leader
         now = self._clock()
         if self._intake() is not None or (leader is not None and self._peers.reaches(leader)):
@@ -91,11 +97,11 @@
         other = leader is not None and leader != self._node
         if self._ever and now - self._served_at < (CUT_OFF if other else VACANT):
             return Response(200, {"ready": True})
-        return again(503, SOON, "no leader")
+        return retry_later(503, SOON, "no leader")
 
     async def _submit(self, request: Request) -> Response:
         try:
-            body = decode(request.body)
+            body = decode_body(request.body)
             job_id = job_id_of(body)
         except (MalformedBodyError, InvalidSubmissionError) as error:
             return Response(400, {"error": str(error)})
@@ -135,7 +141,7 @@
             )
 
         after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
-        return Response(reply.status, reply.body, after, sure=None if reply.status == 503 else fresh)
+        return Response(reply.status, reply.body, after, precondition=None if reply.status == 503 else fresh)
 
     def _elsewhere(self, why: str) -> Response:
         """The user is to ask again; of a node that is not ready, on a connection to another node.
@@ -143,7 +149,7 @@
         The load balancer sends new connections elsewhere by then, but leaves open ones where they
         are for seconds more, on which the user would ask here again and again.
         """
-        response = again(503, SOON, why)
+        response = retry_later(503, SOON, why)
         response.close = self._ready().status != 200
         return response
 
@@ -151,10 +157,10 @@
         """Answers as the leader, with a view that is complete and a lease that surely holds."""
         intake = self._intake()
         if intake is None or not self._election.holds_lease():
-            return again(503, SOON, "not leading")
+            return retry_later(503, SOON, "not leading")
         response = await self._from(intake, ask)
         if response.status != 503:
-            response.sure = intake.sure
+            response.precondition = intake.sure
         return response
 
     async def _from(self, intake: JobService, ask: ForwardedRequest) -> Response:
@@ -186,11 +192,9 @@
         if ask.verb in KINDS and self._load.rejects(KINDS[ask.verb]):
             response = TOO_MUCH
         elif intake is None or ask.fencing_token != intake.fencing_token:
-            response = again(503, SOON, "not leading")
+            response = retry_later(503, SOON, "not leading")
         else:
-            response = await self._here(ask)
-            if response.sure is not None and not response.sure():
-                response = UNSURE
+            response = (await self._here(ask)).checked()
         after = None if response.retry_after is None else response.retry_after.total_seconds()
         return ForwardedResponse(ask.number, response.status, response.body, after, ask.fencing_token)
 
--- a/src/elmthread/api/service.py
+++ b/src/elmthread/api/service.py
@@ -13,7 +13,7 @@
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response, again
+from elmthread.net.http_messages import Response, retry_later
 from elmthread.persistence.completions import record_maker
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.records import job_key
@@ -78,7 +78,7 @@
             if fault is not None or job is None:
                 return Response(400, {"error": fault or "malformed"})
             if not self._catalog.is_known:
-                return again(503, SOON, "machine types not known yet")
+                return retry_later(503, SOON, "machine types not known yet")
             reason = self._factory.can_run(job, self._catalog.types.values())
             if reason is not None:
                 return Response(422, {"error": reason})
@@ -95,16 +95,16 @@
             if failed is not None:
                 return failed
         if not self._term.holds_lease():
-            return again(503, SOON, "not leading")
+            return retry_later(503, SOON, "not leading")
         return self._tell(known, Response(201 if created else 200, self._describe(known)))
 
     def _too_busy(self) -> Response | None:
         failing = self._writer.failing_since
         if failing is not None and self._clock() - failing > FAILING:
-            return again(503, seconds(2), "the state service does not answer")
+            return retry_later(503, seconds(2), "the state service does not answer")
         if len(self._storing) >= self._limits.max_waiting:
             log.info("%s submissions and withdrawals wait for the store: no more are taken", len(self._storing))
-            return again(429, seconds(2), "too many submissions at once")
+            return retry_later(429, seconds(2), "too many submissions at once")
         return None
 
     def _store(self, job: Job) -> None:
@@ -132,7 +132,7 @@
             async with asyncio.timeout(DURABLE_TIME.total_seconds()):
                 await asyncio.shield(stored)
         except (TimeoutError, WriterStoppedError):
-            return again(503, SOON, "not durable yet")
+            return retry_later(503, SOON, "not durable yet")
         return None
 
     def status(self, job_id: str) -> Response:
@@ -141,7 +141,7 @@
             return Response(404, {"error": "no such job"})
         if job.durable_state is None:
             # Submitted, but not durable: neither known nor unknown.
-            return again(503, SOON, "not durable yet")
+            return retry_later(503, SOON, "not durable yet")
         return self._tell(job, Response(200, self._describe(job)))
 
     async def withdraw(self, job_id: str) -> Response:
@@ -166,9 +166,9 @@
             if failed is not None:
                 return failed
             if job.durable_state is not job.state:
-                return again(503, SOON, "not durable yet")
+                return retry_later(503, SOON, "not durable yet")
         if not self._term.holds_lease():
-            return again(503, SOON, "not leading")
+            return retry_later(503, SOON, "not leading")
         assert job.durable_state is not None
         return self._tell(job, Response(200, messages.status(job.id, job.durable_state.value)))
 
@@ -187,7 +187,7 @@
             early = gone - self._clock() - at_most(self._limits.cancellation_time) + LATE
             if early > ZERO:
                 log.info("%s is cancelled, which can't be told for %.1f s", job.id, early.total_seconds())
-                return again(503, min(max(early, SOON), LONGEST), "its tasks may not be gone in time")
+                return retry_later(503, min(max(early, SOON), LONGEST), "its tasks may not be gone in time")
         return response
 
     def _describe(self, job: Job) -> dict[str, Any]:
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -12,7 +12,7 @@
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.writer import WritePriority
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -22,7 +22,10 @@
     users_at_once,
 )
 from elmthread.machines.service import QUIET
-from elmthread.net.http import Caller, Client, ConnectionLimit, Request, Response, Server
+from elmthread.net.connections import ConnectionLimit
+from elmthread.net.http_client import HttpCaller, HttpClient
+from elmthread.net.http_messages import Request, Response
+from elmthread.net.http_server import HttpServer
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.bounds import ReachabilityBounds
@@ -53,8 +56,8 @@
         platform: Platform,
         operators: Operators,
         clock: Clock = steady,
-        state: Caller | None = None,
-        cloud: Caller | None = None,
+        state: HttpCaller | None = None,
+        cloud: HttpCaller | None = None,
         peers: type[Peers] = Peers,
         supported: SupportedLevels = SUPPORTED,
     ) -> None:
@@ -84,8 +87,10 @@
             facts.workers.lease * QUIET,
             self.peers,
         )
-        self._state = KeyValueStore(state or Client(platform.endpoints.state), self._requests, self.reachability.store)
-        self._cloud = cloud or Client(platform.endpoints.cloud)
+        self._state = KeyValueStore(
+            state or HttpClient(platform.endpoints.state), self._requests, self.reachability.store
+        )
+        self._cloud = cloud or HttpClient(platform.endpoints.cloud)
         members = platform.members
         gate = CompatibilityGate(
             Membership(platform.node, members), supported, operators.rollout, self._state, self._refused
@@ -125,7 +130,7 @@
         )
         most = max(10, int(facts.limits.max_connections * SERVERS_PART))
         workers = ConnectionLimit(HEARTBEAT_PATH, max(5, int(most * WORKERS_PART)), facts.workers.lease)
-        self.server = Server(self.api.handle, most, clock, workers)
+        self.server = HttpServer(self.api.handle, most, clock, workers)
         self.leader: Leader | None = None
         self._leading: asyncio.Task[None] | None = None
 
@@ -267,6 +272,6 @@
         await self.server.start(host, port)
         async with asyncio.TaskGroup() as group:
             group.create_task(self.load.run())
-            group.create_task(self.server.sweep())
+            group.create_task(self.server.close_expired())
             group.create_task(self.peers.run(*split_address(platform.peer_listen)))
             group.create_task(self.coordinate())
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -24,7 +24,7 @@
 )
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
-from elmthread.net.http import Caller
+from elmthread.net.http_client import HttpCaller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
@@ -61,7 +61,7 @@
     operators: Operators
     election: Election
     state: KeyValueStore
-    cloud: Caller
+    cloud: HttpCaller
     clock: Clock
     load: OverloadControl
     reachability: Reachability
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.election import Election, Role
 from elmthread.leadership.term import Term
-from elmthread.net.http import Answer, NoResponseError
+from elmthread.net.http_client import ClientResponse, NoResponseError
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from tests.world.loop import SimLoop, play
@@ -28,13 +28,19 @@
         self.asked: list[str] = []
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
-    ) -> Answer:
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        precondition: Callable[[], bool] | None = None,
+    ) -> ClientResponse:
         self.asked.append(method)
         await asyncio.sleep(0.01)
         if not self.answer:
             raise NoResponseError("cut")
-        return Answer(self.answer, {})
+        return ClientResponse(self.answer, {})
 
 
 def made(role: Role, answer: int = 200) -> tuple[SimLoop, Election, Renewals]:
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -10,7 +10,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.machines import messages
-from elmthread.net.http import Answer, Caller, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpCaller, NoResponseError
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 
@@ -32,7 +32,7 @@
 
 
 class CloudClient:
-    def __init__(self, caller: Caller, calls: TokenBucket, list_lag: timedelta, sure: Callable[[], bool]) -> None:
+    def __init__(self, caller: HttpCaller, calls: TokenBucket, list_lag: timedelta, sure: Callable[[], bool]) -> None:
         self._caller = caller
         self.calls = calls
         self.list_lag = list_lag
@@ -53,9 +53,11 @@
         since = "" if after is None else f"&since={after}"
         return _read(await self._call("GET", f"/hosts?most={most}{since}"), messages.Page)
 
-    async def _call(self, method: str, path: str, body: Any = None, sure: Callable[[], bool] | None = None) -> Answer:
+    async def _call(
+        self, method: str, path: str, body: Any = None, sure: Callable[[], bool] | None = None
+    ) -> ClientResponse:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIME, sure=sure)
+            answer = await self._caller.call(method, path, body, timeout=CALL_TIME, precondition=sure)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if answer.status == 429:
@@ -67,7 +69,7 @@
         return answer
 
 
-def _read(answer: Answer, kind: type[T]) -> T:
+def _read(answer: ClientResponse, kind: type[T]) -> T:
     try:
         return msgspec.convert(answer.body, kind)
     except msgspec.ValidationError as error:
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -13,7 +13,7 @@
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
 from elmthread.machines.service import MISSING, MachineManager
-from elmthread.net.http import Answer
+from elmthread.net.http_client import ClientResponse
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.census import Census
 from elmthread.reachability.zones import ZoneHealth
@@ -47,17 +47,23 @@
         self.number = 0
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
-    ) -> Answer:
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        precondition: Callable[[], bool] | None = None,
+    ) -> ClientResponse:
         self.calls.append((self.loop.now, path.split("?")[0], body))
         await asyncio.sleep(0.25)
         if path == "/hosts":
             first = self.number
             self.number += body["how_many"]
-            return Answer(200, {"looms": [f"m-{n:06d}" for n in range(first, self.number)]})
+            return ClientResponse(200, {"looms": [f"m-{n:06d}" for n in range(first, self.number)]})
         if method == "GET" and path.startswith("/hosts"):
-            return Answer(200, {"looms": [], "has_next": False})
-        return Answer(200, {})
+            return ClientResponse(200, {"looms": [], "has_next": False})
+        return ClientResponse(200, {})
 
 
 def fleet(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
--- /dev/null
+++ b/src/elmthread/net/connections.py
@@ -0,0 +1,132 @@
+"""Limits on a server's open connections: how many, from whom, and how long they may be idle."""
+
+import asyncio
+import logging
+from dataclasses import dataclass
+from datetime import timedelta
+
+from elmthread.common.clock import Clock, seconds
+
+log = logging.getLogger(__name__)
+
+# A client that falls silent within a request, or between two, is disconnected.
+REQUEST_TIMEOUT = seconds(10)
+IDLE_TIMEOUT = seconds(75)
+
+
+@dataclass(slots=True, frozen=True)
+class ConnectionLimit:
+    """A limit for one class of clients, those that request `path`, so that they leave room for others."""
+
+    path: str
+    # Of all connections, at most this many.
+    max_connections: int
+    idle_timeout: timedelta
+
+
+@dataclass(slots=True, eq=False)
+class Connection:
+    """One open connection."""
+
+    writer: asyncio.StreamWriter
+    expires_at: timedelta
+    last_active_at: timedelta
+    last_response_at: timedelta | None = None
+    # Between two requests.
+    idle: bool = True
+    # Counted against the ConnectionLimit.
+    limited: bool = False
+
+
+class ConnectionTable:
+    """All open connections of a server."""
+
+    def __init__(self, max_connections: int, clock: Clock, limit: ConnectionLimit | None) -> None:
+        """Allow `max_connections` in all, and those that `limit` allows for its path."""
+        self._max_connections = max_connections
+        self._clock = clock
+        self._limit = limit
+        self._open: set[Connection] = set()
+        self.limited_count = 0
+        self.refused_count = 0
+
+    def __len__(self) -> int:
+        """Return the number of open connections."""
+        return len(self._open)
+
+    def open(self, writer: asyncio.StreamWriter) -> Connection | None:
+        """Return the new connection, or None if there is no room for it."""
+        now = self._clock()
+        if len(self._open) >= self._max_connections and not self._make_room(now):
+            self._refuse(self._max_connections)
+            return None
+        connection = Connection(writer, now + IDLE_TIMEOUT, now)
+        self._open.add(connection)
+        return connection
+
+    def remove(self, connection: Connection) -> None:
+        """Forget a connection that has ended."""
+        self._open.discard(connection)
+        self.limited_count -= connection.limited
+
+    def admit(self, connection: Connection, path: str) -> bool:
+        """Return whether a request for the path may be served on the connection.
+
+        The class of the client is known with its first request.
+        """
+        if connection.limited or self._limit is None or path != self._limit.path:
+            return True
+        if self.limited_count >= self._limit.max_connections and not self._make_room(self._clock()):
+            self._refuse(self._limit.max_connections)
+            return False
+        connection.limited = True
+        self.limited_count += 1
+        return True
+
+    def data_received(self, connection: Connection) -> None:
+        """Note that a request is being received; it must be complete within REQUEST_TIMEOUT."""
+        connection.idle = False
+        connection.expires_at = min(connection.expires_at, self._clock() + REQUEST_TIMEOUT)
+
+    def request_received(self, connection: Connection) -> None:
+        """Note that a request is complete."""
+        connection.expires_at = self._clock() + IDLE_TIMEOUT
+
+    def response_sent(self, connection: Connection) -> None:
+        """Note that the connection is idle until the next request."""
+        connection.idle = True
+        connection.last_active_at = self._clock()
+        idle_timeout = self._limit.idle_timeout if connection.limited and self._limit else IDLE_TIMEOUT
+        connection.expires_at = connection.last_active_at + idle_timeout
+
+    def close_expired(self) -> None:
+        """Close the connections whose time is over."""
+        now = self._clock()
+        for connection in [one for one in self._open if one.expires_at < now]:
+            connection.writer.transport.abort()
+
+    def close_all(self) -> None:
+        """Close every connection."""
+        for connection in list(self._open):
+            connection.writer.transport.abort()
+
+    def _make_room(self, now: timedelta) -> bool:
+        """Close the limited connection that has been idle for longest, if for half of its idle timeout.
+
+        Clients that were cut off or ended leave their connections behind, and come back on new ones.
+        """
+        if self._limit is None:
+            return False
+        idle = (one for one in self._open if one.limited and one.idle)
+        stale = min(idle, key=lambda one: one.last_active_at, default=None)
+        if stale is None or now - stale.last_active_at < self._limit.idle_timeout / 2:
+            return False
+        self._open.discard(stale)
+        self.limited_count -= 1
+        stale.limited = False
+        stale.writer.transport.abort()
+        return True
+
+    def _refuse(self, limit: int) -> None:
+        self.refused_count += 1
+        log.info("Refused a connection: %s are open already (%s refused so far).", limit, self.refused_count)
--- /dev/null
+++ b/src/elmthread/net/http_parser.py
@@ -0,0 +1,98 @@
+"""Incremental parsing of the requests on one connection, with bounds on their size."""
+
+from collections import deque
+from dataclasses import dataclass
+
+import httptools
+
+from elmthread.common.errors import ElmthreadError
+
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+CONTENT_LENGTH = b"content-length"
+
+
+class MalformedRequestError(ElmthreadError):
+    """The bytes are no request, or one that is too large."""
+
+
+@dataclass(slots=True)
+class ParsedRequest:
+    """A request that has been received completely."""
+
+    method: str
+    target: bytes
+    body: bytes
+    keep_alive: bool
+
+
+class RequestParser:
+    """Parses what one connection receives.
+
+    The server parses with httptools because h11 costs several times as much per heartbeat. httptools
+    does not bound what it accepts; the bounds are checked here.
+    """
+
+    def __init__(self) -> None:
+        """Begin with the first request of the connection."""
+        self.complete: deque[ParsedRequest] = deque()
+        self._parser = httptools.HttpRequestParser(self)
+        self._target = b""
+        self._body: list[bytes] = []
+        self._body_size = 0
+        # Bytes received since the last complete head.
+        self._head_size = 0
+        self._in_body = False
+
+    def feed(self, data: bytes) -> None:
+        """Parse more bytes; requests that they complete are appended to `complete`. Raises MalformedRequestError."""
+        self._head_size += len(data)
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserUpgrade as error:
+            raise MalformedRequestError("no upgrade is known") from error
+        except httptools.HttpParserCallbackError as error:
+            raise MalformedRequestError("body too large") from error
+        except httptools.HttpParserError as error:
+            raise MalformedRequestError(str(error) or "malformed") from error
+        if self._head_size > MAX_HEAD_BYTES and not self._in_body:
+            raise MalformedRequestError("head too large")
+
+    # Callbacks of httptools
+
+    def on_message_begin(self) -> None:
+        """Begin a request."""
+        self._target = b""
+        self._body = []
+        self._body_size = 0
+        self._in_body = False
+
+    def on_url(self, url: bytes) -> None:
+        """Append a part of the request's target."""
+        self._target += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Refuse a body that is announced as too large."""
+        if len(name) == len(CONTENT_LENGTH) and name.lower() == CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
+            raise MalformedRequestError("body too large")
+
+    def on_headers_complete(self) -> None:
+        """Begin the body."""
+        self._in_body = True
+        self._head_size = 0
+
+    def on_body(self, data: bytes) -> None:
+        """Append a part of the body."""
+        self._body_size += len(data)
+        if self._body_size > MAX_BODY_BYTES:
+            raise MalformedRequestError("body too large")
+        self._body.append(data)
+
+    def on_message_complete(self) -> None:
+        """Hand over the request."""
+        body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
+        parser = self._parser
+        method, keep_alive = parser.get_method().decode("ascii"), parser.should_keep_alive()
+        self.complete.append(ParsedRequest(method, self._target, body, keep_alive))
+        self._in_body = False
+        self._head_size = 0
--- a/src/elmthread/net/tests/test_http.py
+++ b/src/elmthread/net/tests/test_http.py
@@ -9,16 +9,18 @@
 import pytest
 
 from elmthread.common.clock import seconds
-from elmthread.net import http
-from elmthread.net.http import Client, ConnectionLimit, NoResponseError, NotSentError, Request, Response, Server
+from elmthread.net.connections import ConnectionLimit
+from elmthread.net.http_client import HttpClient, NoResponseError, NotSentError
+from elmthread.net.http_messages import Request, Response, retry_later
+from elmthread.net.http_server import HttpServer
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
     asyncio.run(asyncio.wait_for(main, 20))
 
 
-async def serving(handle: Callable[[Request], Awaitable[Response]], most: int = 10) -> tuple[Server, int]:
-    server = Server(handle, most)
+async def serving(handle: Callable[[Request], Awaitable[Response]], most: int = 10) -> tuple[HttpServer, int]:
+    server = HttpServer(handle, most)
     return server, await server.start("127.0.0.1", 0)
 
 
@@ -26,7 +28,7 @@
     if request.path == "/fail":
         raise RuntimeError("a fault in one handler")
     if request.path == "/later":
-        return http.again(503, seconds(2), "later")
+        return retry_later(503, seconds(2), "later")
     return Response(200, {"path": request.path, "body": cbor2.loads(request.body) if request.body else None})
 
 
@@ -41,7 +43,7 @@
 def test_requests_share_a_connection_and_faults_cost_nobody() -> None:
     async def main() -> None:
         server, port = await serving(echo)
-        client = Client(f"127.0.0.1:{port}")
+        client = HttpClient(f"127.0.0.1:{port}")
         for number in range(3):
             answer = await client.call("POST", "/a", {"n": number}, timeout=seconds(5))
             assert (answer.status, answer.body["body"]) == (200, {"n": number})
@@ -95,7 +97,7 @@
 
 
 def test_an_answer_that_is_kept_for_many_closes_no_connection_but_that_of_who_asked() -> None:
-    kept = http.again(429, seconds(2), "too much to do")
+    kept = retry_later(429, seconds(2), "too much to do")
 
     async def handle(request: Request) -> Response:
         return kept
@@ -103,7 +105,7 @@
     async def main() -> None:
         server, port = await serving(handle)
         assert b"connection: close" in await raw(port, b"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        client = Client(f"127.0.0.1:{port}")
+        client = HttpClient(f"127.0.0.1:{port}")
         assert (await client.call("GET", "/a", timeout=seconds(5))).status == 429
         assert len(client._idle) == 1 and not kept.close
         await server.close()
@@ -165,9 +167,9 @@
 def test_slow_clients_are_cut_off_and_connections_bounded() -> None:
     async def main() -> None:
         now = [seconds(0)]
-        server = Server(echo, 2, lambda: now[0])
+        server = HttpServer(echo, 2, lambda: now[0])
         port = await server.start("127.0.0.1", 0)
-        sweeper = asyncio.create_task(server.sweep())
+        sweeper = asyncio.create_task(server.close_expired())
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST /a HTTP/1.1\r\nHost: x\r\n")
         _, second = await asyncio.open_connection("127.0.0.1", port)
@@ -198,7 +200,7 @@
         server, port = await serving(silent)
         for address in (f"127.0.0.1:{port}", "127.0.0.1:1"):
             try:
-                await Client(address).call("GET", "/a", timeout=seconds(0.2))
+                await HttpClient(address).call("GET", "/a", timeout=seconds(0.2))
             except NoResponseError:
                 continue
             raise AssertionError("an answer out of nothing")
@@ -213,11 +215,11 @@
 
     async def handle(request: Request) -> Response:
         served.append(request.path)
-        return Response(200, {"state": "old"}, sure=lambda: request.path != "/unsure")
+        return Response(200, {"state": "old"}, precondition=lambda: request.path != "/unsure")
 
     async def main() -> None:
         server, port = await serving(handle)
-        client = Client(f"127.0.0.1:{port}")
+        client = HttpClient(f"127.0.0.1:{port}")
         assert (await client.call("GET", "/sure", timeout=seconds(5))).status == 200
         answer = await client.call("GET", "/unsure", timeout=seconds(5))
         assert answer.status == 503 and answer.body != {"state": "old"}
@@ -225,11 +227,11 @@
         assert b"retry-after: 1" in head.lower()
         served.clear()
         try:
-            await client.call("POST", "/rent", {}, timeout=seconds(5), sure=lambda: False)
+            await client.call("POST", "/rent", {}, timeout=seconds(5), precondition=lambda: False)
             raise AssertionError("sent all the same")
         except NotSentError:
             pass
-        assert (await client.call("POST", "/rent", {}, timeout=seconds(5), sure=lambda: True)).status == 200
+        assert (await client.call("POST", "/rent", {}, timeout=seconds(5), precondition=lambda: True)).status == 200
         assert served == ["/rent"]
         await server.close()
 
@@ -239,9 +241,9 @@
 def test_a_crowd_leaves_sockets_to_the_others_and_its_dead_make_room() -> None:
     async def main() -> None:
         now = [seconds(0)]
-        server = Server(echo, 6, lambda: now[0], ConnectionLimit("/beat", 4, seconds(10)))
+        server = HttpServer(echo, 6, lambda: now[0], ConnectionLimit("/beat", 4, seconds(10)))
         port = await server.start("127.0.0.1", 0)
-        clients = [Client(f"127.0.0.1:{port}") for _ in range(7)]
+        clients = [HttpClient(f"127.0.0.1:{port}") for _ in range(7)]
 
         async def ask(number: int, path: str) -> int:
             return (await clients[number].call("GET", path, timeout=seconds(5))).status
@@ -256,11 +258,11 @@
         now[0] = seconds(6)
         assert await ask(4, "/beat") == 200
         assert [await ask(number, "/beat") for number in (0, 1)] == [200] * 2
-        assert server._crowd == 4 and len(server._open) == 6
+        assert server.connections.limited_count == 4 and len(server.connections) == 6
         now[0] = seconds(20)
-        sweeper = asyncio.create_task(server.sweep())
+        sweeper = asyncio.create_task(server.close_expired())
         await asyncio.sleep(2.2)
-        assert server._crowd == 0
+        assert server.connections.limited_count == 0
         sweeper.cancel()
         await server.close()
 
--- a/src/elmthread/reachability/service.py
+++ b/src/elmthread/reachability/service.py
@@ -16,7 +16,7 @@
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Request, Response
+from elmthread.net.http_messages import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import ReachabilityBounds
--- a/src/elmthread/reachability/strays.py
+++ b/src/elmthread/reachability/strays.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from elmthread.common.clock import Clock
-from elmthread.net.http import MalformedBodyError, Request, Response, decode
+from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body
 from elmthread.workers.messages import Sender, elsewhere
 
 # How many machines are named, the last that came.
@@ -55,7 +55,7 @@
         another may lead.
         """
         try:
-            sender = msgspec.convert(decode(request.body), Sender)
+            sender = msgspec.convert(decode_body(request.body), Sender)
         except (MalformedBodyError, msgspec.ValidationError):
             sender = None
         if sender is not None:
--- a/src/elmthread/reachability/tests/test_strays.py
+++ b/src/elmthread/reachability/tests/test_strays.py
@@ -5,7 +5,7 @@
 import cbor2
 
 from elmthread.common.clock import seconds
-from elmthread.net.http import Request
+from elmthread.net.http_messages import Request
 from elmthread.reachability.decide import majority_elsewhere
 from elmthread.reachability.strays import MisdirectedReports
 
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -6,7 +6,7 @@
 
 from elmthread.common.clock import steady
 from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
-from elmthread.net.http import Client
+from elmthread.net.http_client import HttpClient
 from elmthread.rollout.decide import Activate, plan_activation
 from elmthread.rollout.messages import UnreadableLevelError, read_view
 from elmthread.rollout.store import RolloutRecords, read_records
@@ -23,7 +23,7 @@
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Prints the state of the rollout."""
     client = KeyValueStore(
-        Client(platform.endpoints.state), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
+        HttpClient(platform.endpoints.state), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
     )
     members = platform.members
     try:
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -11,7 +11,7 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
-from elmthread.net.http import Answer, Caller, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpCaller, NoResponseError
 from elmthread.store import messages
 from elmthread.store.pacing import TokenBucket
 
@@ -85,7 +85,7 @@
 
 
 class KeyValueStore:
-    def __init__(self, caller: Caller, requests: TokenBucket, link: RoundTrips | None = None) -> None:
+    def __init__(self, caller: HttpCaller, requests: TokenBucket, link: RoundTrips | None = None) -> None:
         """`link` is told of each request that was answered."""
         self._link = link
         self._caller = caller
@@ -136,12 +136,12 @@
             raise ExpiredError("watch")
         return _read(answer, messages.WatchEvents)
 
-    async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = READ_TIME) -> Answer:
+    async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = READ_TIME) -> ClientResponse:
         if not self._requests.take():
             raise StoreUnavailableError("our own pacing")
         return await self._raw(method, path, body, timeout)
 
-    async def _raw(self, method: str, path: str, body: Any, timeout: timedelta) -> Answer:
+    async def _raw(self, method: str, path: str, body: Any, timeout: timedelta) -> ClientResponse:
         began = self._link.begin() if self._link is not None else None
         try:
             answer = await self._caller.call(method, path, body, timeout=timeout)
@@ -160,13 +160,13 @@
         return answer
 
 
-def _known(answer: Answer, *statuses: int) -> None:
+def _known(answer: ClientResponse, *statuses: int) -> None:
     if answer.status not in statuses:
         log.error("state service: unexpected status %s: %s", answer.status, answer.body)
         raise UnknownOutcomeError(f"status {answer.status}")
 
 
-def _read(answer: Answer, kind: type[T], status: int = 200) -> T:
+def _read(answer: ClientResponse, kind: type[T], status: int = 200) -> T:
     _known(answer, status)
     try:
         return msgspec.convert(answer.body, kind)
--- a/src/elmthread/workers/service.py
+++ b/src/elmthread/workers/service.py
@@ -20,7 +20,7 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.common.clock import at_least, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
+from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body, retry_later
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.workers import messages
@@ -66,7 +66,7 @@
 
     async def heartbeat(self, request: Request) -> Response:
         try:
-            heartbeat = messages.read_heartbeat(decode(request.body))
+            heartbeat = messages.read_heartbeat(decode_body(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
             self.dropped += 1
             log.info("report dropped (%s so far): %s", self.dropped, error)
@@ -77,14 +77,14 @@
             return Response(421, messages.elsewhere(self._term.leader))
         if heartbeat.machine in self._cluster.deleted_machines:
             # Its deletion was answered: a late report of a machine that is no more.
-            return again(503, seconds(1), "machine is gone")
+            return retry_later(503, seconds(1), "machine is gone")
         machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
         if (
             heartbeat.incarnation,
             heartbeat.sequence,
         ) <= machine.last_heartbeat_id or heartbeat.incarnation <= machine.expired_incarnation:
             self.dropped += 1
-            return again(503, seconds(1), "an older report")
+            return retry_later(503, seconds(1), "an older report")
         now = self._clock()
         if heartbeat.fencing_token < self._term.fencing_token:
             # The first answer carries our token; what the next report lists, no earlier
@@ -92,7 +92,7 @@
             # an earlier leader has had: it is no sign of life.
             machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
             return self._answer(machine, self._over(heartbeat))
-        self._listen(machine, heartbeat, request.answered_at, now)
+        self._listen(machine, heartbeat, request.previous_answered_at, now)
         machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
         machine.heartbeat_overdue = False
@@ -128,7 +128,7 @@
         body = messages.orders(self._term.fencing_token, commands)
         # Judged once more when the bytes leave: a start sent after the lease is one too many.
         starts = any(command["verb"] == messages.START for command in commands)
-        return Response(200, body, sure=self._term.holds_lease if starts else self._term.may_answer_workers)
+        return Response(200, body, precondition=self._term.holds_lease if starts else self._term.may_answer_workers)
 
     def _adopt(self, heartbeat: Heartbeat) -> Machine:
         """A machine nobody told us of: rented by a late request or by an earlier leader."""
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from elmthread.net.http import Server
+from elmthread.net.http_server import HttpServer
 from elmthread.placement import decide
 from elmthread.workers.service import HeartbeatHandler
 from tests.world.counting import count_calls, count_changes
@@ -92,5 +92,5 @@
 
     for most in (40, 5000):
         with pytest.raises(OSError, match="not opened"):
-            asyncio.run(Server(handle, most).start("127.0.0.1", 0))
+            asyncio.run(HttpServer(handle, most).start("127.0.0.1", 0))
     assert asked == [40, 5000]
--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections import deque
 
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from tests.world.settings import NODES
 from tests.world.world import World
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -10,7 +10,8 @@
 
 from elmthread.controller import Controller
 from elmthread.limits import LEASE
-from elmthread.net.http import Answer, Request, Response
+from elmthread.net.http_client import ClientResponse
+from elmthread.net.http_messages import Request, Response
 from elmthread.workers.messages import HEARTBEAT_PATH
 from tests.world.services import Port
 from tests.world.world import World
@@ -26,11 +27,17 @@
         self._node, self._history = node, history
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
-    ) -> Answer:
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        precondition: Callable[[], bool] | None = None,
+    ) -> ClientResponse:
         """As before; a request that is only sent on a sure lease is judged at that moment."""
         sent = self._service.loop.now
-        checked = sure
+        checked = precondition
 
         def judged() -> bool:
             good = checked is None or checked()
@@ -38,7 +45,7 @@
                 self._history.act(self._node, path)
             return good
 
-        answer = await super().call(method, path, body, timeout=timeout, sure=judged if checked else None)
+        answer = await super().call(method, path, body, timeout=timeout, precondition=judged if checked else None)
         if path == "/grants":
             self._history.granted[self._node] = sent
         elif path.endswith("/extend") and answer.status == 200:
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -5,7 +5,7 @@
 
 import cbor2
 
-from elmthread.net.http import Request
+from elmthread.net.http_messages import Request
 from tests.world.controller_troubles import leader_ends
 from tests.world.stage import Stage, _gone
 
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -11,7 +11,7 @@
 
 from elmthread.common.features import SUPPORTED, SupportedLevels
 from elmthread.controller import Controller
-from elmthread.net.http import UNSURE, Request, Response
+from elmthread.net.http_messages import PRECONDITION_FAILED, Request, Response
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.links import STORE, Fault, LinkFaults, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
@@ -181,7 +181,9 @@
 
         async def served() -> Response:
             response = await handle(self.version(node).request(request))
-            response = UNSURE if response.sure is not None and not response.sure() else response
+            response = (
+                PRECONDITION_FAILED if response.precondition is not None and not response.precondition() else response
+            )
             for watch in self.on_answer:
                 watch(node, request, response)
             return response
--- a/tests/world/services.py
+++ b/tests/world/services.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from elmthread.net.http import Answer, NoResponseError, NotSentError
+from elmthread.net.http_client import ClientResponse, NoResponseError, NotSentError
 from tests.world.loop import SimLoop
 
 
@@ -38,13 +38,19 @@
         self.trouble = trouble
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
-    ) -> Answer:
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        precondition: Callable[[], bool] | None = None,
+    ) -> ClientResponse:
         loop = self._service.loop
         end = loop.now + timeout.total_seconds()
         trouble = self.trouble
         await asyncio.sleep(self._service.delay())
-        if sure is not None and not sure():
+        if precondition is not None and not precondition():
             raise NotSentError(path)
         if trouble.dead:
             # The process is gone, but what it had sent may still arrive.
@@ -62,7 +68,7 @@
             await asyncio.sleep(max(0.0, end - loop.now))
             raise NoResponseError("cut")
         if trouble.refused or self._service.down:
-            return Answer(503, {"error": "trouble"})
+            return ClientResponse(503, {"error": "trouble"})
         rng = self._service.rng
         if rng.random() < trouble.late:
             loop.call_later(end - loop.now + rng.uniform(0.0, 20.0), self._service.apply, method, path, body)
@@ -98,10 +104,10 @@
     def delay(self) -> float:
         return self.latency * self.rng.uniform(0.3, 1.0)
 
-    async def serve(self, method: str, path: str, body: Any) -> Answer:
+    async def serve(self, method: str, path: str, body: Any) -> ClientResponse:
         return self.apply(method, path, body)
 
-    def apply(self, method: str, path: str, body: Any) -> Answer:
+    def apply(self, method: str, path: str, body: Any) -> ClientResponse:
         raise NotImplementedError
 
 
@@ -156,7 +162,7 @@
             self.grants = {g: (ttl, self.loop.now + ttl) for g, (ttl, _) in self.grants.items()}
         self.down = down
 
-    async def serve(self, method: str, path: str, body: Any) -> Answer:
+    async def serve(self, method: str, path: str, body: Any) -> ClientResponse:
         if not path.startswith("/watch"):
             return self.apply(method, path, body)
         query = {key: values[0] for key, values in parse_qs(urlsplit(path).query).items()}
@@ -169,7 +175,7 @@
                 if revision > int(query["since"]) and key.startswith(query["starts"])
             ]
             if (news and not self.down) or self.loop.now >= end:
-                return Answer(200, {"ledger_rev": self.revision, "news": news})
+                return ClientResponse(200, {"ledger_rev": self.revision, "news": news})
             # Grants end by time alone, so a look now and then is needed besides the event.
             try:
                 async with asyncio.timeout(min(0.1, max(0.001, end - self.loop.now))):
@@ -177,7 +183,7 @@
             except TimeoutError:
                 pass
 
-    def apply(self, method: str, path: str, body: Any) -> Answer:
+    def apply(self, method: str, path: str, body: Any) -> ClientResponse:
         self.expire()
         parts = urlsplit(path)
         query = {key: values[0] for key, values in parse_qs(parts.query).items()}
@@ -186,34 +192,34 @@
         if method == "GET" and parts.path.startswith("/store/"):
             key = parts.path.removeprefix("/store/")
             if key not in self.items:
-                return Answer(404, {"ledger_rev": self.revision})
+                return ClientResponse(404, {"ledger_rev": self.revision})
             value, mod_revision, lease_id = self.items[key]
-            return Answer(200, {"k": key, "value": value, "stamp": mod_revision, "hold": lease_id})
+            return ClientResponse(200, {"k": key, "value": value, "stamp": mod_revision, "hold": lease_id})
         if parts.path == "/txn":
             return self._transact(body)
         if parts.path == "/grants":
             grant, ttl = self.next_grant, body["ttl_ms"] / 1000
             self.next_grant += 1
             self.grants[grant] = (ttl, self.loop.now + ttl)
-            return Answer(200, {"hold": grant})
+            return ClientResponse(200, {"hold": grant})
         if parts.path.startswith("/grants/"):
             grant = int(parts.path.split("/")[2])
             if grant not in self.grants:
-                return Answer(404, {})
+                return ClientResponse(404, {})
             if method == "DELETE":
                 self._end(grant)
             else:
                 ttl = self.grants[grant][0]
                 self.grants[grant] = (ttl, self.loop.now + ttl)
-            return Answer(200, {})
-        return Answer(400, {"error": "malformed"})
+            return ClientResponse(200, {})
+        return ClientResponse(400, {"error": "malformed"})
 
-    def _page(self, query: dict[str, str]) -> Answer:
+    def _page(self, query: dict[str, str]) -> ClientResponse:
         after = query.get("since", "")
         keys = sorted(key for key in self.items if key.startswith(query["starts"]) and key > after)
         most = int(query["most"])
         pairs = [{"k": key, "value": self.items[key][0], "stamp": self.items[key][1]} for key in keys[:most]]
-        return Answer(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
+        return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
 
     def limit(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
         """New limits, from now on and without notice; what is stored stays as it is."""
@@ -231,27 +237,27 @@
         self.level -= changes
         return True
 
-    def _transact(self, body: Any) -> Answer:
+    def _transact(self, body: Any) -> ClientResponse:
         then = body.get("then", [])
         if len(then) > self.most_ops or len(body["guards"]) > 4 * self.most_ops:
             self.bad_requests.append("too many operations")
-            return Answer(400, {"error": "too many operations"})
+            return ClientResponse(400, {"error": "too many operations"})
         for change in then:
             if "put" in change and len(json.dumps(change["value"], separators=(",", ":"))) > self.value_bytes:
                 self.bad_requests.append("value too large")
-                return Answer(400, {"error": "value too large"})
+                return ClientResponse(400, {"error": "value too large"})
             if change.get("hold") is not None and change["hold"] not in self.grants:
-                return Answer(400, {"error": "no such lease"})
+                return ClientResponse(400, {"error": "no such lease"})
         if not self._within_rate(len(then)):
             self.too_many += 1
-            return Answer(429, {"error": "too many changes"})
+            return ClientResponse(429, {"error": "too many changes"})
         failed = [
             one["k"]
             for one in body["guards"]
             if (self.items[one["k"]][1] if one["k"] in self.items else 0) != one["stamp"]
         ]
         if failed:
-            return Answer(409, {"failed": failed, "ledger_rev": self.revision})
+            return ClientResponse(409, {"failed": failed, "ledger_rev": self.revision})
         if then:
             self.revision += 1
         for change in then:
@@ -260,7 +266,7 @@
                 self._note(change["put"])
             elif self.items.pop(change["delete"], None) is not None:
                 self._note(change["delete"])
-        return Answer(200, {"ledger_rev": self.revision})
+        return ClientResponse(200, {"ledger_rev": self.revision})
 
 
 @dataclass
@@ -309,36 +315,36 @@
             machine.state = "running"
             self.born(machine)
 
-    def apply(self, method: str, path: str, body: Any) -> Answer:
+    def apply(self, method: str, path: str, body: Any) -> ClientResponse:
         parts = urlsplit(path)
         if parts.path == "/flavors":
-            return Answer(200, {"builds": self.types})
+            return ClientResponse(200, {"builds": self.types})
         if parts.path == "/hosts/delete":
             for name in body["looms"]:
                 if self.machines.pop(name, None) is not None:
                     self.deleted.append(name)
                     self.ended(name)
-            return Answer(200, {})
+            return ClientResponse(200, {})
         if method == "POST":
             return self._rent(body)
         return self._list(parse_qs(parts.query))
 
-    def _rent(self, body: Any) -> Answer:
+    def _rent(self, body: Any) -> ClientResponse:
         if body["hire"] in self.requests:
-            return Answer(200, {"looms": self.requests[body["hire"]]})
+            return ClientResponse(200, {"looms": self.requests[body["hire"]]})
         kind = (body["build"], body["yard"], body["loaners"])
         used = sum(1 for m in self.machines.values() if (m.machine_type, m.zone, m.spot) == kind)
         count = min(body["how_many"], self.capacity.get(kind, 0) - used)
         if count <= 0:
-            return Answer(503, {"error": "no capacity"})
+            return ClientResponse(503, {"error": "no capacity"})
         boot = next(kind["ready_s"] for kind in self.types if kind["name"] == body["build"])
         if self.quick:
             boot = 1.3
         names = [self.add(*kind, boot * self.rng.uniform(0.6, 1.5)).name for _ in range(count)]
         self.requests[body["hire"]] = names
-        return Answer(200, {"looms": names})
+        return ClientResponse(200, {"looms": names})
 
-    def _list(self, query: dict[str, list[str]]) -> Answer:
+    def _list(self, query: dict[str, list[str]]) -> ClientResponse:
         after = query.get("since", [""])[0]
         shown = [
             {
@@ -353,4 +359,4 @@
             for m in self.machines.values()
             if m.listed_at <= self.loop.now and m.name > after
         ]
-        return Answer(200, {"looms": shown, "has_next": False})
+        return ClientResponse(200, {"looms": shown, "has_next": False})
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -15,7 +15,8 @@
 
 from elmthread.common.features import SupportedLevels
 from elmthread.controller import Controller
-from elmthread.net.http import Answer, NoResponseError, NotSentError, Request
+from elmthread.net.http_client import ClientResponse, NoResponseError, NotSentError
+from elmthread.net.http_messages import Request
 from elmthread.peers.link import Peers
 from elmthread.settings import operators, platform
 from elmthread.settings.rollout import RolloutSettings
@@ -25,13 +26,15 @@
 MODULES: dict[str, tuple[str, ...]] = {
     "common.features": ("rollout.features",),
     "leader": ("controller",),
-    "net.http": ("common.http",),
+    "net.http_client": ("net.http", "common.http"),
+    "net.http_messages": ("net.http", "common.http"),
     "settings.rollout": ("rollout.settings",),
 }
 # Present class, by module and name -> earlier names.
 CLASSES: dict[tuple[str, str], tuple[str, ...]] = {
-    ("net.http", "NoResponseError"): ("NoAnswer",),
-    ("net.http", "NotSentError"): ("Withheld",),
+    ("net.http_client", "ClientResponse"): ("Answer",),
+    ("net.http_client", "NoResponseError"): ("NoAnswer",),
+    ("net.http_client", "NotSentError"): ("Withheld",),
     ("peers.link", "PeerUnreachableError"): ("NotReached",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
@@ -45,7 +48,7 @@
         "may_answer_workers": ("answers_workers",),
         "observe_term": ("hear",),
     },
-    ("net.http", "Response"): {},
+    ("net.http_messages", "Response"): {"precondition": ("sure",)},
     ("peers.link", "Peers"): {},
 }
 
@@ -154,8 +157,8 @@
 
     def request(self, request: Request) -> Any:
         """Return the request as the earlier version's server makes it."""
-        made = self.named("net.http", "Request")
-        return made(request.method, request.path, request.query, request.body, request.answered_at)
+        made = self.named("net.http_messages", "Request")
+        return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
 
     def peers(self, peers: type[Peers]) -> type[Peers]:
         """Give the overriding methods the names by which the earlier version calls them."""
@@ -172,16 +175,16 @@
     def __init__(self, port: Port, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
         self._port = port
-        self._answer = version.named("net.http", "Answer")
-        self._no_response = version.named("net.http", "NoResponseError")
-        self._not_sent = version.named("net.http", "NotSentError")
+        self._answer = version.named("net.http_client", "ClientResponse")
+        self._no_response = version.named("net.http_client", "NoResponseError")
+        self._not_sent = version.named("net.http_client", "NotSentError")
 
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
     ) -> Any:
-        """Call the service as the port does."""
+        """Call the service as the port does, with the name that the precondition had."""
         try:
-            answer: Answer = await self._port.call(method, path, body, timeout=timeout, sure=sure)
+            answer: ClientResponse = await self._port.call(method, path, body, timeout=timeout, precondition=sure)
         except NotSentError as error:
             raise self._not_sent(str(error)) from error
         except NoResponseError as error:
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -8,7 +8,7 @@
 
 import cbor2
 
-from elmthread.net.http import Request, Response
+from elmthread.net.http_messages import Request, Response
 from tests.world.loop import SimLoop
 from tests.world.rules import Rules
 
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -6,7 +6,7 @@
 
 import cbor2
 
-from elmthread.net.http import Request, Response
+from elmthread.net.http_messages import Request, Response
 from tests.world.links import WORKERS
 from tests.world.nodes import ControllerNodes
 from tests.world.services import Rented
@@ -50,7 +50,7 @@
     async def _send(self, worker: str, node: str, request: Request) -> Response:
         # What is not answered on a connection ends it.
         linked, answered_at = self.links.pop(worker, (node, None))
-        request.answered_at = answered_at if linked == node else None
+        request.previous_answered_at = answered_at if linked == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
         if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
@@ -59,15 +59,15 @@
         if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
             await asyncio.sleep(60)
         if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, answered_at=None))
+            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
         if node not in self.controllers:
             raise ConnectionError(node)
         if self.rng.random() < self.copies:
             for _ in range(self.rng.randint(1, 2)):
                 late, other = self.rng.uniform(*self.copy_late), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, answered_at=None))
+                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
         if self.kept is not None:
-            self.kept.append(replace(request, answered_at=None))
+            self.kept.append(replace(request, previous_answered_at=None))
         if self.slow and self.rng.random() < self.slow:
             await asyncio.sleep(self.rng.uniform(0.5, 6.0))
         if node not in self.controllers:
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from elmthread.net.http import Request, Response
+from elmthread.net.http_messages import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.reachability.command import ANNOUNCED_WITHIN, ask, describe
 from tests.world.earlier import newest
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -16,7 +16,9 @@
 
 import cbor2
 
-from elmthread.net.http import Client, NoResponseError, Request, Response, Server, decode
+from elmthread.net.http_client import HttpClient, NoResponseError
+from elmthread.net.http_messages import Request, Response, decode_body
+from elmthread.net.http_server import HttpServer
 from tests.world.rules import Rules
 from tests.world.services import CloudStand, Rented, Service, StateStore
 from tests.world.settings import SETTINGS, TYPES
@@ -95,7 +97,7 @@
         self.cloud.born = self._machine_up
         self.cloud.ended = self._machine_gone
         self._workers: dict[str, Worker] = {}
-        self._clients: dict[tuple[str, str], Client] = {}
+        self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
 
     async def start(self) -> None:
@@ -128,10 +130,10 @@
             self.counts[f"{request.method} {request.path.split('/')[1]}"] += 1
             if service.down:
                 return Response(503, {"error": "trouble"})
-            answer = await service.serve(request.method, path, decode(request.body) if request.body else None)
+            answer = await service.serve(request.method, path, decode_body(request.body) if request.body else None)
             return Response(answer.status, answer.body)
 
-        return await Server(handle, MOST_CONNECTIONS).start(HOST, 0)
+        return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
 
     def _machine_up(self, machine: Rented) -> None:
         kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
@@ -160,7 +162,7 @@
 
     async def _report_to(self, name: str, node: str, address: str, request: Request) -> Response:
         """A worker's report to a controller that it reaches at that address."""
-        client = self._clients.setdefault((name, node), Client(address))
+        client = self._clients.setdefault((name, node), HttpClient(address))
         self.counts["reports"] += 1
         try:
             answer = await client.call(request.method, request.path, cbor2.loads(request.body), timeout=CALL_TIME)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from elmthread.net.http import Client, NoResponseError
+from elmthread.net.http_client import HttpClient, NoResponseError
 from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
 
@@ -35,7 +35,8 @@
 OUTAGE_S = 8.0
 
 DUTIES = (
-    ("net/http.py", "requests and answers"),
+    ("net/http_client", "calls of our own"),
+    ("net/", "requests and answers"),
     ("httptools", "requests and answers"),
     ("h11", "calls of our own"),
     ("cbor2", "CBOR"),
@@ -116,7 +117,7 @@
         self._address = f"{HOST}:18080"
         self._stand_ins = StandIns(loop, {NODE: self._address}, machines)
         self._counts = self._stand_ins.counts
-        self._user = Client(self._address, most_idle=16)
+        self._user = HttpClient(self._address, max_idle=16)
         self._next_job = 1
         self.phases: list[tuple[Phase, Path | None]] = []
 
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from elmthread.net.http import Client, NoResponseError
+from elmthread.net.http_client import HttpClient, NoResponseError
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns, free_ports, real_loop
 from tools.processes import Node
 from tools.users import Users, Waits
@@ -129,7 +129,7 @@
 
     async def _ready(self, node: str) -> int:
         try:
-            return (await Client(self._addresses[node]).call("GET", "/ready", timeout=CALL_TIME)).status
+            return (await HttpClient(self._addresses[node]).call("GET", "/ready", timeout=CALL_TIME)).status
         except NoResponseError:
             return 0
 
--- a/tools/users.py
+++ b/tools/users.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from elmthread.net.http import Answer, Client, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
 from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, StandIns
 
@@ -95,13 +95,13 @@
         waits.polls.record_value(max(SHORTEST_MS, round((time.monotonic() - began) * 1000)))
         self.ends[job_id] = answer.body["status"]
 
-    async def _ask(self, job_id: str, method: str, path: str, body: Any) -> Answer | None:
+    async def _ask(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
         """As through a load balancer: another node is asked where one refuses the connection or is not ready."""
         asked = asyncio.get_running_loop().time()
         answer = None
         for node in self._up():
             try:
-                answer = await Client(self._addresses[node]).call(method, path, body, timeout=CALL_TIME)
+                answer = await HttpClient(self._addresses[node]).call(method, path, body, timeout=CALL_TIME)
             except NoResponseError:
                 continue
             if answer.status != 503:
