--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -29,7 +29,7 @@
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
 from elmthread.placement.attempts import AttemptCounter
-from elmthread.placement.service import Scheduler, SchedulerSettings
+from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
 from elmthread.reachability.zones import ZoneHealth
@@ -41,7 +41,8 @@
 from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import RecordWriter, WriteLimits
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
+from elmthread.workers.reconciliation import HeartbeatReconciler
 
 log = logging.getLogger(__name__)
 
@@ -91,8 +92,9 @@
         self._assignments = Assignments(self.context)
         self.machine_manager = self._make_machine_manager()
         self.job_service = self._make_job_service()
+        reconciler = HeartbeatReconciler(self.context, self._completions, self.run_times)
         self.heartbeat_handler = HeartbeatHandler(
-            self.context, self._assignments, self._completions, self.catalog, self.run_times, self.leases
+            self.context, reconciler, self._assignments, self.catalog, self.leases
         )
         self.scheduler = self._make_scheduler()
         self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -54,10 +54,10 @@
         return _read(await self._call("GET", f"/hosts?most={most}{since}"), messages.Page)
 
     async def _call(
-        self, method: str, path: str, body: Any = None, sure: Callable[[], bool] | None = None
+        self, method: str, path: str, body: Any = None, precondition: Callable[[], bool] | None = None
     ) -> ClientResponse:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIME, precondition=sure)
+            answer = await self._caller.call(method, path, body, timeout=CALL_TIME, precondition=precondition)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if answer.status == 429:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,10 +9,11 @@
 from elmthread.api.service import JobService
 from elmthread.autoscaling.service import Autoscaler
 from elmthread.cluster.events import ClusterEvents
-from elmthread.placement import decide
-from elmthread.placement.service import Scheduler
+from elmthread.placement import bin_packing
+from elmthread.placement.scheduler import Scheduler
 from elmthread.workers import messages
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
+from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.world.counting import count_calls, count_changes
 from tests.world.day import day
 from tests.world.random_troubles import set_apart
@@ -27,7 +28,7 @@
     """Thousands of tasks; the work for each stays within bounds that a quadratic slip would break."""
     changes: Counter[int] = Counter()  # by second
     calls: Counter[str] = Counter()
-    count_calls(monkeypatch, calls, decide, "fits")
+    count_calls(monkeypatch, calls, bin_packing, "fitting_tasks")
 
     async def script(world: World) -> None:
         count_changes(world, changes)
@@ -65,7 +66,7 @@
     assert sum(changes.values()) < tasks / 10
     # The rate with its burst, and the other nodes' share.
     assert max(changes.values()) <= 30 * 2
-    assert calls["fits"] < 10 * tasks, calls["fits"] / tasks
+    assert calls["fitting_tasks"] < 10 * tasks, calls["fitting_tasks"] / tasks
 
 
 def test_everything_back_at_once_and_a_second_time_before_the_first_is_over() -> None:
@@ -197,8 +198,8 @@
     """Most of what reports list runs on as before: neither is it taken in again, nor weighed for a command."""
     work: Counter[str] = Counter()
 
-    count_calls(monkeypatch, work, HeartbeatHandler, "heartbeat")
-    count_calls(monkeypatch, work, HeartbeatHandler, "_seen")
+    count_calls(monkeypatch, work, HeartbeatHandler, "handle")
+    count_calls(monkeypatch, work, HeartbeatReconciler, "_observe_state")
     count_calls(monkeypatch, work, messages, "task_name")
 
     async def script(world: World) -> None:
@@ -208,12 +209,12 @@
         assert await world.submit(job(1, pieces=40, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
         assert len(world.rules.where) == 40
-        assert work["_seen"] >= 40 and work["task_name"] >= 40
+        assert work["_observe_state"] >= 40 and work["task_name"] >= 40
         work.clear()
         await asyncio.sleep(15)
         assert len(world.rules.where) == 40
-        assert work["heartbeat"] >= 10
-        assert work["_seen"] == work["task_name"] == 0
+        assert work["handle"] >= 10
+        assert work["_observe_state"] == work["task_name"] == 0
 
     day(script, machines=0)
 
