--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -21,7 +21,7 @@
 from elmthread.limits import LEADERS_PART, users_at_once
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
-from elmthread.net.http import Caller
+from elmthread.net.http_client import HttpCaller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
@@ -60,7 +60,7 @@
     operators: Operators
     election: Election
     state: KeyValueStore
-    cloud: Caller
+    cloud: HttpCaller
     clock: Clock
     load: OverloadControl
     reachability: Reachability
