--- /dev/null
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -0,0 +1,62 @@
+"""The autoscaling round: two pressures size the fleet (see docs/design.md).
+
+The urgent pressure is the share of urgent cores, held in a band; the deferrable pressure is the
+number of groups that would end after their deadline, brought to none by the fewest machines.
+"""
+
+from elmthread.autoscaling.context import RoundView, ScalingContext
+from elmthread.autoscaling.deferrable_pool import DeferrablePool
+from elmthread.autoscaling.deferrable_scaling import DeferrableScaling
+from elmthread.autoscaling.draining import Draining
+from elmthread.autoscaling.instance_offers import InstanceOffers, MachineControl
+from elmthread.autoscaling.service_scaling import ServiceScaling
+from elmthread.autoscaling.urgent_band import UrgentBand
+from elmthread.cluster.machine import Machine
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.leadership.context import TermContext
+from elmthread.placement.scheduler import Scheduler
+from elmthread.settings.operators import Operators
+
+
+class Autoscaler:
+    """Requests machines for work that lacks room, and deletes those that no work needs."""
+
+    def __init__(
+        self,
+        context: TermContext,
+        machines: MachineControl,
+        scheduler: Scheduler,
+        run_times: RunTimeModel,
+        operators: Operators,
+    ) -> None:
+        """`machines` carries out what is decided; `scheduler` says what waits for room."""
+        self._cluster = context.cluster
+        self._clock = context.clock
+        self._catalog = machines.catalog
+        self._scheduler = scheduler
+        scaling = ScalingContext(context.cluster, machines, InstanceOffers(machines), scheduler, operators)
+        self._services = ServiceScaling(scaling)
+        self._deferrable_pool = DeferrablePool(scaling)
+        self._deferrable = DeferrableScaling(scaling, run_times)
+        self._urgent_band = UrgentBand(scaling)
+        self._draining = Draining(scaling)
+
+    def run_round(self) -> None:
+        """Judge both pressures, and scale out or in."""
+        if not self._catalog.types:
+            return
+        view = self._view()
+        self._services.run(view)
+        self._deferrable_pool.scale_in(view)
+        self._deferrable.run(view)
+        urgent_cores = self._urgent_band.urgent_cores(view)
+        self._urgent_band.run(view, urgent_cores, self._services.services_run)
+        self._draining.run(view, urgent_cores, self._urgent_band.min_share)
+
+    def _view(self) -> RoundView:
+        now = self._clock()
+        serving: dict[tuple[str, str, bool], list[Machine]] = {}
+        for machine in self._cluster.machines.values():
+            if machine.provides_capacity(now):
+                serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
+        return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), serving)
--- /dev/null
+++ b/src/elmthread/autoscaling/context.py
@@ -0,0 +1,51 @@
+"""What the parts of the autoscaler share, and the view that each of them has of one round."""
+
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from datetime import timedelta
+
+from elmthread.autoscaling.instance_offers import InstanceOffers, MachineControl
+from elmthread.cluster.machine import Machine
+from elmthread.cluster.state import ClusterState
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.requests import TaskRequest
+from elmthread.placement.scheduler import Scheduler
+from elmthread.settings.operators import Operators
+
+
+@dataclass(frozen=True)
+class ScalingContext:
+    """The collaborators of the autoscaler."""
+
+    cluster: ClusterState
+    machines: MachineControl
+    offers: InstanceOffers
+    scheduler: Scheduler
+    operators: Operators
+
+
+@dataclass(frozen=True)
+class RoundView:
+    """What one round decides by, taken at its beginning."""
+
+    now: timedelta
+    # What waits, in the order in which it gets room, and what each team may still use.
+    requests: list[TaskRequest]
+    remaining_quotas: Mapping[str, RemainingQuota]
+    # Machines that take work now or soon, by type, zone and spot.
+    serving: Mapping[tuple[str, str, bool], list[Machine]]
+
+    def usable_cores(self, requests: Iterable[TaskRequest]) -> float:
+        """Return the cores that these could use at once within their teams' quotas."""
+        return usable_cores(requests, self.remaining_quotas)
+
+
+def usable_cores(requests: Iterable[TaskRequest], remaining_quotas: Mapping[str, RemainingQuota]) -> float:
+    """Return the cores that waiting tasks could use at once within their teams' quotas."""
+    cores_left = {team: remaining_quota.cpus for team, remaining_quota in remaining_quotas.items()}
+    total = 0.0
+    for request in requests:
+        cores = max(0.0, min(cores_left[request.team], request.count * request.cpus))
+        cores_left[request.team] -= cores
+        total += cores
+    return total
--- /dev/null
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -0,0 +1,31 @@
+"""The deferrable pool: machines requested for late groups, deleted once they are idle."""
+
+from elmthread.autoscaling.context import RoundView, ScalingContext
+from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
+from elmthread.cluster.machine import MachineState
+
+
+class DeferrablePool:
+    """Scales the pool in."""
+
+    def __init__(self, context: ScalingContext) -> None:
+        """The pool is what the cluster's machines say of themselves."""
+        self._cluster = context.cluster
+        self._machines = context.machines
+
+    def scale_in(self, view: RoundView) -> None:
+        """Delete an idle pool as a whole, and the machines of a busy one that stay empty one by one.
+
+        One by one is an exception to the design: one long task would else keep the whole pool.
+        """
+        pool = [m for m in self._cluster.machines.values() if m.in_deferrable_pool and m.state is MachineState.UP]
+        is_idle = not any(not request.urgent for request in view.requests) and all(not m.allocations for m in pool)
+        for machine in pool:
+            max_idle = MIN_IDLE_TIME if is_idle else boot_idle_time(machine, self._machines.catalog)
+            if (
+                not machine.allocations
+                and not machine.zone_unreachable
+                and not machine.reserved
+                and view.now - machine.idle_since > max_idle
+            ):
+                self._machines.delete_machine(machine, "idle in the deferrable pool")
--- /dev/null
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -0,0 +1,219 @@
+"""The deferrable pressure: scale out for groups of deferrable tasks that would be late."""
+
+import logging
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from elmthread.autoscaling.context import RoundView, ScalingContext
+from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_selection import DeferrableBacklog, fewest_instances
+from elmthread.autoscaling.lateness import CoreSupply, DeadlineGroup
+from elmthread.autoscaling.running_work import RunningWork
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.run_times import RunTimeModel
+from elmthread.common.clock import seconds
+from elmthread.placement.bin_packing import is_allowed
+from elmthread.placement.requests import TaskRequest
+
+log = logging.getLogger(__name__)
+
+# Deadlines within this of one another form one group.
+GROUP_SPAN = seconds(20)
+# A group is to end within this part of its time: estimates are rough, and starts take a moment.
+DEADLINE_MARGIN = 0.6
+# What can't be saved any more is to end within this many times the soonest possible.
+UNSAVABLE_DEADLINE_FACTOR = 1.5
+# A machine that has not reported within this many times its boot time is not counted on.
+MAX_BOOT_TIMES = 2
+
+
+class _Needs(NamedTuple):
+    """What decides which machines could run a task, but for its memory."""
+
+    machine_types: frozenset[str] | None
+    zone: str | None
+    spot: bool
+    cpus: float
+    gpus: float
+
+
+@dataclass
+class _MachineShare:
+    """Machines (by name) that could take the same requests, and urgent work that goes first there."""
+
+    machines: set[str]
+    waiting: list[TaskRequest] = field(default_factory=list)
+    urgent: list[TaskRequest] = field(default_factory=list)
+
+
+class DeferrableScaling:
+    """Requests the fewest instances that leave no savable group late."""
+
+    def __init__(self, context: ScalingContext, run_times: RunTimeModel) -> None:
+        """`run_times` says how long tasks run."""
+        self._cluster = context.cluster
+        self._scheduler = context.scheduler
+        self._offers = context.offers
+        self._catalog = context.machines.catalog
+        self._run_times = run_times
+
+    def run(self, view: RoundView) -> None:
+        """Judge the groups on each set of machines, and request what is missing."""
+        running = RunningWork(self._cluster, self._run_times, view.now)
+        for share in self._machine_shares(view):
+            self._scale_out_for(share, view, running)
+
+    def _machine_shares(self, view: RoundView) -> list[_MachineShare]:
+        """Divide what waits by the machines that could run it.
+
+        Cores count only for work that may use them: jobs are judged together with those that
+        allow the same machines. Otherwise cores of the wrong kind, or in pieces too small for a
+        task, would make a group look on time that can't start at all.
+        """
+        by_needs: dict[_Needs, list[TaskRequest]] = {}
+        for request in view.requests:
+            needs = _Needs(request.machine_types, request.zone, request.spot, request.cpus, request.gpus)
+            by_needs.setdefault(needs, []).append(request)
+        shares: dict[tuple[str, ...], _MachineShare] = {}
+        urgent: list[tuple[set[str], list[TaskRequest]]] = []
+        for alike in by_needs.values():
+            machines = self._suitable_machines(alike[0], view)
+            # Urgent work is the band's, unless no machine could take it at all; but it goes ahead
+            # of what is judged here. Replicas have room made for them apart, and no deadline.
+            waiting = [
+                request
+                for request in alike
+                if not self._job(request).is_service and (not request.urgent or not machines)
+            ]
+            if waiting:
+                shares.setdefault(machines, _MachineShare(set(machines))).waiting.extend(waiting)
+            if machines:
+                urgent.append((set(machines), [request for request in alike if request.urgent]))
+        for share in shares.values():
+            share.urgent = [
+                request
+                for machine_names, requests in urgent
+                if not share.machines.isdisjoint(machine_names)
+                for request in requests
+            ]
+        return list(shares.values())
+
+    def _suitable_machines(self, request: TaskRequest, view: RoundView) -> tuple[str, ...]:
+        """Return the machines, up or coming, that could take the tasks at all."""
+        return tuple(
+            machine.name
+            for kind, machines in view.serving.items()
+            if is_allowed(request, *kind)
+            and request.cpus <= machines[0].cpus
+            and request.gpus <= machines[0].gpus
+            and request.memory_gb <= machines[0].memory_gb
+            for machine in machines
+        )
+
+    def _scale_out_for(self, share: _MachineShare, view: RoundView, running: RunningWork) -> None:
+        offers = self._offers.for_requests(share.waiting)
+        if not offers:
+            return
+        inexpensive = self._offers.without_expensive(offers)
+        # Expensive machines are for what would miss its latest deadline without them, and not for
+        # what can't be saved, as long as some machine serves it in time.
+        last_resort = not inexpensive and bool(share.machines)
+        offers = inexpensive or offers
+        boot_s = min(offer.boot_s for offer in offers)
+        groups, usable = self._deadline_groups(share.waiting, view, running, boot_s, last_resort)
+        supplies = self._supplies(share, view)
+        held_cores, core_seconds_ahead = running.on_machines(share.machines)
+        for request in share.urgent:
+            job = self._job(request)
+            if not job.is_service:
+                core_seconds_ahead += request.count * request.cpus * running.task_time_s(job)
+        usable += view.usable_cores(share.urgent) + held_cores - sum(supply.cores for supply in supplies)
+        backlog = DeferrableBacklog(groups, core_seconds_ahead, usable)
+        chosen = fewest_instances(backlog, supplies, offers, MAX_INSTANCES_PER_ROUND)
+        if chosen:
+            _log_scale_out(len(chosen), backlog, supplies)
+        self._offers.request(chosen, for_deferrable_pool=True)
+
+    def _deadline_groups(
+        self,
+        waiting: Sequence[TaskRequest],
+        view: RoundView,
+        running: RunningWork,
+        boot_s: float,
+        last_resort: bool,
+    ) -> tuple[list[DeadlineGroup], float]:
+        """Return waiting tasks by deadline, and the cores they could use at once.
+
+        `last_resort`: only those count that can still meet their latest deadline.
+        """
+        group_by_span: dict[int, DeadlineGroup] = {}
+        team_cores: dict[str, float] = {}
+        for request in waiting:
+            job = self._job(request)
+            task_time_s = running.task_time_s(job)
+            quota = max(0.0, view.remaining_quotas[request.team].cpus - team_cores.get(request.team, 0.0))
+            cores = min(quota, request.count * request.cpus)
+            team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
+            # A team at its quota still uses all of that as its running tasks end.
+            usable = max(min(self._scheduler.cpu_quota(request.team), request.count * request.cpus), request.cpus)
+            core_seconds = request.count * request.cpus * task_time_s
+            time_allowed = job.latest_deadline if last_resort else job.target_deadline * DEADLINE_MARGIN
+            due_s = (job.submitted_at + time_allowed - view.now).total_seconds()
+            soonest_s = boot_s + max(task_time_s, core_seconds / usable)
+            if due_s < soonest_s:
+                if last_resort:
+                    continue
+                # Can't be saved, so it is no reason to hurry; but it must not wait for ever.
+                due_s = soonest_s * UNSAVABLE_DEADLINE_FACTOR
+            span = math.floor(due_s / GROUP_SPAN.total_seconds())
+            group = group_by_span.setdefault(span, DeadlineGroup(due_s, 0.0, 0.0, 0.0))
+            group.due_s = min(group.due_s, due_s)
+            group.core_seconds += core_seconds
+            group.longest_task_s = max(group.longest_task_s, task_time_s)
+            group.usable_cores += usable
+        return [group_by_span[span] for span in sorted(group_by_span)], sum(team_cores.values())
+
+    def _supplies(self, share: _MachineShare, view: RoundView) -> list[CoreSupply]:
+        """Return the cores that serve the share, now or once machines have booted."""
+        supplies = [
+            supply
+            for machine in self._cluster.machines.values()
+            if machine.name in share.machines and (supply := self._supply(machine, view)) is not None
+        ]
+        sample = share.waiting[0]
+        for pending, machine_type in self._offers.pending():
+            if is_allowed(sample, pending.kind.machine_type, pending.kind.zone, pending.kind.spot):
+                supplies.append(CoreSupply(machine_type.boot_s * BOOT_TIME_FACTOR, machine_type.cpus * pending.count))
+        return supplies
+
+    def _supply(self, machine: Machine, view: RoundView) -> CoreSupply | None:
+        if machine.state is not MachineState.BOOTING:
+            # What replicas hold serves nobody else again.
+            return CoreSupply(0.0, machine.cpus - machine.service_cpus)
+        boot_s = self._catalog.types[machine.machine_type].boot_s
+        age_s = (view.now - machine.first_seen_at).total_seconds()
+        if age_s >= boot_s * MAX_BOOT_TIMES:
+            return None
+        # In whole seconds: what comes at about the same time is judged as one.
+        return CoreSupply(float(max(1, round(boot_s * BOOT_TIME_FACTOR - age_s))), machine.cpus)
+
+    def _job(self, request: TaskRequest) -> Job:
+        return self._cluster.jobs[request.job_id]
+
+
+def _log_scale_out(count: int, backlog: DeferrableBacklog, supplies: Sequence[CoreSupply]) -> None:
+    groups = backlog.groups
+    log.info(
+        "scaling out by %s instances for %s deadline groups due in %.0f to %.0f s: "
+        "%.0f core-seconds are ahead of them, %.0f in them, %.0f cores serve them",
+        count,
+        len(groups),
+        groups[0].due_s,
+        groups[-1].due_s,
+        backlog.core_seconds_ahead,
+        sum(group.core_seconds for group in groups),
+        sum(supply.cores for supply in supplies),
+    )
--- /dev/null
+++ b/src/elmthread/autoscaling/draining.py
@@ -0,0 +1,95 @@
+"""Draining: machines that booked and waiting work can do without get no new tasks, and lose what they have."""
+
+import logging
+from datetime import timedelta
+
+from elmthread.autoscaling.context import RoundView, ScalingContext
+from elmthread.cluster.allocation import StopMode
+from elmthread.cluster.machine import Machine
+from elmthread.common.clock import seconds
+
+log = logging.getLogger(__name__)
+
+# Cores kept over what work needs, since room left over in pieces is of no use.
+CAPACITY_FACTOR = 1.1
+# Tasks are moved off machines that cost this many times the cheapest per core, once they have
+# run for long enough that the move is worth its cost.
+RELOCATION_PRICE_RATIO = 1.4
+MIN_RUN_TIME_BEFORE_RELOCATION = seconds(30)
+# How long a draining machine is kept for the sake of replicas that others could take.
+MAX_DRAINING_FOR_REPLICAS = seconds(600)
+
+
+class Draining:
+    """Marks the machines to drain, and moves tasks off them where that pays."""
+
+    def __init__(self, context: ScalingContext) -> None:
+        """Each machine itself says whether it is draining."""
+        self._cluster = context.cluster
+        self._scheduler = context.scheduler
+
+    def run(self, view: RoundView, urgent_cores: float, min_urgent_share: float) -> None:
+        """Mark the machines that are not needed, the most expensive first, and empty some of them.
+
+        They are given nothing new while others have room. Where all that is left on one makes
+        checkpoints and would fit elsewhere, it is moved: an exception to the design, where only
+        an empty machine is returned, since long tasks kept expensive machines for minutes.
+        """
+        serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
+        # What is on machines that the cloud will take needs room elsewhere in a moment.
+        demand = sum(m.cpus_used for m in self._cluster.up_machines()) + view.usable_cores(view.requests)
+        needed = max(demand * CAPACITY_FACTOR, urgent_cores / min_urgent_share)
+        spare = 0.0
+        # Of equally expensive machines the fuller are kept: the others are closer to being empty.
+        serving.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
+        for machine in serving:
+            _mark(machine, needed <= 0 and not machine.reserved, view.now)
+            needed -= machine.cpus
+            if not machine.draining:
+                spare += machine.free_cpus
+            elif (
+                machine.allocations
+                and machine.cpus_used <= spare
+                and machine.price_per_core >= RELOCATION_PRICE_RATIO * serving[0].price_per_core
+            ):
+                spare -= machine.cpus_used
+                self._relocate_tasks(machine, view.now)
+            elif machine.draining_since is not None and view.now - machine.draining_since > MAX_DRAINING_FOR_REPLICAS:
+                self._relocate_replicas(machine)
+
+    def _relocate_tasks(self, machine: Machine, now: timedelta) -> None:
+        """Stop all tasks of the machine, if each makes checkpoints and has run for long enough."""
+        allocations = list(machine.allocations.values())
+        if any(allocation.stop_mode is None for allocation in allocations) and all(
+            allocation.job.spec.makes_checkpoints
+            and allocation.started_at is not None
+            and now - allocation.started_at > MIN_RUN_TIME_BEFORE_RELOCATION
+            for allocation in allocations
+        ):
+            log.info(
+                "machine %s is drained: its %s tasks are checkpointed and requeued", machine.name, len(allocations)
+            )
+            for allocation in allocations:
+                allocation.stop_mode = allocation.stop_mode or StopMode.CHECKPOINT
+
+    def _relocate_replicas(self, machine: Machine) -> None:
+        """Stop replicas for which others have room on a machine that only replicas keep.
+
+        One of a job at a time, since each move costs replica time.
+        """
+        if not all(allocation.job.is_service for allocation in machine.allocations.values()):
+            return
+        for allocation in machine.allocations.values():
+            job = allocation.job
+            is_moving = any(other.stop_mode is not None for other in job.allocations.values())
+            if not is_moving and job.running_count == job.task_count and self._scheduler.has_room_elsewhere(allocation):
+                log.info("replica %s/%s moves off draining machine %s", job.id, allocation.task, machine.name)
+                allocation.stop_mode = StopMode.CHECKPOINT
+
+
+def _mark(machine: Machine, draining: bool, now: timedelta) -> None:
+    machine.draining = draining
+    if not draining:
+        machine.draining_since = None
+    elif machine.draining_since is None:
+        machine.draining_since = now
--- /dev/null
+++ b/src/elmthread/autoscaling/idle_time.py
@@ -0,0 +1,15 @@
+"""How long an empty machine is kept."""
+
+from datetime import timedelta
+
+from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.machine import Machine
+from elmthread.common.clock import seconds
+
+MIN_IDLE_TIME = seconds(10)
+
+
+def boot_idle_time(machine: Machine, catalog: MachineTypeCatalog) -> timedelta:
+    """Return about the time that another machine of its type would take to boot."""
+    machine_type = catalog.types.get(machine.machine_type)
+    return max(MIN_IDLE_TIME, seconds(machine_type.boot_s)) if machine_type is not None else MIN_IDLE_TIME
--- /dev/null
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -0,0 +1,142 @@
+"""What the cloud offers and what has been requested of it, as the autoscaler sees both."""
+
+import math
+from collections import Counter
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Protocol
+
+from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.machine import InstanceKind, Machine
+from elmthread.placement.bin_packing import is_allowed
+from elmthread.placement.requests import TaskRequest
+from elmthread.store.machine_type import MachineType
+
+# Boots take longer than the cloud says.
+BOOT_TIME_FACTOR = 1.2
+# Machines that cost this many times the cheapest per core are requested only where no others are left.
+EXPENSIVE_PRICE_RATIO = 1.6
+# Instances requested at once for one purpose.
+MAX_INSTANCES_PER_ROUND = 500
+
+
+class PendingRequest(Protocol):
+    """An instance request whose machines are not listed yet."""
+
+    @property
+    def name(self) -> str:
+        """Its unique name."""
+
+    @property
+    def kind(self) -> InstanceKind:
+        """What was requested."""
+
+    @property
+    def count(self) -> int:
+        """How many instances are still to come."""
+
+    @property
+    def for_deferrable_pool(self) -> bool:
+        """Whether the machines will belong to the deferrable pool."""
+
+
+class MachineControl(Protocol):
+    """Carries out what the autoscaler decides."""
+
+    @property
+    def catalog(self) -> MachineTypeCatalog:
+        """The machine types that the cloud offers."""
+
+    @property
+    def instance_requests(self) -> Mapping[str, PendingRequest]:
+        """All requests whose machines are still to come, by name."""
+
+    def is_unavailable(self, kind: InstanceKind, /) -> bool:
+        """Return whether such machines can't be had now."""
+
+    def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool, /) -> None:
+        """Request that many machines from the cloud."""
+
+    def delete_machine(self, machine: Machine, reason: str, /) -> None:
+        """Delete the machine."""
+
+
+@dataclass(slots=True, frozen=True)
+class InstanceOffer:
+    """A kind of machine that can be requested, as far as is known."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    cores: float
+    price_per_hour: float
+    boot_s: float
+    max_count: int = 50
+    gpus: float = 0.0
+    memory_gb: float = math.inf
+
+    def is_expensive(self, cheapest: float) -> bool:
+        """Return whether it costs much more than `cheapest`, a price per hour and core."""
+        return self.price_per_hour > EXPENSIVE_PRICE_RATIO * cheapest * self.cores
+
+
+class InstanceOffers:
+    """The offers of the cloud, and the way to take them up."""
+
+    def __init__(self, machines: MachineControl) -> None:
+        """`machines` sends the requests."""
+        self._machines = machines
+        self._catalog = machines.catalog
+
+    def for_requests(self, waiting: Sequence[TaskRequest]) -> list[InstanceOffer]:
+        """Return the kinds that can be had now and that a task of any of the requests fits."""
+        offers = []
+        for machine_type in self._catalog.types.values():
+            for zone in machine_type.zones:
+                for spot in (True, False):
+                    if self._machines.is_unavailable(InstanceKind(machine_type.name, zone, spot)):
+                        continue
+                    if any(_fits_empty(request, machine_type, zone, spot) for request in waiting):
+                        offers.append(_offer(machine_type, zone, spot))
+        return offers
+
+    def without_expensive(self, offers: Sequence[InstanceOffer]) -> list[InstanceOffer]:
+        """Return those that are not expensive against the cheapest kind, whether that can be had or not."""
+        cheapest = min(kind.spot_price / kind.cpus for kind in self._catalog.types.values() if kind.cpus)
+        return [offer for offer in offers if not offer.is_expensive(cheapest)]
+
+    def request(self, chosen: Sequence[InstanceOffer], for_deferrable_pool: bool) -> None:
+        """Request one instance for each of the offers."""
+        for kind, count in Counter(
+            InstanceKind(offer.machine_type, offer.zone, offer.spot) for offer in chosen
+        ).items():
+            self._machines.request_instances(kind, count, for_deferrable_pool)
+
+    def pending(self) -> Iterator[tuple[PendingRequest, MachineType]]:
+        """Yield the requests whose machines are still to come, as far as their types are known."""
+        for request in self._machines.instance_requests.values():
+            machine_type = self._catalog.types.get(request.kind.machine_type)
+            if machine_type is not None:
+                yield request, machine_type
+
+
+def _fits_empty(request: TaskRequest, machine_type: MachineType, zone: str, spot: bool) -> bool:
+    return (
+        is_allowed(request, machine_type.name, zone, spot)
+        and request.cpus <= machine_type.cpus
+        and request.gpus <= machine_type.gpus
+        and request.memory_gb <= machine_type.memory_gb
+    )
+
+
+def _offer(machine_type: MachineType, zone: str, spot: bool) -> InstanceOffer:
+    return InstanceOffer(
+        machine_type.name,
+        zone,
+        spot,
+        machine_type.cpus,
+        machine_type.spot_price if spot else machine_type.price,
+        machine_type.boot_s * BOOT_TIME_FACTOR,
+        gpus=machine_type.gpus,
+        memory_gb=machine_type.memory_gb,
+    )
--- /dev/null
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -0,0 +1,141 @@
+"""Which instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
+
+Pure functions over offers (Chiron's algorithm 2, section 5.3).
+"""
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+from elmthread.autoscaling.instance_offers import InstanceOffer
+from elmthread.autoscaling.lateness import (
+    CoreSupply,
+    DeadlineGroup,
+    late_groups,
+    merge_supplies,
+    unsavable_groups,
+)
+
+# Bounds the work of finding cheaper instances.
+MAX_PRICE_TRIALS = 60
+
+
+@dataclass(frozen=True)
+class DeferrableBacklog:
+    """Waiting deferrable work, and what is served before it."""
+
+    groups: Sequence[DeadlineGroup]  # in order of deadline
+    core_seconds_ahead: float
+    usable_cores: float  # more than waiting tasks could use is never requested
+
+
+def fewest_instances(
+    backlog: DeferrableBacklog,
+    supplies: Sequence[CoreSupply],
+    offers: Sequence[InstanceOffer],
+    max_count: int = 50,
+) -> list[InstanceOffer]:
+    """Return the fewest instances that leave no savable group late; among those, about the cheapest.
+
+    Where even all that may be requested leaves a group late, return as many as are of use.
+    """
+    offers = [offer for offer in offers if offer.cores > 0 and offer.max_count > 0]
+    if not offers or not backlog.groups:
+        return []
+    check = _LatenessCheck(backlog, supplies, min(offer.boot_s for offer in offers))
+    if check.leaves_none_late([]):
+        return []
+    ranked = _largest_first(offers, backlog.usable_cores, max_count)
+    if not ranked or not check.leaves_none_late(ranked):
+        return ranked
+    # More machines never make a group late, so the shortest sufficient prefix is found by halving.
+    low, high = 0, len(ranked)
+    while high - low > 1:
+        middle = (low + high) // 2
+        low, high = (low, middle) if check.leaves_none_late(ranked[:middle]) else (middle, high)
+    return _with_cheaper(ranked[:high], offers, check)
+
+
+def cover_shortfall(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
+    """Return the fewest instances with so many cores; the last no larger or more expensive than it must be."""
+    chosen = _largest_first(offers, cores, max_count)
+    if not chosen:
+        return []
+    missing = cores - sum(offer.cores for offer in chosen[:-1])
+    sufficient = [
+        offer for offer in offers if offer.cores >= missing and offer.price_per_hour <= chosen[-1].price_per_hour
+    ]
+    last = min(sufficient, key=lambda offer: (offer.price_per_hour, offer.boot_s), default=chosen[-1])
+    return [*chosen[:-1], last]
+
+
+class _LatenessCheck:
+    """Whether instances in addition to the supplies leave no group late, but for those that can't be saved."""
+
+    def __init__(self, backlog: DeferrableBacklog, supplies: Sequence[CoreSupply], boot_s: float) -> None:
+        self._backlog = backlog
+        self._supplies = merge_supplies(supplies)
+        self._unsavable = unsavable_groups(backlog.groups, boot_s)
+
+    def leaves_none_late(self, chosen: Sequence[InstanceOffer]) -> bool:
+        added = [CoreSupply(offer.boot_s, offer.cores) for offer in chosen]
+        return not late_groups(
+            self._backlog.groups, [*self._supplies, *added], self._backlog.core_seconds_ahead, self._unsavable
+        )
+
+
+def _largest_first(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
+    """Return instances for up to so many cores, the largest first: as many others have no more cores.
+
+    Those that boot sooner come first among equals, as do the cheaper; zones take turns, since
+    what a zone has left is not known before it is asked. Expensive kinds come after all others:
+    fewer machines are not worth their price.
+    """
+    cheapest = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
+    ranks: dict[tuple[bool, float, float, float], list[InstanceOffer]] = {}
+    for offer in offers:
+        rank = (offer.is_expensive(cheapest), -offer.cores, offer.boot_s, offer.price_per_hour)
+        ranks.setdefault(rank, []).append(offer)
+    chosen: list[InstanceOffer] = []
+    for rank in sorted(ranks):
+        for turn in range(max(offer.max_count for offer in ranks[rank])):
+            for offer in ranks[rank]:
+                if turn < offer.max_count and len(chosen) < max_count and cores > 0:
+                    chosen.append(offer)
+                    cores -= offer.cores
+    return chosen
+
+
+def _with_cheaper(
+    chosen: list[InstanceOffer], offers: Sequence[InstanceOffer], check: _LatenessCheck
+) -> list[InstanceOffer]:
+    """Replace instances by cheaper ones, as many at once as leave no group late by it."""
+    by_price = sorted(offers, key=lambda offer: offer.price_per_hour)
+    trials_left = MAX_PRICE_TRIALS
+    for current in sorted(set(chosen), key=lambda offer: -offer.price_per_hour):
+        for cheaper in by_price:
+            if cheaper.price_per_hour >= current.price_per_hour:
+                break
+            low, high = 0, min(chosen.count(current), cheaper.max_count - chosen.count(cheaper)) + 1
+            while high - low > 1 and trials_left > 0:
+                trials_left -= 1
+                middle = (low + high) // 2
+                if check.leaves_none_late(_replaced(chosen, current, cheaper, middle)):
+                    low = middle
+                else:
+                    high = middle
+            chosen = _replaced(chosen, current, cheaper, low)
+    return chosen
+
+
+def _replaced(
+    chosen: list[InstanceOffer], current: InstanceOffer, cheaper: InstanceOffer, count: int
+) -> list[InstanceOffer]:
+    """Return `chosen` with the first `count` of one offer replaced by the other."""
+    result = []
+    for offer in chosen:
+        if offer == current and count > 0:
+            count -= 1
+            result.append(cheaper)
+        else:
+            result.append(offer)
+    return result
--- /dev/null
+++ b/src/elmthread/autoscaling/lateness.py
@@ -0,0 +1,88 @@
+"""Which groups of deferrable tasks end after their deadline (Chiron, section 5.3). Pure functions.
+
+All times are seconds from now: what is judged is made, judged and dropped in one round.
+"""
+
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass
+
+
+@dataclass(slots=True, frozen=True)
+class CoreSupply:
+    """Cores that serve deferrable work from a time on."""
+
+    start_s: float
+    cores: float
+
+
+@dataclass(slots=True)
+class DeadlineGroup:
+    """Waiting deferrable tasks with about the same deadline."""
+
+    due_s: float
+    core_seconds: float
+    longest_task_s: float  # of one task, image included
+    usable_cores: float  # what its tasks, within their teams' quotas, can use at once
+
+    @property
+    def min_duration_s(self) -> float:
+        """The shortest time that the group takes: that of one task, or of all on the cores they may use."""
+        return max(self.longest_task_s, self.core_seconds / self.usable_cores if self.usable_cores > 0 else math.inf)
+
+
+def merge_supplies(supplies: Sequence[CoreSupply]) -> list[CoreSupply]:
+    """Return supplies that start together as one, the soonest first: hundreds of machines make a few."""
+    cores: dict[float, float] = {}
+    for supply in supplies:
+        cores[supply.start_s] = cores.get(supply.start_s, 0.0) + supply.cores
+    return [CoreSupply(start_s, cores[start_s]) for start_s in sorted(cores)]
+
+
+def finish_time_s(core_seconds: float, supplies: Sequence[CoreSupply]) -> float:
+    """Return when so much work is done by merged supplies; infinite without any cores."""
+    at_s, cores = 0.0, 0.0
+    for supply in supplies:
+        if supply.start_s > at_s:
+            if cores > 0 and core_seconds <= cores * (supply.start_s - at_s):
+                return at_s + core_seconds / cores
+            core_seconds -= cores * (supply.start_s - at_s)
+            at_s = supply.start_s
+        cores += supply.cores
+    if core_seconds <= 0:
+        return at_s
+    return at_s + core_seconds / cores if cores > 0 else math.inf
+
+
+def group_end_times_s(
+    groups: Sequence[DeadlineGroup], supplies: Sequence[CoreSupply], core_seconds_ahead: float
+) -> list[float]:
+    """Return when each group (in order of deadline) ends: the wait for what is ahead of it, then its own work."""
+    end_times_s = []
+    supplies = merge_supplies(supplies)
+    wait_s = finish_time_s(core_seconds_ahead, supplies)
+    for group in groups:
+        work_end_s = finish_time_s(core_seconds_ahead + group.core_seconds, supplies)
+        end_times_s.append(max(work_end_s, wait_s + group.min_duration_s))
+        core_seconds_ahead += group.core_seconds
+        wait_s = work_end_s
+    return end_times_s
+
+
+def late_groups(
+    groups: Sequence[DeadlineGroup],
+    supplies: Sequence[CoreSupply],
+    core_seconds_ahead: float,
+    ignored: frozenset[int],
+) -> list[int]:
+    """Return the indices of the groups that end late, but for the ignored ones."""
+    return [
+        index
+        for index, end_s in enumerate(group_end_times_s(groups, supplies, core_seconds_ahead))
+        if end_s > groups[index].due_s and index not in ignored
+    ]
+
+
+def unsavable_groups(groups: Sequence[DeadlineGroup], boot_s: float) -> frozenset[int]:
+    """Return the indices of the groups that would be late even if unlimited machines were requested now."""
+    return frozenset(index for index, group in enumerate(groups) if boot_s + group.min_duration_s > group.due_s)
--- /dev/null
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -0,0 +1,171 @@
+"""Room for services, an exception to the design, whose band counts cores of every kind.
+
+Replicas hold their cores for good, and often may use no spot machine, or no more than half of
+them in one zone: they would wait beside any number of cores of the wrong kind. So what waits
+and fits nowhere has instances requested at once, and the share of replicas in the cores that
+they may use is held in the same band.
+"""
+
+from collections.abc import Sequence
+from dataclasses import dataclass, replace
+from datetime import timedelta
+
+from elmthread.autoscaling.context import RoundView, ScalingContext, usable_cores
+from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_selection import cover_shortfall
+from elmthread.autoscaling.replica_room import (
+    DemandTrend,
+    ReplicaCapacity,
+    instances_for,
+    machines_to_reserve,
+    unplaced,
+)
+from elmthread.autoscaling.urgent_band import MIN_URGENT_SHARE, BandDecision, band_decision
+from elmthread.cluster.job import Job
+from elmthread.cluster.machine import Machine
+from elmthread.common.clock import seconds
+from elmthread.placement.bin_packing import is_allowed
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.requests import TaskRequest
+
+
+@dataclass(frozen=True)
+class _OrdinaryDemand:
+    """Cores of ordinary machines that services need."""
+
+    booked: float
+    soon: float  # booked by the time that an instance requested now is up
+    largest_job: float  # for all replicas of the largest service
+
+
+class ServiceScaling:
+    """Scales out for replicas, and keeps ordinary machines in reserve for them."""
+
+    def __init__(self, context: ScalingContext) -> None:
+        """No service is known before the first round."""
+        self.services_run = False
+        self._cluster = context.cluster
+        self._scheduler = context.scheduler
+        self._operators = context.operators
+        self._offers = context.offers
+        self._catalog = context.machines.catalog
+        self._trend = DemandTrend()
+
+    def run(self, view: RoundView) -> None:
+        """Make room for replicas on machines that they may use."""
+        services = [job for job in self._cluster.open_jobs.values() if job.is_service]
+        self.services_run = bool(services)
+        if not services:
+            self._trend.growth(view.now, 0.0)
+            for machine in self._cluster.machines.values():
+                machine.reserved = False
+            return
+        # A service that fails everywhere would exclude, and so request, machine after machine.
+        waiting = [
+            replace(request, excluded_machines=()) if job.backoff else request
+            for request in view.requests
+            if (job := self._cluster.jobs[request.job_id]).is_service
+        ]
+        # One more like the largest there is must find room at once, spread as it may have to be.
+        largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
+        self._request_room([*waiting, self._whole_job(largest)], view.now)
+        ordinary = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)]
+        spot_excluded = [job for job in services if not job.spec.spot]
+        demand = self._ordinary_demand(waiting, ordinary, largest, view.now)
+        if spot_excluded:
+            self._hold_band(spot_excluded, demand, ordinary)
+        self._reserve(ordinary, demand if spot_excluded else None)
+
+    def _whole_job(self, job: Job) -> TaskRequest:
+        """Return a request for all tasks of a job like this one, of which nothing is placed."""
+        return replace(
+            self._scheduler.request_of(job),
+            count=job.task_count,
+            tasks_by_zone={},
+            tasks_by_machine={},
+            excluded_machines=(),
+        )
+
+    def _request_room(self, waiting: Sequence[TaskRequest], now: timedelta) -> None:
+        """Request instances for what will fit nowhere."""
+        remaining_quotas = self._scheduler.remaining_quotas()
+        left = unplaced(waiting, self._coming_capacity(waiting, now), remaining_quotas)
+        if left:
+            offers = self._offers.for_requests(left)
+            chosen = instances_for(left, offers, remaining_quotas, MAX_INSTANCES_PER_ROUND)
+            self._offers.request(chosen, for_deferrable_pool=False)
+
+    def _coming_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
+        """Return what replicas may have, now or once deferrable work has given way or machines are up."""
+        capacities = []
+        for m in self._cluster.machines.values():
+            if not m.provides_capacity(now) or not any(
+                is_allowed(request, m.machine_type, m.zone, m.spot) for request in waiting
+            ):
+                continue
+            urgent_part = m.urgent_cpus / m.cpus_used if m.cpus_used else 0.0
+            capacities.append(
+                FreeCapacity(
+                    m.name,
+                    m.machine_type,
+                    m.zone,
+                    m.spot,
+                    m.cpus - m.urgent_cpus,
+                    m.gpus - m.gpus_used * urgent_part,
+                    m.memory_gb - m.memory_gb_used * urgent_part,
+                )
+            )
+        for pending, machine_type in self._offers.pending():
+            kind = pending.kind
+            capacities += [
+                FreeCapacity(
+                    f"{pending.name}+{number}",
+                    kind.machine_type,
+                    kind.zone,
+                    kind.spot,
+                    machine_type.cpus,
+                    machine_type.gpus,
+                    machine_type.memory_gb,
+                )
+                for number in range(pending.count)
+            ]
+        return capacities
+
+    def _ordinary_demand(
+        self, waiting: Sequence[TaskRequest], ordinary: Sequence[Machine], largest: Job, now: timedelta
+    ) -> _OrdinaryDemand:
+        booked = sum(m.service_cpus for m in ordinary)
+        booked += usable_cores([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
+        max_boot_s = max(machine_type.boot_s for machine_type in self._catalog.types.values())
+        boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.check
+        soon = booked + self._trend.growth(now, booked) * boot.total_seconds()
+        return _OrdinaryDemand(booked, soon, largest.task_count * largest.spec.cpus)
+
+    def _hold_band(self, spot_excluded: Sequence[Job], demand: _OrdinaryDemand, ordinary: Sequence[Machine]) -> None:
+        """Request ordinary instances where the share of replicas is above the band, or will be soon."""
+        theta, delta = self._operators.theta, self._operators.delta
+        cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in ordinary)
+        cores += sum(
+            machine_type.cpus * pending.count
+            for pending, machine_type in self._offers.pending()
+            if not pending.kind.spot
+        )
+        decision = band_decision(demand.booked, cores, theta, delta)
+        if decision is BandDecision.SCALE_OUT or demand.soon > cores:
+            offers = self._offers.for_requests([self._scheduler.request_of(job) for job in spot_excluded])
+            shortfall = max(demand.booked / theta, demand.soon) - cores
+            chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
+            self._offers.request(chosen, for_deferrable_pool=False)
+
+    def _reserve(self, ordinary: list[Machine], demand: _OrdinaryDemand | None) -> None:
+        """Mark the machines in reserve: those that hold replicas stay in any case, then the cheapest."""
+        needed = 0.0
+        if demand is not None:
+            booked, min_share = demand.booked, max(self._operators.theta - self._operators.delta, MIN_URGENT_SHARE)
+            needed = max(booked / min_share, demand.soon, booked + demand.largest_job) - booked
+        ordinary.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
+        reserved = machines_to_reserve(
+            (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in ordinary), needed
+        )
+        for machine in self._cluster.machines.values():
+            machine.reserved = machine.name in reserved
--- a/src/elmthread/autoscaling/tests/test_services.py
+++ b/src/elmthread/autoscaling/tests/test_replica_room.py
@@ -1,12 +1,18 @@
-"""Room for services, against brute force and a plain reading of what is wanted."""
+"""Room for replicas of services, against brute force and the rules read literally."""
 
 import copy
 import itertools
 import math
 import random
 
-from elmthread.autoscaling.decide import Offer
-from elmthread.autoscaling.services import Trend, machines_for, reserve, unplaced
+from elmthread.autoscaling.instance_offers import InstanceOffer
+from elmthread.autoscaling.replica_room import (
+    DemandTrend,
+    ReplicaCapacity,
+    instances_for,
+    machines_to_reserve,
+    unplaced,
+)
 from elmthread.common.clock import seconds
 from elmthread.placement.bin_packing import is_allowed
 from elmthread.placement.capacity import FreeCapacity
@@ -33,13 +39,13 @@
 
 
 OFFERS = [
-    Offer("small", zone, spot, 4.0, 0.2 if spot else 0.5, 30.0, memory_gb=8.0)
+    InstanceOffer("small", zone, spot, 4.0, 0.2 if spot else 0.5, 30.0, memory_gb=8.0)
     for zone in "xyz"
     for spot in (True, False)
-] + [Offer("large", "x", False, 32.0, 4.0, 30.0, memory_gb=64.0)]
+] + [InstanceOffer("large", "x", False, 32.0, 4.0, 30.0, memory_gb=64.0)]
 
 
-def test_machines_are_of_the_kind_and_in_the_zones_that_replicas_need() -> None:
+def test_instances_are_of_the_kind_and_in_the_zones_that_replicas_need() -> None:
     for seed in range(200):
         rng = random.Random(seed)
         tasks = rng.randint(1, 9)
@@ -47,17 +53,17 @@
         wanted = make_request(tasks, most, tasks_by_zone={"x": rng.randint(0, 2)} if rng.random() < 0.5 else {})
         there = dict(wanted.tasks_by_zone)
         remaining_quotas = {"t": RemainingQuota(rng.choice([math.inf, 6.0]))}
-        limit = min(tasks, int(remaining_quotas["t"].cpus / 2) if remaining_quotas["t"].cpus < math.inf else tasks)
-        chosen = machines_for([wanted], OFFERS, remaining_quotas, 50)
+        max_placed = min(tasks, int(remaining_quotas["t"].cpus / 2) if remaining_quotas["t"].cpus < math.inf else tasks)
+        chosen = instances_for([wanted], OFFERS, remaining_quotas, 50)
         assert not any(offer.spot for offer in chosen)
-        # They take all that limits let run, and none is there for nothing.
-        assert tasks - wanted.count == limit
-        assert sum(offer.cores for offer in chosen) - 2 * limit < 32 * len(chosen)
+        # All that quotas allow is placed, and no instance is superfluous.
+        assert tasks - wanted.count == max_placed
+        assert sum(offer.cores for offer in chosen) - 2 * max_placed < 32 * len(chosen)
         for zone, count in wanted.tasks_by_zone.items():
             assert count <= max(most, there.get(zone, 0))
 
 
-def test_what_fits_somewhere_is_not_rented_for() -> None:
+def test_no_instances_are_requested_for_what_fits_somewhere() -> None:
     for seed in range(200):
         rng = random.Random(seed)
         capacities = [
@@ -66,7 +72,7 @@
         ]
         one = make_request(rng.randint(1, 5), rng.choice([math.inf, 2.0]))
         left = unplaced([one], copy.deepcopy(capacities), {"t": RemainingQuota()})
-        # By brute force: the most replicas that any way of giving them out can place.
+        # By brute force: the most replicas that any distribution can place.
         best = 0
         each = [
             range(int(s.cpus // 2) + 1) if is_allowed(one, s.machine_type, s.zone, s.spot) else range(1)
@@ -79,21 +85,21 @@
         assert one.count - sum(request.count for request in left) == best
 
 
-def test_a_team_at_its_limit_has_nothing_rented_for_it() -> None:
+def test_no_instances_are_requested_for_a_team_at_its_quota() -> None:
     assert unplaced([make_request(3)], [], {"t": RemainingQuota(1.0)}) == []
 
 
 def test_reserve_has_the_cores_and_no_zone_counts_for_more_than_half() -> None:
-    machines = [("a", "x", 8.0), ("b", "x", 8.0), ("c", "x", 8.0), ("d", "y", 8.0), ("e", "z", 8.0)]
-    assert reserve(machines, 0.0) == set()
+    machines = [ReplicaCapacity(name, zone, 8.0) for name, zone in zip("abcde", "xxxyz", strict=True)]
+    assert machines_to_reserve(machines, 0.0) == set()
     # One large machine has the cores, but half of a spread service could not run on it.
-    assert reserve([("l", "x", 64.0), *machines], 10.0) == {"l", "d"}
-    assert reserve(machines, 16.0) == {"a", "d"}
-    assert reserve(machines, 32.0) == {"a", "b", "d", "e"}
+    assert machines_to_reserve([ReplicaCapacity("l", "x", 64.0), *machines], 10.0) == {"l", "d"}
+    assert machines_to_reserve(machines, 16.0) == {"a", "d"}
+    assert machines_to_reserve(machines, 32.0) == {"a", "b", "d", "e"}
 
 
-def test_growth_is_seen_soon_and_forgotten_when_it_ends() -> None:
-    trend = Trend()
+def test_growth_is_noticed_soon_and_forgotten_when_it_ends() -> None:
+    trend = DemandTrend()
     assert trend.growth(seconds(0), 0.0) == 0.0
     # Two cores a second from 100 s on.
     rises = [trend.growth(seconds(at), max(0.0, 2.0 * (at - 100))) for at in range(5, 131, 5)]
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.deferrable_scaling import DeferrableScaling
+from elmthread.autoscaling.running_work import HeldWork, RunningWork
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.leader import Leader
@@ -35,7 +36,7 @@
 
     async def script(world: World) -> None:
         leader = await filled(world)
-        sizing, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
+        autoscaler, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
         asked: list[str] = []
         expected = leader.run_times.expected
 
@@ -46,13 +47,13 @@
                 asked.append(one.id)
                 return expected(one)
 
-        monkeypatch.setattr(sizing, "_run_times", Counted())
+        monkeypatch.setattr(autoscaler._deferrable, "_run_times", Counted())
         checked = 0
-        places_of, running = Autoscaler._places, Autoscaler._running
+        suitable_machines, on_machines = DeferrableScaling._suitable_machines, RunningWork.on_machines
 
-        def places(self: Autoscaler, request: Any) -> tuple[str, ...]:
+        def checked_machines(self: DeferrableScaling, request: Any, view: Any) -> tuple[str, ...]:
             nonlocal checked
-            found = places_of(self, request)
+            found = suitable_machines(self, request, view)
             plain = {
                 machine.name
                 for machine in cluster.machines.values()
@@ -66,9 +67,9 @@
             checked += 1
             return found
 
-        def summed(self: Autoscaler, names: set[str], at: Any) -> tuple[float, float]:
+        def checked_sum(self: RunningWork, names: set[str]) -> HeldWork:
             nonlocal checked
-            cores, work = running(self, names, at)
+            cores, core_seconds = work = on_machines(self, names)
             held = [
                 allocation
                 for name in names
@@ -79,19 +80,19 @@
             plain = 0.0
             for allocation in held:
                 whole = expected(allocation.job).total_seconds()
-                ran = 0.0 if allocation.started_at is None else (at - allocation.started_at).total_seconds()
+                ran = 0.0 if allocation.started_at is None else (now - allocation.started_at).total_seconds()
                 plain += allocation.job.spec.cpus * (
                     whole if allocation.started_at is None else max(whole - ran, whole * 0.2)
                 )
-            assert work == pytest.approx(plain)
+            assert core_seconds == pytest.approx(plain)
             checked += 1
-            return cores, work
+            return work
 
-        monkeypatch.setattr(Autoscaler, "_places", places)
-        monkeypatch.setattr(Autoscaler, "_running", summed)
-        sizing.run_round()
+        monkeypatch.setattr(DeferrableScaling, "_suitable_machines", checked_machines)
+        monkeypatch.setattr(RunningWork, "on_machines", checked_sum)
+        autoscaler.run_round()
         assert checked > 4 and sum(len(machine.allocations) for machine in cluster.machines.values()) > 60
-        assert len(asked) == len(set(asked)) <= len(cluster.open_jobs)
+        assert 0 < len(asked) == len(set(asked)) <= len(cluster.open_jobs)
 
     day(script, machines=6)
 
--- /dev/null
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -0,0 +1,129 @@
+"""The urgent pressure: the share of urgent cores is held in a band (Chiron, sections 5.1 and 5.2)."""
+
+from collections import deque
+from collections.abc import Sequence
+from datetime import timedelta
+from enum import Enum, auto
+
+from elmthread.autoscaling.context import RoundView, ScalingContext
+from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
+from elmthread.autoscaling.instance_offers import MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_selection import cover_shortfall
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.common.clock import seconds
+
+# Urgent demand is remembered for this long to track theta, once there is enough of it.
+DEMAND_WINDOW = seconds(300)
+MIN_DEMAND_HISTORY = seconds(60)
+MAX_THETA = 0.9
+# The lowest share that cores are kept for, however wide the band.
+MIN_URGENT_SHARE = 0.05
+
+
+class BandDecision(Enum):
+    """What brings the urgent share into its band, or keeps it there."""
+
+    SCALE_OUT = auto()
+    KEEP = auto()
+    SCALE_IN = auto()
+
+
+def band_decision(urgent_cores: float, cores: float, theta: float, delta: float) -> BandDecision:
+    """Return what holds the share of urgent cores in theta plus or minus delta."""
+    if cores <= 0:
+        return BandDecision.SCALE_OUT if urgent_cores > 0 else BandDecision.KEEP
+    share = urgent_cores / cores
+    if share > theta + delta:
+        return BandDecision.SCALE_OUT
+    if share < theta - delta:
+        return BandDecision.SCALE_IN
+    return BandDecision.KEEP
+
+
+class UrgentBand:
+    """Holds the urgent share of the cores outside the deferrable pool in the band."""
+
+    def __init__(self, context: ScalingContext) -> None:
+        """Theta begins with the operators' value."""
+        self.theta = context.operators.theta
+        self._cluster = context.cluster
+        self._machines = context.machines
+        self._offers = context.offers
+        self._delta = context.operators.delta
+        self._min_theta = context.operators.theta
+        self._demand: deque[tuple[timedelta, float]] = deque()
+
+    @property
+    def min_share(self) -> float:
+        """The lower end of the band."""
+        return max(self.theta - self._delta, MIN_URGENT_SHARE)
+
+    def urgent_cores(self, view: RoundView) -> float:
+        """Return the urgent cores: booked, and waiting as far as teams' quotas let them run."""
+        booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
+        return booked + view.usable_cores(request for request in view.requests if request.urgent)
+
+    def run(self, view: RoundView, urgent_cores: float, services_run: bool) -> None:
+        """Scale out or in as far as the band asks for it."""
+        self._track_theta(urgent_cores, view.now)
+        machines = [
+            m
+            for m in self._cluster.machines.values()
+            if not m.in_deferrable_pool
+            and not m.zone_unreachable
+            and m.state in (MachineState.UP, MachineState.BOOTING, MachineState.UNCONFIRMED)
+        ]
+        cores = sum(m.cpus for m in machines)
+        for pending, machine_type in self._offers.pending():
+            if not pending.for_deferrable_pool:
+                cores += machine_type.cpus * pending.count
+        match band_decision(urgent_cores, cores, self.theta, self._delta):
+            case BandDecision.SCALE_OUT:
+                self._scale_out(view, urgent_cores, cores)
+            case BandDecision.SCALE_IN:
+                unneeded = [m for m in machines if self._is_unneeded(m, view.now, services_run)]
+                self._scale_in(unneeded, urgent_cores, cores)
+            case BandDecision.KEEP:
+                pass
+
+    def _track_theta(self, urgent_cores: float, now: timedelta) -> None:
+        """Let theta follow the recent mean-to-peak ratio of urgent demand."""
+        self._demand.append((now, urgent_cores))
+        while self._demand[0][0] < now - DEMAND_WINDOW:
+            self._demand.popleft()
+        peak = max(demand for _, demand in self._demand)
+        if peak > 0 and now - self._demand[0][0] > MIN_DEMAND_HISTORY:
+            mean = sum(demand for _, demand in self._demand) / len(self._demand)
+            self.theta = min(max(mean / peak, self._min_theta), MAX_THETA)
+
+    def _scale_out(self, view: RoundView, urgent_cores: float, cores: float) -> None:
+        """Request the fewest instances that bring the share back into the band.
+
+        Where only expensive kinds are left, a reserve over what is booked is not worth its
+        price: urgent work can requeue deferrable work.
+        """
+        offers = self._offers.for_requests([request for request in view.requests if request.urgent] or view.requests)
+        inexpensive = self._offers.without_expensive(offers)
+        shortfall = urgent_cores / (self.theta if inexpensive else 1.0) - cores
+        chosen = cover_shortfall(inexpensive or offers, shortfall, MAX_INSTANCES_PER_ROUND)
+        self._offers.request(chosen, for_deferrable_pool=False)
+
+    def _scale_in(self, unneeded: Sequence[Machine], urgent_cores: float, cores: float) -> None:
+        """Delete machines, the most expensive first, as far as the share stays in the band."""
+        max_share = self.theta + self._delta
+        for machine in sorted(unneeded, key=lambda m: -m.price_per_core):
+            if urgent_cores <= max_share * (cores - machine.cpus):
+                cores -= machine.cpus
+                self._machines.delete_machine(machine, "not needed")
+
+    def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
+        """Return whether the machine is empty, and has been for long enough to be deleted.
+
+        Where services run, an ordinary machine is the only kind that some work may use: it is
+        kept through a lull that is shorter than the boot of another.
+        """
+        if not machine.is_schedulable or not machine.draining or machine.allocations:
+            return False
+        is_kept_longer = services_run and not machine.spot
+        max_idle = boot_idle_time(machine, self._machines.catalog) if is_kept_longer else MIN_IDLE_TIME
+        return now - machine.idle_since > max_idle
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -7,7 +7,7 @@
 
 from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
-from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.leases import WorkerLeases
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -170,15 +170,6 @@
     return (capacity.cpus, capacity.name)
 
 
-class _GroupRank(NamedTuple):
-    """A group, as far as its machines come by the image in one way; the smallest is filled first."""
-
-    draining: bool
-    cost_s: float
-    group: int
-    access: ImageAccess
-
-
 class _Packer:
     """Fills groups of machines with the tasks of one request after the other."""
 
@@ -218,9 +209,13 @@
                 if request.count <= 0 or remaining_quota.cpus + EPSILON < request.cpus:
                     return
 
-    def _ranks(self, request: TaskRequest) -> list[_GroupRank]:
-        """Rank each group that the job allows, once for each way in which its machines come by the image."""
-        ranks: list[_GroupRank] = []
+    def _ranks(self, request: TaskRequest) -> list[tuple[bool, float, int, ImageAccess]]:
+        """Rank each group that the job allows, once for each way in which its machines come by the image.
+
+        A rank is whether the group drains, its cost in seconds, its index and that way. The smallest is
+        filled first. It is a plain tuple, as many are made in each round.
+        """
+        ranks: list[tuple[bool, float, int, ImageAccess]] = []
         for index, group in enumerate(self._groups):
             if not group.sort():
                 continue
@@ -234,7 +229,7 @@
             fetch_s = request.image_gb / sample.image_fetch_rate
             penalty_s = price_penalty_s(request, sample.price_per_core, self._cheapest)
             ranks += [
-                _GroupRank(sample.draining, IMAGE_ACCESS_COST[access] * fetch_s + penalty_s, index, access)
+                (sample.draining, IMAGE_ACCESS_COST[access] * fetch_s + penalty_s, index, access)
                 for access in ImageAccess
             ]
         ranks.sort()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,7 +7,7 @@
 import pytest
 
 from elmthread.api.service import JobService
-from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.events import ClusterEvents
 from elmthread.placement import bin_packing
 from elmthread.placement.scheduler import Scheduler
