--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -16,8 +16,8 @@
 from elmthread.placement.requests import PlacementClass
 from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.settings.platform import Team
+from tests.world.specs import job as wire
 from tests.world.term import term_context
-from tests.world.world import job as wire
 
 NOW = seconds(1000)
 RUN = seconds(20)
