--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -9,7 +9,7 @@
     """Scales the pool in."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """The pool is what the cluster's machines say of themselves."""
+        """Share the collaborators of the autoscaler."""
         self._cluster = context.cluster
         self._machines = context.machines
 
--- a/src/elmthread/placement/attempts.py
+++ b/src/elmthread/placement/attempts.py
@@ -1,4 +1,4 @@
-"""Numbers of attempts, unique for ever."""
+"""Attempt numbers, unique over all terms."""
 
 # Attempts that one leader may begin: the fencing token grows with each leadership.
 ATTEMPTS_PER_TERM = 10_000_000
@@ -8,7 +8,7 @@
     """Counts the attempts of one term."""
 
     def __init__(self, fencing_token: int) -> None:
-        """The first attempt is one above the token's multiple of ATTEMPTS_PER_TERM."""
+        """Start one above the fencing token's multiple of ATTEMPTS_PER_TERM."""
         self.last = fencing_token * ATTEMPTS_PER_TERM
 
     def next(self) -> int:
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -78,7 +78,7 @@
     """Makes requests from jobs."""
 
     def __init__(self, attempts: AttemptCounter) -> None:
-        """`attempts` bounds the digits, and so the bytes, of an attempt in a machine's record."""
+        """Make requests whose bytes in a machine's record follow from the digits of the next `attempts`."""
         self._attempts = attempts
 
     def request_of(self, job: Job) -> TaskRequest:
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -47,7 +47,7 @@
         assignments: AssignmentSink,
         run_times: RunTimeModel,
     ) -> None:
-        """`assignments` makes what is placed durable; `run_times` says how long tasks run."""
+        """Schedule for one term: `assignments` makes what is placed durable, `run_times` says how long tasks run."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._attempts = attempts
--- a/src/elmthread/placement/tests/reference.py
+++ b/src/elmthread/placement/tests/reference.py
@@ -19,8 +19,9 @@
 
 
 def preference(request: TaskRequest, capacity: FreeCapacity, cheapest: float) -> tuple[bool, float, float, str]:
-    """Return a key, the best machine first: draining machines come last; then by the time to fetch the
-    image and the price; then full machines first.
+    """Return a sort key that puts the best machine first.
+
+    Draining machines come last; then by the time to fetch the image and the price; then the fullest first.
     """
     fetch = IMAGE_ACCESS_COST[image_access(request, capacity)] * request.image_gb / capacity.image_fetch_rate
     return (
@@ -77,53 +78,79 @@
     `capacities` counts room that is already being freed. Each machine is filled as far as its
     candidates allow; machines where the loss for each task gained is least come first.
     """
-    chosen: list[PreemptionCandidate] = []
     by_machine: dict[str, list[PreemptionCandidate]] = {}
     for candidate in candidates:
         by_machine.setdefault(candidate.machine, []).append(candidate)
-    # A team at its limit makes room for its urgent work itself, wherever its tasks run.
+    chosen = _stop_own_team(request, capacities, by_machine, remaining_quota)
+    if chosen:
+        place([request], list(capacities.values()), {request.team: remaining_quota})
+    while request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
+        victims = _least_loss(request, capacities, by_machine)
+        if victims is None:
+            break
+        name, stopped = victims
+        for candidate in stopped:
+            _stop(candidate, capacities, by_machine)
+        chosen += stopped
+        assign_tasks(request, capacities[name], remaining_quota, 1)
+    return chosen
+
+
+def _stop_own_team(
+    request: TaskRequest,
+    capacities: dict[str, FreeCapacity],
+    by_machine: dict[str, list[PreemptionCandidate]],
+    remaining_quota: RemainingQuota,
+) -> list[PreemptionCandidate]:
+    """Free quota where the team is at its limit: by its own tasks, wherever they run."""
+    chosen: list[PreemptionCandidate] = []
     own = sorted(
-        (candidate for candidate in candidates if candidate.team == request.team), key=lambda candidate: candidate.loss
+        (candidate for held in by_machine.values() for candidate in held if candidate.team == request.team),
+        key=lambda candidate: candidate.loss,
     )
     while own and remaining_quota.cpus + EPSILON < request.count * request.cpus:
         candidate = own.pop(0)
-        by_machine[candidate.machine].remove(candidate)
         remaining_quota.cpus += candidate.cpus
         remaining_quota.gpus += candidate.gpus
-        capacity = capacities.get(candidate.machine)
-        if capacity is not None:
-            capacity.cpus += candidate.cpus
-            capacity.gpus += candidate.gpus
-            capacity.memory_gb += candidate.memory_gb
+        _stop(candidate, capacities, by_machine)
         chosen.append(candidate)
-    if chosen:
-        place([request], list(capacities.values()), {request.team: remaining_quota})
-    while request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
-        best: tuple[float, list[PreemptionCandidate], FreeCapacity] | None = None
-        for name, held in by_machine.items():
-            capacity = capacities.get(name)
-            if (
-                capacity is None
-                or name in request.excluded_machines
-                or not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot)
-            ):
-                continue
-            if request.max_per_zone < math.inf and request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
-                continue
-            victims = cheapest_victims(request, capacity, held)
-            if victims is None:
-                continue
-            loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
-            if best is None or loss < best[0]:
-                best = (loss, victims, capacity)
-        if best is None:
-            break
-        _, victims, capacity = best
-        for candidate in victims:
-            by_machine[capacity.name].remove(candidate)
-            capacity.cpus += candidate.cpus
-            capacity.gpus += candidate.gpus
-            capacity.memory_gb += candidate.memory_gb
-        chosen += victims
-        assign_tasks(request, capacity, remaining_quota, 1)
     return chosen
+
+
+def _stop(
+    candidate: PreemptionCandidate,
+    capacities: dict[str, FreeCapacity],
+    by_machine: dict[str, list[PreemptionCandidate]],
+) -> None:
+    by_machine[candidate.machine].remove(candidate)
+    capacity = capacities.get(candidate.machine)
+    if capacity is not None:
+        capacity.cpus += candidate.cpus
+        capacity.gpus += candidate.gpus
+        capacity.memory_gb += candidate.memory_gb
+
+
+def _least_loss(
+    request: TaskRequest,
+    capacities: dict[str, FreeCapacity],
+    by_machine: dict[str, list[PreemptionCandidate]],
+) -> tuple[str, list[PreemptionCandidate]] | None:
+    """Return the machine where one task's room costs the least loss, and the tasks to stop there."""
+    best: tuple[float, str, list[PreemptionCandidate]] | None = None
+    for name, held in by_machine.items():
+        capacity = capacities.get(name)
+        if (
+            capacity is None
+            or name in request.excluded_machines
+            or not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot)
+        ):
+            continue
+        if request.max_per_zone < math.inf and request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
+            continue
+        victims = cheapest_victims(request, capacity, held)
+        if victims is None:
+            continue
+        loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
+        if best is None or loss < best[0]:
+            best = (loss, name, victims)
+    return None if best is None else best[1:]
--- /dev/null
+++ b/src/elmthread/placement/tests/test_victims.py
@@ -0,0 +1,76 @@
+"""Preemption against plain bounds and the reference."""
+
+import random
+from datetime import timedelta
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from elmthread.placement.capacity import FreeCapacity
+from elmthread.placement.quotas import RemainingQuota
+from elmthread.placement.tests import reference
+from elmthread.placement.tests.clusters import make_request, random_cluster
+from elmthread.placement.victims import PreemptionCandidate, preempt
+
+steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+
+
+def test_a_team_at_its_quota_preempts_its_own_tasks() -> None:
+    capacities = {"m": FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)}
+    candidates = [PreemptionCandidate(n, "m", team, 1.0, 0.0, 0.1) for n, team in enumerate(["t", "v", "t", "t"])]
+    chosen = preempt(make_request("u", 1, 2.0, urgent=True), capacities, {"m": candidates}, RemainingQuota(0.0))
+    assert [candidate.team for candidate in chosen] == ["t", "t"]
+
+
+@steady
+@given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 9)), max_size=6), st.integers(0, 3), st.integers(1, 4))
+def test_preemption_frees_enough_and_no_more_than_needed(held: list[tuple[int, int]], free: int, need: int) -> None:
+    candidates = [
+        PreemptionCandidate(n, "m", "other", float(cpus), 0.0, 0.0, timedelta(seconds=loss))
+        for n, (cpus, loss) in enumerate(held)
+    ]
+    capacity = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, memory_gb=9.0)
+    chosen = preempt(make_request("u", 1, float(need)), {"m": capacity}, {"m": list(candidates)}, RemainingQuota())
+    if free + sum(cpus for cpus, _ in held) < need or free >= need:
+        assert chosen == []
+    else:
+        freed = free + sum(candidate.cpus for candidate in chosen)
+        assert freed >= need
+        # The last one chosen was still needed.
+        assert freed - chosen[-1].cpus < need
+
+
+def test_preemption_stops_what_the_reference_stops() -> None:
+    for seed in range(40):
+        outcomes = []
+        for implementation in (preempt, reference.preempt):
+            rng = random.Random(seed)
+            _, capacities, _ = random_cluster(rng, 30, 0)
+            candidates = [
+                PreemptionCandidate(
+                    n, rng.choice(capacities).name, rng.choice(["t1", "t2"]), 1.0, 0.0, 1.0, timedelta(rng.random())
+                )
+                for n in range(150)
+            ]
+            need = make_request("u", rng.randint(1, 40), 2.0, team="t1", urgent=True)
+            by_name = {capacity.name: capacity for capacity in capacities}
+            if implementation is preempt:
+                held: dict[str, list[PreemptionCandidate]] = {}
+                for candidate in candidates:
+                    held.setdefault(candidate.machine, []).append(candidate)
+                chosen = preempt(need, by_name, held, RemainingQuota(rng.choice([4.0, 500.0])))
+            else:
+                chosen = reference.preempt(need, by_name, candidates, RemainingQuota(rng.choice([4.0, 500.0])))
+            outcomes.append((sorted(candidate.attempt for candidate in chosen), need.count))
+        assert outcomes[0] == outcomes[1]
+
+
+def test_only_work_of_lower_priority_is_preempted() -> None:
+    """A service of a low priority is urgent, but takes no room from what is as important."""
+    for rank, others in ((0, [1, 2, 3]), (2, [3]), (3, [])):
+        held = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
+        capacity = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, memory_gb=9.0)
+        need = make_request("u", 3, 2.0, urgent=True)
+        need.priority_rank = rank
+        chosen = preempt(need, {"m": capacity}, {"m": held}, RemainingQuota())
+        assert sorted(candidate.priority_rank for candidate in chosen) == others
