--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -1,4 +1,4 @@
-"""What a round of sizing and of judging machines looks at: once a job and a machine, and what plain sums say."""
+"""Work per round: each job and machine is judged once, and only machines in doubt one by one."""
 
 import asyncio
 from datetime import timedelta
@@ -32,8 +32,8 @@
     return world.leader.leader
 
 
-def test_a_round_asks_once_a_job_and_sums_up_as_the_plain_way_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On small controllers sums over every task held, made anew for each group, were an eighth of all time."""
+def test_a_round_estimates_each_job_once_and_sums_up_all_that_machines_hold(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Groups of jobs share machines; sums over all tasks anew for each group are too slow on small controllers."""
 
     async def script(world: World) -> None:
         leader = await filled(world)
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -1,4 +1,4 @@
-"""The order in which jobs get room, against a plain reading of the rules for it."""
+"""The order in which jobs get room, against the rules read literally."""
 
 import random
 from collections import Counter
@@ -69,7 +69,17 @@
     return cluster, scheduler
 
 
-def test_order_is_the_plain_one_and_lets_everybody_begin() -> None:
+def test_classes_of_requests_are_in_the_order_of_the_rules() -> None:
+    assert sorted(PlacementClass) == [
+        PlacementClass.FIRST_TASK,
+        PlacementClass.URGENT,
+        PlacementClass.GUARANTEED,
+        PlacementClass.ON_TIME,
+        PlacementClass.PUT_OFF,
+    ]
+
+
+def test_jobs_get_room_in_order_and_each_one_begins() -> None:
     for seed in range(200):
         cluster, scheduler = make_cluster(random.Random(seed))
         requests = scheduler.requests(NOW)
