--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -81,6 +81,7 @@
         urgent: list[tuple[set[str], list[TaskRequest]]] = []
         for alike in by_needs.values():
             machines = self._suitable_machines(alike[0], view)
+            machine_names = set(machines)
             # Urgent work is the band's, unless no machine could take it at all; but it goes ahead
             # of what is judged here. Replicas have room made for them apart, and no deadline.
             waiting = [
@@ -89,14 +90,14 @@
                 if not self._job(request).is_service and (not request.urgent or not machines)
             ]
             if waiting:
-                shares.setdefault(machines, _MachineShare(set(machines))).waiting.extend(waiting)
+                shares.setdefault(machines, _MachineShare(machine_names)).waiting.extend(waiting)
             if machines:
-                urgent.append((set(machines), [request for request in alike if request.urgent]))
+                urgent.append((machine_names, [request for request in alike if request.urgent]))
         for share in shares.values():
             share.urgent = [
                 request
-                for machine_names, requests in urgent
-                if not share.machines.isdisjoint(machine_names)
+                for names, requests in urgent
+                if not share.machines.isdisjoint(names)
                 for request in requests
             ]
         return list(shares.values())
