--- a/src/elmthread/autoscaling/service.py
+++ b/src/elmthread/autoscaling/service.py
@@ -15,7 +15,8 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.machines.service import MachineManager
+from elmthread.machines.deletion_reasons import DeletionReason
+from elmthread.machines.manager import MachineManager
 from elmthread.placement.decide import FreeCapacity, RemainingQuota, TaskRequest, allowed
 from elmthread.placement.service import Scheduler
 from elmthread.settings.operators import Operators
@@ -470,7 +471,7 @@
                 and not machine.reserved
                 and now - machine.idle_since > patience
             ):
-                self._machines.delete_machine(machine, "the pool is idle")
+                self._machines.delete_machine(machine, DeletionReason.POOL_IDLE)
 
     def _idle_for(self, machine: Machine) -> timedelta:
         """Where services run, an ordinary machine is the only kind that some work may use: it is not
@@ -545,7 +546,7 @@
         for machine in sorted(empty, key=lambda m: -m.price_per_core):
             if urgent <= most * (cores - machine.cpus):
                 cores -= machine.cpus
-                self._machines.delete_machine(machine, "not needed")
+                self._machines.delete_machine(machine, DeletionReason.NOT_NEEDED)
 
 
 def _usable(requests: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota]) -> float:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -10,7 +10,7 @@
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.leader import Leader
-from elmthread.machines.service import MachineManager
+from elmthread.machines.failure_detection import FailureDetector
 from elmthread.placement.decide import allowed
 from tests.test_world import day
 from tests.world.world import World, job
@@ -101,16 +101,16 @@
         leader = await filled(world)
         await asyncio.sleep(10)
         judged: list[Machine] = []
-        expire = MachineManager._expire
+        release_expired = FailureDetector._release_expired
 
-        def noted(self: MachineManager, machine: Machine, now: Any) -> None:
+        def noted(self: FailureDetector, machine: Machine, now: Any) -> None:
             judged.append(machine)
-            expire(self, machine, now)
+            release_expired(self, machine, now)
 
-        monkeypatch.setattr(MachineManager, "_expire", noted)
+        monkeypatch.setattr(FailureDetector, "_release_expired", noted)
         up = [machine for machine in leader.cluster.machines.values() if machine.state is MachineState.UP]
         assert len(up) >= 6
-        leader.machine_manager._judge()
+        leader.machine_manager.failure_detector.check()
         assert len(judged) <= 1
         # Silence, a notice or a doubt, and it is looked at.
         silent, noticed, quarantined = up[:3]
@@ -120,7 +120,7 @@
         quarantined.quarantined = True
         await asyncio.sleep(6)
         judged.clear()
-        leader.machine_manager._judge()
+        leader.machine_manager.failure_detector.check()
         assert {silent.name, noticed.name, quarantined.name} <= {machine.name for machine in judged}
         assert silent.heartbeat_overdue and not noticed.heartbeat_overdue
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -21,7 +21,7 @@
     holding_time,
     users_at_once,
 )
-from elmthread.machines.service import QUIET
+from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.net.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.peers.link import Peers, PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
@@ -81,7 +81,7 @@
             ReachabilityBounds(LEASE, facts.workers.heartbeat_interval, facts.workers.lease),
             clock,
             self._features,
-            facts.workers.lease * QUIET,
+            facts.workers.lease * HEARTBEAT_OVERDUE_LEASES,
             self.peers,
         )
         self._state = KeyValueStore(state or Client(platform.endpoints.state), self._requests, self.reachability.store)
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -23,7 +23,7 @@
     users_at_once,
 )
 from elmthread.machines.client import CloudClient
-from elmthread.machines.service import MachineManager
+from elmthread.machines.manager import MachineManager
 from elmthread.net.http import Caller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -1,4 +1,4 @@
-"""The cloud met through its protocol, paced within its rate."""
+"""The cloud's API: typed calls, which count against its rate."""
 
 import logging
 from collections.abc import Callable
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from elmthread.cluster.machine import InstanceKind
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.machines import messages
@@ -16,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T", bound=msgspec.Struct)
-CALL_TIME = seconds(5)
-MOST_DELETED = 100
-MOST_RENTED = 50
-MOST_LISTED = 500
+ResponseBody = TypeVar("ResponseBody", bound=msgspec.Struct)
+CALL_TIMEOUT = seconds(5)
+MAX_DELETIONS_PER_CALL = 100
+MAX_INSTANCES_PER_REQUEST = 50
+MAX_MACHINES_PER_PAGE = 500
 
 
 class CloudError(ElmthreadError):
@@ -32,34 +33,49 @@
 
 
 class CloudClient:
-    def __init__(self, caller: Caller, calls: TokenBucket, list_lag: timedelta, sure: Callable[[], bool]) -> None:
+    """Makes the calls. Whoever makes one takes it from `rate_limit` first."""
+
+    def __init__(
+        self, caller: Caller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
+    ) -> None:
+        """`may_change` is asked right before a call that changes something leaves: the cloud knows no leaders."""
         self._caller = caller
-        self.calls = calls
+        self._may_change = may_change
+        self.rate_limit = rate_limit
+        # How late the cloud's list is.
         self.list_lag = list_lag
-        # The cloud knows no leaders: what changes something is judged right before it leaves.
-        self._sure = sure
 
-    async def types(self) -> list[MachineType]:
-        return _read(await self._call("GET", "/flavors"), messages.Types).types
+    async def machine_types(self) -> list[MachineType]:
+        """Return all machine types. Raises CloudError."""
+        return _read(await self._call("GET", "/flavors"), messages.MachineTypeList).types
 
-    async def rent(self, name: str, machine_type: str, zone: str, spot: bool, count: int) -> list[str]:
-        body = messages.rental(name, machine_type, zone, spot, min(count, MOST_RENTED))
-        return _read(await self._call("POST", "/hosts", body, self._sure), messages.Rented).machines
+    async def request_instances(self, name: str, kind: InstanceKind, count: int) -> list[str]:
+        """Return the names of the machines given, at most `count`. Raises NoCapacityError and CloudError."""
+        body = messages.ProvisioningBody(
+            name, kind.machine_type, kind.zone, kind.spot, min(count, MAX_INSTANCES_PER_REQUEST)
+        )
+        answer = await self._call("POST", "/hosts", messages.encode_body(body), self._may_change)
+        return _read(answer, messages.ProvisionedMachines).machines
 
     async def delete(self, names: list[str]) -> None:
-        await self._call("POST", "/hosts/delete", messages.deletion(names), self._sure)
+        """Delete the machines: once this returns, all that was on them has ended. Raises CloudError."""
+        body = messages.encode_body(messages.DeletionBody(names))
+        await self._call("POST", "/hosts/delete", body, self._may_change)
 
-    async def page(self, after: str | None, most: int = MOST_LISTED) -> messages.Page:
+    async def list_page(self, after: str | None) -> messages.ListPage:
+        """Return the page of the list that follows the machine `after`. Raises CloudError."""
         since = "" if after is None else f"&since={after}"
-        return _read(await self._call("GET", f"/hosts?most={most}{since}"), messages.Page)
+        return _read(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
-    async def _call(self, method: str, path: str, body: Any = None, sure: Callable[[], bool] | None = None) -> Answer:
+    async def _call(
+        self, method: str, path: str, body: Any = None, may_leave: Callable[[], bool] | None = None
+    ) -> Answer:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIME, sure=sure)
+            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, sure=may_leave)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if answer.status == 429:
-            self.calls.drain()
+            self.rate_limit.drain()
         if answer.status == 503 and isinstance(answer.body, dict) and answer.body.get("error") == "no capacity":
             raise NoCapacityError(path)
         if answer.status != 200:
@@ -67,9 +83,9 @@
         return answer
 
 
-def _read(answer: Answer, kind: type[T]) -> T:
+def _read(answer: Answer, body_type: type[ResponseBody]) -> ResponseBody:
     try:
-        return msgspec.convert(answer.body, kind)
+        return msgspec.convert(answer.body, body_type)
     except msgspec.ValidationError as error:
-        log.error("cloud: malformed answer: %s", error)
+        log.error("malformed response of the cloud: %s", error)
         raise CloudError(str(error)) from error
--- /dev/null
+++ b/src/elmthread/machines/deletion.py
@@ -0,0 +1,66 @@
+"""Deletion of machines.
+
+The response to a machine's deletion proves that it and all on it are gone. So a machine in doubt
+is deleted, and what is on it counts as there until the deletion is confirmed.
+"""
+
+import logging
+
+from elmthread.cluster.machine import InstanceKind, MachineState
+from elmthread.leadership.context import TermContext
+from elmthread.machines.client import MAX_DELETIONS_PER_CALL, CloudClient, CloudError, NoCapacityError
+from elmthread.machines.inventory import Inventory
+from elmthread.machines.provisioning import Provisioner
+from elmthread.store.records import machine_key
+
+log = logging.getLogger(__name__)
+
+
+class Deleter:
+    """Deletes the machines whose deletion was requested, many with one call."""
+
+    def __init__(
+        self, context: TermContext, cloud: CloudClient, provisioner: Provisioner, inventory: Inventory
+    ) -> None:
+        """`provisioner` and `inventory` are told of machines that are gone."""
+        self._cluster = context.cluster
+        self._writer = context.writer
+        self._events = context.events
+        self._clock = context.clock
+        self._cloud = cloud
+        self._provisioner = provisioner
+        self._inventory = inventory
+        self._in_progress: set[str] = set()
+
+    def next_batch(self) -> list[str]:
+        """Return the machines that the next call is to delete."""
+        return [
+            machine.name
+            for machine in self._cluster.machines.values()
+            if machine.state is MachineState.DELETING and machine.name not in self._in_progress
+        ][:MAX_DELETIONS_PER_CALL]
+
+    def start(self, names: list[str]) -> None:
+        """Mark the machines as on their way, so that the next batch leaves them out."""
+        self._in_progress.update(names)
+
+    async def delete(self, names: list[str]) -> None:
+        """Delete the machines; after an error they are in the next batch again."""
+        try:
+            await self._cloud.delete(names)
+        except (CloudError, NoCapacityError) as error:
+            log.info("deletion of %s machines failed: %s", len(names), error)
+            return
+        finally:
+            self._in_progress.difference_update(names)
+        now = self._clock()
+        for name in names:
+            machine = self._cluster.machines.get(name)
+            if machine is None:
+                continue
+            machine.transition_to(MachineState.DELETED)
+            self._cluster.remove_machine(machine, now)
+            self._provisioner.forget_refusal(InstanceKind(machine.machine_type, machine.zone, machine.spot))
+            self._inventory.forget(name)
+            self._writer.delete(machine_key(name))
+        self._events.notify_changed()
--- /dev/null
+++ b/src/elmthread/machines/deletion_reasons.py
@@ -0,0 +1,31 @@
+"""Why machines are deleted, and the request for it."""
+
+import logging
+from enum import StrEnum
+
+from elmthread.cluster.machine import Machine, MachineState
+
+log = logging.getLogger(__name__)
+
+
+class DeletionReason(StrEnum):
+    """Why a machine is deleted, as the log says it."""
+
+    NO_HEARTBEATS = "no heartbeats"
+    REPLICAS_TO_RESTART = "no heartbeats, and its replicas are to be restarted"
+    RESPONSES_LOST = "does not receive responses"
+    QUARANTINED = "quarantined after task failures"
+    BOOT_TIMEOUT = "did not boot in time"
+    INTERRUPTED = "about to be interrupted by the cloud"
+    NOT_LISTED = "no longer listed by the cloud"
+    LISTED_AS_FAILED = "listed as failed by the cloud"
+    POOL_IDLE = "deferrable pool is idle"
+    NOT_NEEDED = "not needed"
+
+
+def request_deletion(machine: Machine, reason: DeletionReason) -> None:
+    """Have the machine deleted, unless that was requested before."""
+    if machine.state in (MachineState.DELETING, MachineState.DELETED):
+        return
+    log.info("deleting %s: %s", machine.name, reason)
+    machine.transition_to(MachineState.DELETING)
--- /dev/null
+++ b/src/elmthread/machines/machine_types.py
@@ -0,0 +1,35 @@
+"""The cloud's machine types: read now and then, and kept in the store for the next leader."""
+
+import logging
+from functools import partial
+
+from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.leadership.context import TermContext
+from elmthread.machines.client import CloudClient, CloudError, NoCapacityError
+from elmthread.store.records import types_records
+from elmthread.store.writer import WritePriority
+
+log = logging.getLogger(__name__)
+
+
+class MachineTypeUpdater:
+    """Keeps the catalog up to date with the cloud."""
+
+    def __init__(self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog) -> None:
+        """`catalog` may hold the types that the store had."""
+        self._writer = context.writer
+        self._cloud = cloud
+        self._catalog = catalog
+
+    async def update(self) -> None:
+        """Read the types into the catalog; the first that become known are also stored."""
+        try:
+            types = await self._cloud.machine_types()
+        except (CloudError, NoCapacityError) as error:
+            log.info("reading the machine types failed: %s", error)
+            return
+        is_first = not self._catalog.is_known
+        self._catalog.replace(types)
+        if is_first:
+            for key, records in types_records(types, self._writer.max_record_bytes).items():
+                self._writer.write(key, WritePriority.ASSIGNMENT, partial(list, records))
--- a/src/elmthread/machines/messages.py
+++ b/src/elmthread/machines/messages.py
@@ -1,5 +1,6 @@
-"""The cloud's words on the wire."""
+"""The cloud's requests and responses, in the words of the wire."""
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
@@ -7,15 +8,26 @@
 from elmthread.store.machine_type import MachineType
 
 
-class Types(msgspec.Struct, rename={"types": "builds"}):
+class InstanceState(StrEnum):
+    """States of a listed machine that the leader acts on; the values are the words of the wire."""
+
+    STARTING = "starting"
+    FAILED = "failed"
+
+
+class MachineTypeList(msgspec.Struct, rename={"types": "builds"}):
+    """All machine types that the cloud offers."""
+
     types: list[MachineType]
 
 
-class Rented(msgspec.Struct, rename={"machines": "looms"}):
+class ProvisionedMachines(msgspec.Struct, rename={"machines": "looms"}):
+    """The names of the machines that an instance request was given."""
+
     machines: list[str]
 
 
-class Listed(
+class ListedMachine(
     msgspec.Struct,
     rename={
         "name": "name_id",
@@ -26,6 +38,8 @@
         "age_s": "held_s",
     },
 ):
+    """One machine in the cloud's list; `state` may be a word that InstanceState does not have."""
+
     name: str
     machine_type: str
     zone: str
@@ -34,14 +48,33 @@
     age_s: float = 0.0
 
 
-class Page(msgspec.Struct, rename={"machines": "looms", "more": "has_next"}):
-    machines: list[Listed]
-    more: bool = False
+class ListPage(msgspec.Struct, rename={"machines": "looms", "has_more": "has_next"}):
+    """One page of the cloud's list, in the order of the names."""
+
+    machines: list[ListedMachine]
+    has_more: bool = False
+
+
+class ProvisioningBody(
+    msgspec.Struct,
+    rename={"name": "hire", "machine_type": "build", "zone": "yard", "spot": "loaners", "count": "how_many"},
+):
+    """An instance request; one that is repeated under the same name is carried out once."""
+
+    name: str
+    machine_type: str
+    zone: str
+    spot: bool
+    count: int
 
 
-def rental(name: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    return {"hire": name, "build": machine_type, "yard": zone, "loaners": spot, "how_many": count}
+class DeletionBody(msgspec.Struct, rename={"machines": "looms"}):
+    """The names of machines to delete; unknown ones are ignored."""
+
+    machines: list[str]
 
 
-def deletion(names: list[str]) -> dict[str, Any]:
-    return {"looms": names}
+def encode_body(body: ProvisioningBody | DeletionBody) -> dict[str, Any]:
+    """Return the body in the words of the wire."""
+    fields: dict[str, Any] = msgspec.to_builtins(body)
+    return fields
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -1,4 +1,4 @@
-"""Rentals, lists and returns on a view, without a cloud."""
+"""Instance requests, lists and deletions against a stand-in for the cloud."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,8 +11,10 @@
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
-from elmthread.machines.messages import Listed
-from elmthread.machines.service import MISSING, MachineManager
+from elmthread.machines.deletion_reasons import DeletionReason
+from elmthread.machines.inventory import MAX_MISSED_LISTS
+from elmthread.machines.manager import MachineManager
+from elmthread.machines.messages import ListedMachine
 from elmthread.net.http import Answer
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.census import Census
@@ -60,7 +62,7 @@
         return Answer(200, {})
 
 
-def fleet(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
+def machine_manager(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
     cloud, cluster = Cloud(), ClusterState(100)
     asyncio.set_event_loop(cloud.loop)
     clock = cloud.loop.clock
@@ -70,62 +72,62 @@
     bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(17))
     zones = ZoneHealth(Census(cluster.machines, clock, seconds(4), clock()), bounds, clock)
     client = CloudClient(cloud, TokenBucket(rps * 0.9, rps * 1.5, clock), seconds(4), lambda: True)
-    one = MachineManager(context, client, catalog, WorkerLeases(seconds(17), seconds(40)), zones)
-    return cloud, cluster, one
+    manager = MachineManager(context, client, catalog, WorkerLeases(seconds(17), seconds(40)), zones)
+    return cloud, cluster, manager
 
 
-def machine(cluster: ClusterState, number: int, state: MachineState = MachineState.UP) -> Machine:
-    one = Machine(f"m-{number:06d}", KIND, state, seconds(0))
-    cluster.add_machine(one)
-    return one
+def add_machine(cluster: ClusterState, number: int, state: MachineState = MachineState.UP) -> Machine:
+    machine = Machine(f"m-{number:06d}", KIND, state, seconds(0))
+    cluster.add_machine(machine)
+    return machine
 
 
-def test_hundreds_of_rentals_and_deletions_take_few_calls_within_the_rate() -> None:
-    cloud, cluster, one = fleet()
+def test_hundreds_of_requests_and_deletions_take_few_calls_within_the_rate() -> None:
+    cloud, cluster, manager = machine_manager()
 
     async def main() -> None:
-        running = asyncio.create_task(one.run())
+        running = asyncio.create_task(manager.run())
         for number in range(500_000, 500_300):
-            one.delete_machine(machine(cluster, number), "silent")
+            manager.delete_machine(add_machine(cluster, number), DeletionReason.NO_HEARTBEATS)
         for _ in range(40):
-            one.request_instances(KIND, 7, pool=True)
+            manager.request_instances(KIND, 7, for_deferrable_pool=True)
         await asyncio.sleep(12)
         running.cancel()
 
     play(main(), cloud.loop)
     deleted = [body for _, path, body in cloud.calls if path == "/hosts/delete"]
-    rented = [body for _, path, body in cloud.calls if path == "/hosts" and body]
+    requested = [body for _, path, body in cloud.calls if path == "/hosts" and body]
     assert [len(body["looms"]) for body in deleted] == [100, 100, 100]
     # 280 machines in requests of up to 50, each name once.
-    assert sum(body["how_many"] for body in rented) == 280 and len(rented) <= 7
-    assert len({body["hire"] for body in rented}) == len(rented)
+    assert sum(body["how_many"] for body in requested) == 280 and len(requested) <= 7
+    assert len({body["hire"] for body in requested}) == len(requested)
     for start in range(10):
         within = [at for at, _, _ in cloud.calls if start <= at < start + 2]
         assert len(within) <= 2 * 2.0 + 2 * 2.0
     assert len(cluster.machines) == 280 and len(cluster.deleted_machines) == 300
 
 
-def test_lists_that_lag_prove_neither_life_nor_death() -> None:
-    cloud, cluster, one = fleet()
-    up, booting = machine(cluster, 1), machine(cluster, 2, MachineState.BOOTING)
-    seen = Listed(up.name, "small", "east", True, "running", 10.0)
-    one.reconcile_with_list([seen])
-    # New ones are missing at first, and an older list may follow a newer one.
-    one.reconcile_with_list([])
-    one.reconcile_with_list([seen])
-    for _ in range(MISSING - 1):
-        one.reconcile_with_list([])
+def test_a_lagging_list_proves_neither_that_a_machine_runs_nor_that_it_is_gone() -> None:
+    cloud, cluster, manager = machine_manager()
+    up, booting = add_machine(cluster, 1), add_machine(cluster, 2, MachineState.BOOTING)
+    seen = ListedMachine(up.name, "small", "east", True, "running", 10.0)
+    manager.inventory.reconcile([seen])
+    # New machines are missing at first, and an older list may follow a newer one.
+    manager.inventory.reconcile([])
+    manager.inventory.reconcile([seen])
+    for _ in range(MAX_MISSED_LISTS - 1):
+        manager.inventory.reconcile([])
     assert up.state is MachineState.UP and booting.state is MachineState.BOOTING
-    # Left out again and again while it reports: it lives.
+    # Left out again and again while its heartbeats arrive: it runs.
     up.last_heartbeat_at = cloud.loop.clock()
-    one.reconcile_with_list([])
+    manager.inventory.reconcile([])
     assert up.state is MachineState.UP
     cloud.loop.now = 30.0
-    one.reconcile_with_list([])
+    manager.inventory.reconcile([])
     assert up.state.name == "DELETING"
-    # One that was deleted is no news when a late list still names it.
+    # A late list that still names a deleted machine does not bring it back.
     cluster.remove_machine(up, cloud.loop.clock())
-    one.reconcile_with_list([seen])
+    manager.inventory.reconcile([seen])
     assert up.name not in cluster.machines
     # Names are not kept for ever.
     cluster.remove_machine(booting, cloud.loop.clock() + REMEMBERED * 2)
@@ -133,28 +135,27 @@
     cloud.loop.close()
 
 
-def test_after_a_standstill_machines_are_heard_before_they_are_judged() -> None:
-    """Their reports wait unread; judged at once, a whole fleet would be taken for silent."""
-    cloud, cluster, one = fleet()
-    some = [machine(cluster, number) for number in range(50)]
+def test_after_a_stall_of_the_process_heartbeats_are_handled_before_machines_are_judged() -> None:
+    """Their heartbeats wait unread; judged at once, all machines would be deleted as silent."""
+    cloud, cluster, manager = machine_manager()
+    machines = [add_machine(cluster, number) for number in range(50)]
 
-    def report() -> None:
-        for up in some:
-            up.last_heartbeat_at = up.last_response_at = cloud.loop.clock()
+    def send_heartbeats(machines: list[Machine]) -> None:
+        for machine in machines:
+            machine.last_heartbeat_at = machine.last_response_at = cloud.loop.clock()
 
     async def main() -> None:
-        report()
-        running = asyncio.create_task(one.run())
+        send_heartbeats(machines)
+        running = asyncio.create_task(manager.run())
         await asyncio.sleep(1)
         cloud.loop.now += 27.0
         await asyncio.sleep(0.5)
-        assert all(up.state is MachineState.UP for up in some)
-        # Half of them are heard, the others stay silent.
-        for up in some[:25]:
-            up.last_heartbeat_at = up.last_response_at = cloud.loop.clock()
+        assert all(machine.state is MachineState.UP for machine in machines)
+        # Heartbeats of half of them arrive, the others stay silent.
+        send_heartbeats(machines[:25])
         await asyncio.sleep(3)
         running.cancel()
 
     play(main(), cloud.loop)
-    assert {up.state for up in some[:25]} == {MachineState.UP}
-    assert MachineState.UP not in {up.state for up in some[25:]}
+    assert {machine.state for machine in machines[:25]} == {MachineState.UP}
+    assert MachineState.UP not in {machine.state for machine in machines[25:]}
