--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -8,6 +8,7 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.machine import InstanceKind, Machine
+from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.placement.bin_packing import is_allowed
 from elmthread.placement.requests import TaskRequest
 from elmthread.store.machine_type import MachineType
@@ -57,7 +58,7 @@
     def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool, /) -> None:
         """Request that many machines from the cloud."""
 
-    def delete_machine(self, machine: Machine, reason: str, /) -> None:
+    def delete_machine(self, machine: Machine, reason: DeletionReason, /) -> None:
         """Delete the machine."""
 
 
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -20,7 +20,7 @@
 from elmthread.leadership.term import Term
 from elmthread.limits import LEADERS_PART, users_at_once
 from elmthread.machines.client import CloudClient
-from elmthread.machines.service import MachineManager
+from elmthread.machines.manager import MachineManager
 from elmthread.net.http_client import HttpCaller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
