--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -12,16 +12,8 @@
 from elmthread.common.load import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
-from elmthread.limits import (
-    LEADERS_PART,
-    LEASE,
-    OTHERS_PART,
-    SERVERS_PART,
-    WORKERS_PART,
-    holding_time,
-    users_at_once,
-)
-from elmthread.machines.service import QUIET
+from elmthread.limits import LEADERS_PART, LEASE, OTHERS_PART, SERVERS_PART, WORKERS_PART, holding_time, users_at_once
+from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.net.connections import ConnectionLimit
 from elmthread.net.http_client import HttpCaller, HttpClient
 from elmthread.net.http_messages import Request, Response
@@ -84,7 +76,7 @@
             ReachabilityBounds(LEASE, facts.workers.heartbeat_interval, facts.workers.lease),
             clock,
             self._features,
-            facts.workers.lease * QUIET,
+            facts.workers.lease * HEARTBEAT_OVERDUE_LEASES,
             self.peers,
         )
         self._state = KeyValueStore(
