--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -30,7 +30,7 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.persistence.records import empty_machine_record_bytes
 from elmthread.placement.attempts import AttemptCounter
-from elmthread.placement.service import Scheduler, SchedulerSettings
+from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.reachability.census import Census
 from elmthread.reachability.service import Reachability, TermReachability
 from elmthread.reachability.zones import ZoneHealth
@@ -42,7 +42,8 @@
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import RecordPages, page_capacity
 from elmthread.store.writer import RecordWriter
-from elmthread.workers.service import HeartbeatHandler
+from elmthread.workers.heartbeats import HeartbeatHandler
+from elmthread.workers.reconciliation import HeartbeatReconciler
 
 log = logging.getLogger(__name__)
 
@@ -92,8 +93,9 @@
         self._assignments = Assignments(self.context)
         self.machine_manager = self._make_machine_manager()
         self.job_service = self._make_job_service()
+        reconciler = HeartbeatReconciler(self.context, self._completions, self.run_times)
         self.heartbeat_handler = HeartbeatHandler(
-            self.context, self._assignments, self._completions, self.catalog, self.run_times, self.leases
+            self.context, reconciler, self._assignments, self.catalog, self.leases
         )
         self.scheduler = self._make_scheduler()
         self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -11,11 +11,13 @@
 import pytest
 
 from elmthread.net.http import Server
-from elmthread.placement import decide
-from elmthread.workers.service import HeartbeatHandler
-from tests.test_world import day
+from elmthread.placement import bin_packing
+from elmthread.workers.heartbeats import HeartbeatHandler
 from tests.world.counting import count_calls, count_changes
-from tests.world.world import ZONES, World, job
+from tests.world.day import day
+from tests.world.settings import ZONES
+from tests.world.specs import job
+from tests.world.world import World
 
 MACHINES = 4000
 JOBS = 40
@@ -31,8 +33,8 @@
 ) -> None:
     calls: Counter[str] = Counter()
     changes: Counter[int] = Counter()
-    count_calls(monkeypatch, calls, decide, "fits")
-    count_calls(monkeypatch, calls, HeartbeatHandler, "heartbeat")
+    count_calls(monkeypatch, calls, bin_packing, "fitting_tasks")
+    count_calls(monkeypatch, calls, HeartbeatHandler, "handle")
 
     async def script(world: World) -> None:
         count_changes(world, changes)
@@ -70,9 +72,9 @@
     starts = sum(world.rules.starts.values())
     # Leases outlast the election: next to no task is started again for it.
     assert starts < 1.02 * len(world.rules.starts)
-    assert calls["fits"] < FITS_PER_START * starts, calls["fits"] / starts
+    assert calls["fitting_tasks"] < FITS_PER_START * starts, calls["fitting_tasks"] / starts
     assert max(changes.values()) <= CHANGES_PER_SECOND
-    assert calls["heartbeat"] > MACHINES
+    assert calls["handle"] > MACHINES
 
 
 def test_as_many_connections_may_wait_to_be_taken_as_may_be_open(monkeypatch: pytest.MonkeyPatch) -> None:
