--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.cluster.job import Job
+from elmthread.cluster.job import Job, JobPolicy
 from elmthread.common.clock import ZERO
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.persistence.records import job_record
@@ -42,7 +42,7 @@
             elif aim.job_class and aim.kind == "deadline" and aim.times:
                 self._times[aim.job_class] = max(aim.times, self._times.get(aim.job_class, 1.0))
 
-    def new(self, spec: JobSpec, since: timedelta, submitted: datetime | None = None) -> Job:
+    def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
         within = self._within.get(spec.job_class, [0.0])
         if spec.deadline_s:
             slack = self._times.get(spec.job_class, 1.0)
@@ -65,12 +65,14 @@
         }
         return Job(
             spec,
-            submitted or datetime.now(UTC),
-            since,
-            self._operators.deadline(fields),
-            slack,
-            # Replicas have no end to be late with: they are urgent whatever the operators say.
-            spec.form == SERVICE or self._operators.urgent(fields),
+            submission_time or datetime.now(UTC),
+            submitted_at,
+            JobPolicy(
+                self._operators.deadline(fields),
+                slack,
+                # Replicas have no end to be late with: they are urgent whatever the operators say.
+                spec.form == SERVICE or self._operators.urgent(fields),
+            ),
             self._bitmap_chunk if self._features.is_active(Feature.DONE_BITMAPS) else self._chunk,
         )
 
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -8,7 +8,7 @@
 from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.job import Job, JobPolicy, JobState
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
@@ -47,7 +47,7 @@
     """Takes all jobs but those of one team."""
 
     def new(self, spec: JobSpec, since: timedelta) -> Job:
-        return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
+        return Job(spec, datetime.now(UTC), since, JobPolicy(seconds(60), 1.5, False), 64)
 
     def can_run(self, spec: JobSpec, types: object) -> str | None:
         return "unknown team" if spec.team == "green" else None
--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -1,10 +1,11 @@
 """Which task may be on which machine.
 
-An allocation says that a task may be on a machine. Allocations are made before a start can be
-sent and released only on proof that the task is not there, so what is counted here is never
-less than what really runs. Quota, zones and the one-copy rule are all judged by allocations.
+An allocation says that a task may be on a machine. It is made before a start can be sent, and released
+only once the task is proven not to be there, so the allocations never count less than what really runs.
+Quotas, zones and the rule of one copy for each task are all judged by allocations.
 """
 
+from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum, auto
 
@@ -14,44 +15,52 @@
 
 
 class AllocationState(Enum):
-    PLANNED = auto()  # not yet durable: must not be sent
-    COMMITTED = auto()  # durable: goes out with each report's answer until it is seen
-    UNCONFIRMED = auto()  # from the store, of an earlier leader: may be there
+    """How far a task has come on its machine."""
+
+    PLANNED = auto()  # not yet durable: its start must not be sent
+    COMMITTED = auto()  # durable: its start is sent with each response until a heartbeat lists the task
+    UNCONFIRMED = auto()  # loaded from the store, of an earlier term: the task may be there
     FETCHING = auto()
     RUNNING = auto()
     CHECKPOINTING = auto()
 
 
-SEEN = frozenset({AllocationState.FETCHING, AllocationState.RUNNING, AllocationState.CHECKPOINTING})
+# The states of a task that a heartbeat has listed.
+OBSERVED_STATES = frozenset({AllocationState.FETCHING, AllocationState.RUNNING, AllocationState.CHECKPOINTING})
 ALLOCATION_STEPS = {
     AllocationState.PLANNED: frozenset({AllocationState.COMMITTED}),
-    AllocationState.COMMITTED: SEEN,
-    AllocationState.UNCONFIRMED: SEEN,
-    AllocationState.FETCHING: SEEN,
-    AllocationState.RUNNING: SEEN,
-    AllocationState.CHECKPOINTING: SEEN,
+    AllocationState.COMMITTED: OBSERVED_STATES,
+    AllocationState.UNCONFIRMED: OBSERVED_STATES,
+    AllocationState.FETCHING: OBSERVED_STATES,
+    AllocationState.RUNNING: OBSERVED_STATES,
+    AllocationState.CHECKPOINTING: OBSERVED_STATES,
 }
 
 
 class StopMode(Enum):
+    """How a task is to be stopped."""
+
     CHECKPOINT = auto()
     KILL = auto()
 
 
+@dataclass(slots=True, eq=False, repr=False)
 class Allocation:
-    __slots__ = ("attempt", "job", "machine", "start_sent", "started_at", "state", "stop_mode", "task")
-
-    def __init__(self, job: Job, task: int, attempt: int, machine: Machine, state: AllocationState) -> None:
-        self.job = job
-        self.task = task
-        self.attempt = attempt
-        self.machine = machine
-        self.state = state
-        self.stop_mode: StopMode | None = None
-        self.start_sent = False
-        self.started_at: timedelta | None = None
+    """One attempt of a task on a machine."""
+
+    job: Job
+    task: int
+    attempt: int
+    machine: Machine
+    state: AllocationState
+    # How the task is to be stopped, None while it is not.
+    stop_mode: StopMode | None = None
+    start_sent: bool = False
+    # When the task was first seen running.
+    started_at: timedelta | None = None
 
     def transition_to(self, new: AllocationState) -> None:
+        """Change the state. Raises TransitionError for a change that ALLOCATION_STEPS does not allow."""
         if new is self.state:
             return
         self.job.running_count += (new is AllocationState.RUNNING) - (self.state is AllocationState.RUNNING)
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -7,12 +7,14 @@
 from elmthread.cluster.state import ClusterState
 from elmthread.store.machine_type import MachineType
 
+MIN_FETCH_GB_PER_S = 0.001
+
 
 class MachineTypeCatalog:
-    """All machine types by name; empty until the cloud or the store has told them."""
+    """All machine types by name; empty until they are loaded from the store or listed by the cloud."""
 
     def __init__(self, cluster: ClusterState, events: ClusterEvents) -> None:
-        """`cluster` holds the machines whose sizes and prices follow from their types."""
+        """Keep the sizes and prices of the machines in `cluster` as their types say."""
         self._cluster = cluster
         self._events = events
         self.types: dict[str, MachineType] = {}
@@ -23,7 +25,7 @@
         return bool(self.types)
 
     def replace(self, types: Iterable[MachineType]) -> None:
-        """Take these types in place of the earlier ones."""
+        """Replace all types, and apply them to the machines."""
         self.types = {machine_type.name: machine_type for machine_type in types}
         for machine in self._cluster.machines.values():
             self.apply_to(machine)
@@ -35,5 +37,5 @@
         if machine_type is None:
             return
         machine.cpus, machine.gpus, machine.memory_gb = machine_type.cpus, machine_type.gpus, machine_type.memory_gb
-        machine.image_fetch_rate = max(machine_type.fetch_gb_per_s, 0.001)
+        machine.image_fetch_rate = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         machine.price_per_hour = machine_type.spot_price if machine.spot else machine_type.price
--- a/src/elmthread/cluster/events.py
+++ b/src/elmthread/cluster/events.py
@@ -2,16 +2,16 @@
 
 import asyncio
 
-# Passes of the event loop in which a response leaves for what has just become durable. The change
-# that it tells of causes a scheduling round, which on a small share takes longer than all of them.
-RESPONSE_PASSES = 6
+# Passes of the event loop until a response has left for what has just become durable. The scheduling
+# round that the change causes takes longer than all of them, so it waits for that.
+PASSES_BEFORE_ROUND = 6
 
 
 class ClusterEvents:
     """Events of one term; the loops of the leader wait for them and clear them."""
 
     def __init__(self) -> None:
-        """Nothing has happened yet."""
+        """Start with nothing to act on."""
         self.changed = asyncio.Event()
         self.capacity_short = asyncio.Event()
         self._jobs_changed = False
@@ -21,16 +21,16 @@
         self.changed.set()
 
     def notify_capacity_short(self) -> None:
-        """Report that machines could not be had, so that others are requested at once."""
+        """Report that requested machines are not to be had, so that others are requested at once."""
         self.capacity_short.set()
 
     def notify_jobs_changed(self) -> None:
-        """Report that a job came or ended; decisions start once its response has left."""
+        """Report that a job was submitted or ended; decisions start once its response has left."""
         self._jobs_changed = True
-        self._notify_after(RESPONSE_PASSES)
+        self._notify_after(PASSES_BEFORE_ROUND)
 
     def take_jobs_changed(self) -> bool:
-        """Return whether a job came or ended since this was last asked."""
+        """Return whether a job was submitted or ended since the last call."""
         changed, self._jobs_changed = self._jobs_changed, False
         return changed
 
--- a/src/elmthread/cluster/health.py
+++ b/src/elmthread/cluster/health.py
@@ -1,10 +1,10 @@
-"""Faulty machines told from faulty jobs.
+"""Tells faulty machines from faulty jobs.
 
-Tasks of different jobs failing on one machine speak against the machine, as does a job that
-fails there while it runs elsewhere. One job failing on several machines and running nowhere
-speaks against the job, which is then tried ever less often and blames none. Either way a job
-is not tried again for a while where it has failed: a machine that fails at once has room at
-once, and would be given the same tasks for ever.
+Failing tasks of different jobs on one machine speak against the machine, as does a job that fails there
+while it runs elsewhere: the machine is quarantined. A job that fails on several machines and runs on no
+more is itself suspect: it is tried again after ever longer pauses, and no machine is blamed. In either
+case a job avoids the machines where it has failed for a while: a machine on which tasks fail at once
+always has room, and would be given the same tasks again and again.
 """
 
 from datetime import timedelta
@@ -14,85 +14,93 @@
 from elmthread.cluster.machine import Machine
 from elmthread.common.clock import ZERO, seconds
 
-FIRST_PAUSE = seconds(2)
-LONGEST_PAUSE = seconds(120)
-# A job that failed on this many machines and runs on no more than that is itself suspect.
-MACHINES_OF_A_BAD_JOB = 3
-FAILURES_OF_A_BAD_MACHINE = 2
+# Pauses before a job is tried again.
+MIN_BACKOFF = seconds(2)
+MAX_BACKOFF = seconds(120)
+REFUSAL_BACKOFF = seconds(1)
+# A job that has failed on this many machines, and runs on no more than that, is suspect.
+MACHINES_FOR_SUSPECT_JOB = 3
+# Jobs that fail on a machine, or failures there of one that runs elsewhere, before it is quarantined.
+FAILURES_FOR_QUARANTINE = 2
 # A task that has run for this long has not failed at its start.
-SURVIVED = seconds(3)
-# A replica that has served for this long and then ends is started again without a pause.
-STEADY = seconds(30)
+START_UP_TIME = seconds(3)
+# A replica that has run for this long is started again without a pause when it ends.
+STEADY_RUN_TIME = seconds(30)
 # A job that fails everywhere must still be tried: what it avoids is bounded in number and time.
-MOST_AVOIDED = 20
-AVOIDED = seconds(60)
+MAX_AVOIDED_MACHINES = 20
+AVOIDANCE_TIME = seconds(60)
 
 
 def record_failure(machine: Machine, job: Job, now: timedelta) -> None:
-    if len(job.failed_machines) >= MOST_AVOIDED:
+    """Judge a failed task: quarantine the machine, let the job pause, or only let it avoid the machine."""
+    if len(job.failed_machines) >= MAX_AVOIDED_MACHINES:
         job.failed_machines.clear()
     job.failed_machines.add(machine.name)
     job.last_failure_at = now
-    machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
-    fine = _runs_on(job, now)
-    if not job.done_count and fine <= len(job.failed_machines) >= MACHINES_OF_A_BAD_JOB:
-        _pause(job, now)
+    failures = machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
+    healthy = _count_healthy_machines(job, now)
+    if not job.done_count and healthy <= len(job.failed_machines) >= MACHINES_FOR_SUSPECT_JOB:
+        _back_off(job, now)
         return
-    if len(machine.failures_by_job) >= FAILURES_OF_A_BAD_MACHINE or (
-        machine.failures_by_job[job.id] >= FAILURES_OF_A_BAD_MACHINE and (job.done_count or fine)
+    runs_elsewhere = job.done_count or healthy
+    if len(machine.failures_by_job) >= FAILURES_FOR_QUARANTINE or (
+        failures >= FAILURES_FOR_QUARANTINE and runs_elsewhere
     ):
         machine.quarantined = True
 
 
 def record_success(machine: Machine, job: Job) -> None:
+    """Note that a task of the job is done on the machine, which clears both of earlier failures there."""
     job.backoff = ZERO
     job.failed_machines.discard(machine.name)
     machine.failures_by_job.clear()
 
 
 def has_run_steadily(allocation: Allocation, now: timedelta) -> bool:
-    """It has served for so long that its end says nothing about its start."""
-    return allocation.started_at is not None and now - allocation.started_at >= STEADY
+    """Return whether the task has run for so long that its end does not count as a failed start."""
+    return allocation.started_at is not None and now - allocation.started_at >= STEADY_RUN_TIME
 
 
 def record_replica_end(allocation: Allocation, now: timedelta) -> None:
-    """A replica ended by itself, which is no fault of the machine: started again at once, but
-    one that ends right after its start is not started in a loop.
+    """Note that a replica ended by itself, which is no fault of the machine.
+
+    It is started again at once, or after a pause if it ended soon after its start.
     """
     if has_run_steadily(allocation, now):
         allocation.job.backoff = ZERO
     else:
-        _pause(allocation.job, now)
+        _back_off(allocation.job, now)
 
 
-def _pause(job: Job, now: timedelta) -> None:
-    """Tried ever less often; tasks that fail together are one failure."""
-    if now >= job.retry_at:
-        job.backoff = min(max(job.backoff * 2, FIRST_PAUSE), LONGEST_PAUSE)
-        job.retry_at = now + job.backoff
+def record_refusal(job: Job, now: timedelta) -> None:
+    """Note that a machine refused a task; the reason is soon over (room being freed), so the pause is short."""
+    job.retry_at = max(job.retry_at, now + REFUSAL_BACKOFF)
 
 
-def release(job: Job, now: timedelta) -> None:
-    if job.failed_machines and now - job.last_failure_at > AVOIDED:
+def release_avoided_machines(job: Job, now: timedelta) -> None:
+    """Let the job use the machines again where it has failed, once its last failure is long enough ago."""
+    if job.failed_machines and now - job.last_failure_at > AVOIDANCE_TIME:
         job.failed_machines.clear()
 
 
-def record_refusal(job: Job, now: timedelta) -> None:
-    # A refusal is soon over (room being freed, a job being uploaded): a short pause.
-    job.retry_at = max(job.retry_at, now + seconds(1))
+def _back_off(job: Job, now: timedelta) -> None:
+    """Let the job pause for twice as long as before; tasks that fail together count once."""
+    if now >= job.retry_at:
+        job.backoff = min(max(job.backoff * 2, MIN_BACKOFF), MAX_BACKOFF)
+        job.retry_at = now + job.backoff
 
 
-def _runs_on(job: Job, now: timedelta) -> int:
-    """Machines on which the job's tasks have not failed and have run for a while; a few are enough."""
-    fine: set[str] = set()
+def _count_healthy_machines(job: Job, now: timedelta) -> int:
+    """Return on how many machines the job runs past its start and has not failed; counts few more than needed."""
+    healthy: set[str] = set()
     for allocation in job.allocations.values():
         if (
             allocation.state is AllocationState.RUNNING
             and allocation.started_at is not None
-            and now - allocation.started_at >= SURVIVED
+            and now - allocation.started_at >= START_UP_TIME
             and allocation.machine.name not in job.failed_machines
         ):
-            fine.add(allocation.machine.name)
-            if len(fine) > len(job.failed_machines):
+            healthy.add(allocation.machine.name)
+            if len(healthy) > len(job.failed_machines):
                 break
-    return len(fine)
+    return len(healthy)
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -1,6 +1,7 @@
-"""A job and its tasks, as the leader knows them."""
+"""A job and its tasks, as the leader keeps them in memory."""
 
 from collections import deque
+from dataclasses import InitVar, dataclass, field
 from datetime import datetime, timedelta
 from enum import Enum
 from typing import TYPE_CHECKING
@@ -14,6 +15,8 @@
 
 
 class JobState(Enum):
+    """The state of a job; the values stand in its stored record."""
+
     OPEN = "open"
     DONE = "done"
     CANCELLED = "cancelled"
@@ -25,100 +28,105 @@
     JobState.CANCELLED: frozenset[JobState](),
 }
 
-RANKS = {"production": 0, "high": 1, "normal": 2, "best_effort": 3}
+# The order in which jobs are placed; lower ranks come first.
+PRIORITY_RANKS = {"production": 0, "high": 1, "normal": 2, "best_effort": 3}
+
+
+@dataclass(frozen=True)
+class JobPolicy:
+    """What the operators' rules decide for a job when it is submitted."""
 
+    # How long after its submission the job is to be done.
+    deadline: timedelta
+    # Once the deadline can't be met, the job is to be done within this multiple of it.
+    slack: float
+    # Whether the job may preempt others and has machines requested at once.
+    urgent: bool
 
+
+@dataclass(slots=True, eq=False, repr=False)
 class Job:
-    """A job and its tasks; what is not done, not held and open waits in `pending`."""
-
-    __slots__ = (
-        "target_deadline",
-        "backoff",
-        "tasks_per_chunk",
-        "done_count",
-        "is_service",
-        "deadline",
-        "done_bits",
-        "failed_machines",
-        "last_failure_at",
-        "allocation_counts",
-        "id",
-        "latest_deadline",
-        "allocations",
-        "pending_tasks",
-        "priority_rank",
-        "retry_at",
-        "running_count",
-        "submitted_at",
-        "spec",
-        "state",
-        "durable_state",
-        "submission_time",
-        "task_count",
-        "machine_types",
-        "urgent",
-        "state_being_written",
-        "tasks_by_zone",
-    )
-
-    def __init__(
-        self,
-        spec: JobSpec,
-        submitted: datetime,
-        since: timedelta,
-        deadline: timedelta,
-        slack: float,
-        urgent: bool,
-        chunk: int,
-    ) -> None:
+    """A job and its tasks: each task is done, allocated to machines, or pending."""
+
+    spec: JobSpec
+    # When it was submitted, by the calendar and by the leader's clock.
+    submission_time: datetime
+    submitted_at: timedelta
+    policy: InitVar[JobPolicy]
+    tasks_per_chunk: int
+
+    id: str = field(init=False)
+    # The tasks of a service are replicas: however one ends, it is started again, and none is ever done.
+    is_service: bool = field(init=False)
+    task_count: int = field(init=False)
+    # The machine types that it may run on; None if it may run on any.
+    machine_types: frozenset[str] | None = field(init=False)
+    priority_rank: int = field(init=False)
+    urgent: bool = field(init=False)
+    # Times after the submission: the deadline, the later one that holds once that can't be met, and the
+    # one of the two that the job is ordered by now.
+    deadline: timedelta = field(init=False)
+    latest_deadline: timedelta = field(init=False)
+    target_deadline: timedelta = field(init=False)
+
+    state: JobState = JobState.OPEN
+    # The state in the store, None until the job is durable. Users are shown only this one.
+    durable_state: JobState | None = None
+    # The state in the record that is on its way to the store.
+    state_being_written: JobState = JobState.OPEN
+
+    # One bit for each done task, the lowest of each byte first.
+    done_bits: bytearray = field(init=False)
+    done_count: int = 0
+    pending_tasks: deque[int] = field(init=False)
+    # Allocations by attempt, and how many there are of each task and in each zone.
+    allocations: "dict[int, Allocation]" = field(default_factory=dict)
+    allocation_counts: dict[int, int] = field(default_factory=dict)
+    tasks_by_zone: dict[str, int] = field(default_factory=dict)
+    # Tasks that a heartbeat has reported as running.
+    running_count: int = 0
+
+    # Machines on which it failed lately, which it avoids, and when it failed last.
+    failed_machines: set[str] = field(default_factory=set)
+    last_failure_at: timedelta = ZERO
+    # No task is started before `retry_at`; `backoff` is the last pause.
+    retry_at: timedelta = ZERO
+    backoff: timedelta = ZERO
+
+    def __post_init__(self, policy: JobPolicy) -> None:
+        """Derive what follows from the specification and the policy; all tasks are pending."""
+        spec = self.spec
         self.id = spec.id
-        # Its tasks are replicas: whatever one ends with, it is started again, and none is ever done.
         self.is_service = spec.form == SERVICE
-        self.submission_time = submitted
-        self.spec = spec
         self.task_count = spec.tasks
         self.machine_types = None if spec.machine_types is None else frozenset(spec.machine_types)
-        self.submitted_at = since
-        self.deadline = deadline
-        # Once its deadline can't be met, the job is to end within `slack` times that; `aim` is
-        # the one of the two that it is ordered by now.
-        self.latest_deadline = deadline * slack
-        self.target_deadline = deadline
-        self.urgent = urgent
-        self.priority_rank = RANKS[spec.priority]
-        self.tasks_per_chunk = chunk
-        self.state = JobState.OPEN
-        # The state as the store has it, None until the job is durable: only this may be told.
-        self.durable_state: JobState | None = None
-        # The state in the record that is on its way to the store.
-        self.state_being_written = JobState.OPEN
+        self.priority_rank = PRIORITY_RANKS[spec.priority]
+        self.urgent = policy.urgent
+        self.deadline = self.target_deadline = policy.deadline
+        self.latest_deadline = policy.deadline * policy.slack
         self.done_bits = bytearray((spec.tasks + 7) // 8)
-        self.done_count = 0
-        self.pending_tasks: deque[int] = deque(range(spec.tasks))
-        self.allocation_counts: dict[int, int] = {}
-        self.allocations: dict[int, Allocation] = {}
-        # Tasks seen running, for display.
-        self.running_count = 0
-        self.tasks_by_zone: dict[str, int] = {}
-        # Machines on which it failed of late, and when it did last.
-        self.failed_machines: set[str] = set()
-        self.last_failure_at = ZERO
-        self.retry_at = ZERO
-        self.backoff = ZERO
+        self.pending_tasks = deque(range(spec.tasks))
+
+    @property
+    def is_open(self) -> bool:
+        """Whether the job is neither done nor cancelled."""
+        return self.state is JobState.OPEN
 
     def transition_to(self, new: JobState) -> None:
+        """Change the state. Raises TransitionError for a change that JOB_STEPS does not allow."""
         self.state = step(self.id, JOB_STEPS, self.state, new)
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
-            # Its end is kept for ever, the marks are not.
+            # The end of a job is kept for ever, the bits of its tasks are not.
             self.done_bits = bytearray()
 
     def is_done(self, task: int) -> bool:
+        """Return whether the task is done."""
         return self.state is JobState.DONE or bool(self.done_bits[task >> 3] & (1 << (task & 7)))
 
     def mark_done(self, task: int) -> bool:
-        """True if the task was not done before."""
+        """Mark a task as done; return False if it was done before or can't be done."""
         if self.is_service or not 0 <= task < self.task_count or self.is_done(task):
             return False
         self.done_bits[task >> 3] |= 1 << (task & 7)
@@ -126,11 +134,7 @@
         return True
 
     def rebuild_pending_tasks(self) -> None:
-        """Finds the waiting tasks anew, after loading."""
+        """Find the pending tasks, after the done tasks and the allocations were loaded."""
         self.pending_tasks = deque(
             task for task in range(self.task_count) if task not in self.allocation_counts and not self.is_done(task)
         )
-
-    @property
-    def is_open(self) -> bool:
-        return self.state is JobState.OPEN
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -1,6 +1,6 @@
-"""A rented machine: what it is, what it may hold, and what was last heard of it."""
+"""A machine: what it is, what may run on it, and what its heartbeats have reported."""
 
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import Enum, auto
 from typing import TYPE_CHECKING
@@ -13,10 +13,12 @@
 
 
 class MachineState(Enum):
-    BOOTING = auto()  # rented, has not reported yet
-    UNCONFIRMED = auto()  # may hold what the store says; has not reported to this token
+    """The state of a machine, as far as the leader knows it."""
+
+    BOOTING = auto()  # provided by the cloud, has sent no heartbeat yet
+    UNCONFIRMED = auto()  # may hold what the store says; has sent no heartbeat to this term
     UP = auto()
-    DELETING = auto()  # its deletion is asked for until it is answered
+    DELETING = auto()  # its deletion is requested until it is answered
     DELETED = auto()
 
 
@@ -29,10 +31,8 @@
 }
 
 
-# How long the name of a machine that is gone is remembered.
-REMEMBERED = seconds(900)
-# A new leader counts on machines that it was told of for about as long as they need to report.
-SOON_SURE = seconds(8)
+# How long a new leader counts on unconfirmed machines: about as long as they need for a heartbeat.
+FIRST_HEARTBEAT_GRACE = seconds(8)
 
 
 @dataclass(frozen=True)
@@ -44,105 +44,91 @@
     spot: bool
 
 
+@dataclass(slots=True, eq=False, repr=False)
 class Machine:
-    """One rented machine: what it is, what it may hold, and what was last heard of it."""
-
-    __slots__ = (
-        "last_response_at",
-        "receives_responses",
-        "machine_type",
-        "gpus",
-        "gpus_used",
-        "cpus",
-        "cpus_used",
-        "zone_unreachable",
-        "responses_lost_since",
-        "idle_since",
-        "draining",
-        "draining_since",
-        "failures_by_job",
-        "image_fetch_rate",
-        "allocations",
-        "cached_images",
-        "reserved",
-        "first_seen_at",
-        "undelivered_starts",
-        "name",
-        "last_heartbeat_id",
-        "in_deferrable_pool",
-        "price_per_hour",
-        "heartbeat_overdue",
-        "memory_gb",
-        "memory_gb_used",
-        "interruption_at",
-        "record_bytes",
-        "last_heartbeat_at",
-        "incarnation_since",
-        "expired_incarnation",
-        "spot",
-        "service_cpus",
-        "state",
-        "quarantined",
-        "task_counts",
-        "uncommitted_completions",
-        "urgent_cpus",
-        "was_listed",
-        "zone",
-    )
-
-    def __init__(self, name: str, kind: InstanceKind, state: MachineState, now: timedelta) -> None:
-        self.name = name
-        self.machine_type = kind.machine_type
-        self.zone = kind.zone
-        self.spot = kind.spot
-        self.state = state
-        self.cpus = self.gpus = self.memory_gb = 0.0
-        # Cores held by urgent work, and of these by replicas, which have no end; for sizing.
-        self.urgent_cpus = 0.0
-        self.service_cpus = 0.0
-        # Tasks held, by job, and the bytes that the machine's record takes at most.
-        self.task_counts: dict[str, int] = {}
-        self.record_bytes = 0
-        self.cpus_used = self.gpus_used = self.memory_gb_used = 0.0
-        self.image_fetch_rate = 1.0
-        self.price_per_hour = 0.0
-        self.allocations: dict[int, Allocation] = {}
-        self.last_heartbeat_id = (0, 0)
-        self.expired_incarnation = 0
-        self.last_heartbeat_at: timedelta | None = None
-        self.last_response_at: timedelta | None = None
-        # Its last report came on a connection on which our answer to the one before had arrived.
-        self.receives_responses = False
-        self.first_seen_at = now
-        self.idle_since = now
-        self.interruption_at: timedelta | None = None
-        # Overdue with its reports: it may hang or be dead, so it gets nothing new.
-        self.heartbeat_overdue = False
-        # Its whole zone seems to be cut off: it is not counted on, but may well be back.
-        self.zone_unreachable = False
-        # Since when our answers have not been seen to arrive: reports alone are no proof that
-        # commands get through, so it gets nothing new until they are.
-        self.responses_lost_since: timedelta | None = None
-        self.incarnation_since = now
-        self.undelivered_starts = 0
-        self.cached_images: dict[str, float] = {}
-        self.in_deferrable_pool = False
-        # Not needed as things stand: gets work only where no other machine has room.
-        self.draining = False
-        self.draining_since: timedelta | None = None
-        # Stands in reserve for services that may use no spot machine: not returned when empty.
-        self.reserved = False
-        self.was_listed = False
-        self.failures_by_job: dict[str, int] = {}
-        self.quarantined = False
-        # (job, task, attempt) that exited with done and may be forgotten once that is durable.
-        self.uncommitted_completions: dict[int, tuple[str, int]] = {}
+    """One machine: what it is, what may run on it, and what its heartbeats have reported."""
+
+    name: str
+    kind: InstanceKind
+    state: MachineState
+    first_seen_at: timedelta
+
+    # The fields of `kind`, for fast access.
+    machine_type: str = field(init=False)
+    zone: str = field(init=False)
+    spot: bool = field(init=False)
+    # By its type, 0 while that is not known.
+    cpus: float = 0.0
+    gpus: float = 0.0
+    memory_gb: float = 0.0
+    # In GB a second.
+    image_fetch_rate: float = 1.0
+    price_per_hour: float = 0.0
+    # Whether the cloud's list has named it.
+    was_listed: bool = False
+
+    # Allocations by attempt, and what they take.
+    allocations: "dict[int, Allocation]" = field(default_factory=dict)
+    cpus_used: float = 0.0
+    gpus_used: float = 0.0
+    memory_gb_used: float = 0.0
+    # CPUs that urgent jobs take, and those that replicas of services take, for autoscaling.
+    urgent_cpus: float = 0.0
+    service_cpus: float = 0.0
+    # Allocations by job, and the bytes that the machine's stored record takes at most.
+    task_counts: dict[str, int] = field(default_factory=dict)
+    record_bytes: int = 0
+    # By attempt, the job and task that exited as done; the worker may forget them once that is durable.
+    uncommitted_completions: dict[int, tuple[str, int]] = field(default_factory=dict)
+    # Images in its cache, with their sizes in GB.
+    cached_images: dict[str, float] = field(default_factory=dict)
+
+    # Incarnation and sequence number of the last heartbeat, and when it came.
+    last_heartbeat_id: tuple[int, int] = (0, 0)
+    last_heartbeat_at: timedelta | None = None
+    incarnation_since: timedelta = field(init=False)
+    # The incarnation whose lease has expired: its heartbeats are ignored.
+    expired_incarnation: int = 0
+    # Its heartbeat is overdue: it may hang or be dead, so it gets nothing new.
+    heartbeat_overdue: bool = False
+    # Its whole zone seems to be cut off: its capacity is not counted, but it may well return.
+    zone_unreachable: bool = False
+    last_response_at: timedelta | None = None
+    # Its last heartbeat came on a connection on which our response to the one before had arrived.
+    receives_responses: bool = False
+    # Since when our responses have not been seen to arrive: heartbeats alone do not prove that commands
+    # get through, so it gets nothing new until they are.
+    responses_lost_since: timedelta | None = None
+    # Starts in a row that were sent and did not arrive.
+    undelivered_starts: int = 0
+
+    idle_since: timedelta = field(init=False)
+    # When the cloud is going to take back a spot instance.
+    interruption_at: timedelta | None = None
+    in_deferrable_pool: bool = False
+    # Not needed at present: gets tasks only where no other machine has room.
+    draining: bool = False
+    draining_since: timedelta | None = None
+    # Kept in reserve for services that may use no spot instance: not deleted when idle.
+    reserved: bool = False
+    failures_by_job: dict[str, int] = field(default_factory=dict)
+    # Judged faulty: gets nothing new.
+    quarantined: bool = False
+
+    def __post_init__(self) -> None:
+        """Unpack the kind; the machine is idle from when it is first seen."""
+        self.machine_type = self.kind.machine_type
+        self.zone = self.kind.zone
+        self.spot = self.kind.spot
+        self.idle_since = self.incarnation_since = self.first_seen_at
 
     def transition_to(self, new: MachineState) -> None:
+        """Change the state. Raises TransitionError for a change that MACHINE_STEPS does not allow."""
         self.state = step(self.name, MACHINE_STEPS, self.state, new)
 
     @property
     def is_schedulable(self) -> bool:
+        """Whether tasks may be placed on the machine."""
         return (
             self.state is MachineState.UP
             and self.interruption_at is None
@@ -153,27 +139,29 @@
 
     @property
     def free_cpus(self) -> float:
+        """CPUs that no allocation takes."""
         return self.cpus - self.cpus_used
 
     @property
     def price_per_core(self) -> float:
+        """The price of a CPU for an hour, 0 while the type is not known."""
         return self.price_per_hour / self.cpus if self.cpus else 0.0
 
     @property
     def heartbeat_expected(self) -> bool:
-        """Ought to report."""
+        """Whether the machine should send heartbeats."""
         return self.state in (MachineState.UP, MachineState.UNCONFIRMED)
 
-    def is_silent(self, now: timedelta, began: timedelta) -> bool:
-        """Ought to have reported to the leader that began then, and has not of late."""
+    def is_silent(self, now: timedelta, term_began_at: timedelta) -> bool:
+        """Return whether the machine should have sent a heartbeat to the present leader lately and has not."""
         if self.state is MachineState.UNCONFIRMED:
-            return now - max(self.first_seen_at, began) > SOON_SURE
+            return now - max(self.first_seen_at, term_began_at) > FIRST_HEARTBEAT_GRACE
         return self.heartbeat_overdue
 
     def provides_capacity(self, now: timedelta) -> bool:
-        """Takes work now, or will soon: once it has booted, or has reported to a new leader."""
+        """Return whether the machine takes tasks now, or will once it has booted or has sent a heartbeat."""
         if self.zone_unreachable:
             return False
         if self.state is MachineState.UNCONFIRMED:
-            return now - self.first_seen_at < SOON_SURE
+            return now - self.first_seen_at < FIRST_HEARTBEAT_GRACE
         return self.state is MachineState.BOOTING or self.is_schedulable
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -1,9 +1,8 @@
-"""The work model: how long tasks really run against what their owners expected, by class.
+"""How long tasks really run compared with what their owners expect, by class of job.
 
-Chiron fits a distribution to what earlier requests produced (section 5.3); here a class's
-mean logarithm of run time over estimate is kept, with its spread, and recent tasks weigh
-more. A class of which nothing is known yet borrows the correction of all classes together:
-on some days all owners err the same way.
+Chiron (section 5.3) fits a distribution to what earlier requests produced. Here the mean logarithm of the
+ratio of run time to estimate is kept for each class, and recent tasks weigh more. A class with too few
+tasks borrows the correction of all classes together, as on some days all owners err in the same way.
 """
 
 import math
@@ -13,44 +12,47 @@
 from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 
-# Weight of the newest task; the first tasks of a class are averaged plainly.
-NEWEST = 0.05
-SHORTEST = 0.5
+# Weight of the newest task in a mean; the first tasks of a class are weighted equally.
+NEWEST_WEIGHT = 0.05
+# Tasks before a mean is used.
+MIN_TASKS = 5
+MIN_RUN_TIME_S = 0.5
+MIN_RATIO, MAX_RATIO = 0.02, 50.0
 
 
 @dataclass
-class _Fit:
+class _LogRatioMean:
     count: int = 0
     mean: float = 0.0
-    square: float = 0.0
 
     def add(self, value: float) -> None:
         self.count += 1
-        weight = max(NEWEST, 1 / self.count)
+        weight = max(NEWEST_WEIGHT, 1 / self.count)
         self.mean += weight * (value - self.mean)
-        self.square += weight * (value * value - self.square)
 
 
 class RunTimeModel:
-    def __init__(self) -> None:
-        self._classes: dict[str, _Fit] = {}
-        self._all = _Fit()
+    """Corrects the owners' estimates by the run times that were observed in this term."""
 
-    def saw(self, job_class: str, expected_s: float, ran: timedelta) -> None:
-        ratio = max(ran.total_seconds(), SHORTEST) / max(expected_s, SHORTEST)
-        value = math.log(min(max(ratio, 0.02), 50.0))
-        self._classes.setdefault(job_class, _Fit()).add(value)
+    def __init__(self) -> None:
+        """Start without observations: estimates stay as they are."""
+        self._classes: dict[str, _LogRatioMean] = {}
+        self._all = _LogRatioMean()
+
+    def record(self, job_class: str, expected_s: float, ran: timedelta) -> None:
+        """Take in the run time of a finished task and its owner's estimate."""
+        ratio = max(ran.total_seconds(), MIN_RUN_TIME_S) / max(expected_s, MIN_RUN_TIME_S)
+        value = math.log(min(max(ratio, MIN_RATIO), MAX_RATIO))
+        self._classes.setdefault(job_class, _LogRatioMean()).add(value)
         self._all.add(value)
 
     def correction(self, job_class: str) -> float:
-        fit = self._classes.get(job_class)
-        if fit is None or fit.count < 5:
-            fit = self._all
-        return math.exp(fit.mean) if fit.count >= 5 else 1.0
+        """Return the factor by which the class's tasks run longer than their owners expect."""
+        mean = self._classes.get(job_class)
+        if mean is None or mean.count < MIN_TASKS:
+            mean = self._all
+        return math.exp(mean.mean) if mean.count >= MIN_TASKS else 1.0
 
     def expected(self, job: Job) -> timedelta:
-        """Return how long a task of the job is expected to run: its owner's estimate, corrected by what was seen."""
-        return self.run_time(job.spec.job_class, job.spec.expected_run_time_s)
-
-    def run_time(self, job_class: str, expected_s: float) -> timedelta:
-        return seconds(max(expected_s, SHORTEST) * self.correction(job_class))
+        """Return how long a task of the job is expected to run: its owner's estimate, corrected."""
+        return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction(job.spec.job_class))
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -1,129 +1,140 @@
-"""The leader's state: all jobs and machines, and the counts that the rules are judged by."""
+"""The leader's state in memory: all jobs and machines, and the counts that the rules are judged by."""
 
 from collections.abc import Callable, Iterator
 from datetime import timedelta
+from typing import TypeVar
 
 from elmthread.cluster.allocation import Allocation, AllocationState
 from elmthread.cluster.job import Job, JobState
-from elmthread.cluster.machine import REMEMBERED, Machine, MachineState
+from elmthread.cluster.machine import Machine, MachineState
+from elmthread.common.clock import seconds
 
+K = TypeVar("K")
 
-def entry_size(job_id: str) -> int:
-    """Bytes in a machine's record for a job with tasks there: `"ID":[],`, its quotes escaped once more."""
+# How long the names of deleted machines are kept: late lists and heartbeats may still name them.
+DELETED_MACHINE_RETENTION = seconds(900)
+
+
+def job_entry_bytes(job_id: str) -> int:
+    """Return the bytes in a machine's record for a job with tasks there: `"ID":[],`, its quotes escaped."""
     return len(job_id) + 8
 
 
-def task_size(task: int, attempt: int) -> int:
+def task_entry_bytes(task: int, attempt: int) -> int:
+    """Return the bytes in a machine's record for a task there: `TASK,ATTEMPT,`."""
     return len(str(task)) + len(str(attempt)) + 2
 
 
 class ClusterState:
     """All jobs and machines, and the counts that the rules are judged by."""
 
-    def __init__(self, max_record_bytes: int, frame: Callable[[Machine], int] = lambda machine: 0) -> None:
-        """`max_record_bytes` bytes is all that a machine's record may take, `frame` what it takes when empty."""
+    def __init__(self, max_record_bytes: int, empty_record_bytes: Callable[[Machine], int] = lambda machine: 0) -> None:
+        """Start empty; a machine's record may take `max_record_bytes`, and takes `empty_record_bytes` without tasks."""
         self.jobs: dict[str, Job] = {}
         self.open_jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        # Machines whose deletion was answered, and when: late lists and reports still name them.
+        # When each machine was deleted that is still remembered.
         self.deleted_machines: dict[str, timedelta] = {}
         self.cpus_by_team: dict[str, float] = {}
         self.gpus_by_team: dict[str, float] = {}
         self.max_record_bytes = max_record_bytes
-        self._frame = frame
-        # Tasks were left without room in the last scheduling round.
+        self._empty_record_bytes = empty_record_bytes
+        # Whether the last scheduling round left tasks without room.
         self.has_waiting_tasks = False
 
     def add_machine(self, machine: Machine) -> None:
+        """Add a machine without allocations."""
         self.machines[machine.name] = machine
-        machine.record_bytes = self._frame(machine)
+        machine.record_bytes = self._empty_record_bytes(machine)
 
     def record_bytes_left(self, machine: Machine) -> int:
-        """Bytes that more assignments may take; below 0 where larger values were allowed once."""
+        """Return the bytes that more assignments may take; below 0 where larger values were allowed once."""
         return self.max_record_bytes - machine.record_bytes
 
     def add_job(self, job: Job) -> None:
+        """Add a job."""
         self.jobs[job.id] = job
         if job.is_open:
             self.open_jobs[job.id] = job
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
-        """The machine and all on it are surely gone."""
+        """Remove a machine that surely does not exist any more, and release all its allocations."""
         self.machines.pop(machine.name, None)
         self.release_all(machine, now)
-        # What comes later than this would only be taken for a new machine, and deleted as silent.
-        for name in [name for name, at in self.deleted_machines.items() if now - at > REMEMBERED]:
+        for name in [name for name, at in self.deleted_machines.items() if now - at > DELETED_MACHINE_RETENTION]:
             del self.deleted_machines[name]
         self.deleted_machines[machine.name] = now
 
     def close_job(self, job: Job, state: JobState) -> None:
+        """Let a job end in that state."""
         job.transition_to(state)
         self.open_jobs.pop(job.id, None)
 
     def allocate(self, machine: Machine, job: Job, task: int, attempt: int, state: AllocationState) -> Allocation:
+        """Return a new allocation, with its resources counted."""
         allocation = Allocation(job, task, attempt, machine, state)
         machine.allocations[attempt] = allocation
-        spec = job.spec
-        machine.cpus_used += spec.cpus
-        if job.urgent:
-            machine.urgent_cpus += spec.cpus
-        if job.is_service:
-            machine.service_cpus += spec.cpus
-        if job.id not in machine.task_counts:
-            machine.record_bytes += entry_size(job.id)
-        machine.task_counts[job.id] = machine.task_counts.get(job.id, 0) + 1
-        machine.record_bytes += task_size(task, attempt)
-        machine.gpus_used += spec.gpus
-        machine.memory_gb_used += spec.ram_gb
-        self.cpus_by_team[spec.team] = self.cpus_by_team.get(spec.team, 0.0) + spec.cpus
-        self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + spec.gpus
-        job.allocation_counts[task] = job.allocation_counts.get(task, 0) + 1
         job.allocations[attempt] = allocation
-        job.tasks_by_zone[machine.zone] = job.tasks_by_zone.get(machine.zone, 0) + 1
+        self._count(allocation, 1)
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
-        """The task is surely not on the machine; if no other allocation has it, it waits again."""
-        machine, job, spec = allocation.machine, allocation.job, allocation.job.spec
+        """Release an allocation whose task is surely not on the machine; without another one the task is pending."""
+        machine, job, task = allocation.machine, allocation.job, allocation.task
         del machine.allocations[allocation.attempt]
-        machine.cpus_used -= spec.cpus
-        if job.urgent:
-            machine.urgent_cpus -= spec.cpus
-        if job.is_service:
-            machine.service_cpus -= spec.cpus
-        machine.record_bytes -= task_size(allocation.task, allocation.attempt)
-        machine.task_counts[job.id] -= 1
-        if not machine.task_counts[job.id]:
-            del machine.task_counts[job.id]
-            machine.record_bytes -= entry_size(job.id)
+        del job.allocations[allocation.attempt]
+        self._count(allocation, -1)
         if allocation.state is AllocationState.RUNNING:
             job.running_count -= 1
-        machine.gpus_used -= spec.gpus
-        machine.memory_gb_used -= spec.ram_gb
         if not machine.allocations:
+            # Sums of fractions need not come back to 0 by themselves.
             machine.cpus_used = machine.gpus_used = machine.memory_gb_used = 0.0
             machine.urgent_cpus = machine.service_cpus = 0.0
             machine.idle_since = now
-        self.cpus_by_team[spec.team] -= spec.cpus
-        self.gpus_by_team[spec.team] -= spec.gpus
-        del job.allocations[allocation.attempt]
-        job.tasks_by_zone[machine.zone] -= 1
-        if not job.tasks_by_zone[machine.zone]:
-            del job.tasks_by_zone[machine.zone]
-        job.allocation_counts[allocation.task] -= 1
-        if not job.allocation_counts[allocation.task]:
-            del job.allocation_counts[allocation.task]
-            if job.is_open and not job.is_done(allocation.task):
-                job.pending_tasks.appendleft(allocation.task)
-
-    def is_newer_heartbeat(self, machine_name: str, incarnation: int, sequence: int) -> bool:
-        """Return whether a machine sent that heartbeat after all that this leader has had of it."""
-        machine = self.machines.get(machine_name)
-        return machine is not None and (incarnation, sequence) > machine.last_heartbeat_id
+        if task not in job.allocation_counts and job.is_open and not job.is_done(task):
+            job.pending_tasks.appendleft(task)
 
     def release_all(self, machine: Machine, now: timedelta) -> None:
+        """Release all allocations of the machine."""
         for allocation in list(machine.allocations.values()):
             self.release(allocation, now)
 
+    def _count(self, allocation: Allocation, sign: int) -> None:
+        """Add what the allocation takes to all counts, or subtract it: `sign` is 1 or -1."""
+        machine, job, spec = allocation.machine, allocation.job, allocation.job.spec
+        cpus, gpus = sign * spec.cpus, sign * spec.gpus
+        machine.cpus_used += cpus
+        machine.gpus_used += gpus
+        machine.memory_gb_used += sign * spec.ram_gb
+        if job.urgent:
+            machine.urgent_cpus += cpus
+        if job.is_service:
+            machine.service_cpus += cpus
+        self.cpus_by_team[spec.team] = self.cpus_by_team.get(spec.team, 0.0) + cpus
+        self.gpus_by_team[spec.team] = self.gpus_by_team.get(spec.team, 0.0) + gpus
+        machine.record_bytes += sign * task_entry_bytes(allocation.task, allocation.attempt)
+        if job.id not in machine.task_counts:
+            machine.record_bytes += job_entry_bytes(job.id)
+        if not _change_count(machine.task_counts, job.id, sign):
+            machine.record_bytes -= job_entry_bytes(job.id)
+        _change_count(job.tasks_by_zone, machine.zone, sign)
+        _change_count(job.allocation_counts, allocation.task, sign)
+
+    def is_newer_heartbeat(self, machine_name: str, incarnation: int, sequence: int) -> bool:
+        """Return whether the machine sent that heartbeat after all that this leader has received from it."""
+        machine = self.machines.get(machine_name)
+        return machine is not None and (incarnation, sequence) > machine.last_heartbeat_id
+
     def up_machines(self) -> Iterator[Machine]:
+        """Return the machines that are up."""
         return (machine for machine in self.machines.values() if machine.state is MachineState.UP)
+
+
+def _change_count(counts: dict[K, int], key: K, change: int) -> int:
+    """Change a count, which is removed when it comes to 0, and return it."""
+    count = counts.get(key, 0) + change
+    if count:
+        counts[key] = count
+    else:
+        del counts[key]
+    return count
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -5,8 +5,8 @@
 from elmthread.api.messages import read_submission
 from elmthread.cluster import health
 from elmthread.cluster.allocation import AllocationState
-from elmthread.cluster.health import FIRST_PAUSE, STEADY
-from elmthread.cluster.job import Job
+from elmthread.cluster.health import MIN_BACKOFF, STEADY_RUN_TIME
+from elmthread.cluster.job import Job, JobPolicy
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
@@ -25,7 +25,7 @@
 
     def job(self, number: int, tasks: int = 100) -> Job:
         spec = read_submission(wire(number, pieces=tasks))
-        job = Job(spec, datetime.now(UTC), ZERO, seconds(100), 1.0, False, 64)
+        job = Job(spec, datetime.now(UTC), ZERO, JobPolicy(seconds(100), 1.0, False), 64)
         self.cluster.add_job(job)
         return job
 
@@ -64,7 +64,7 @@
             health.record_failure(machine, job, now)
         pauses.append(job.retry_at - now)
         now = max(now, job.retry_at) + seconds(1)
-    assert pauses[2:] == [FIRST_PAUSE, FIRST_PAUSE * 2, FIRST_PAUSE * 4, FIRST_PAUSE * 8]
+    assert pauses[2:] == [MIN_BACKOFF, MIN_BACKOFF * 2, MIN_BACKOFF * 4, MIN_BACKOFF * 8]
     assert not any(machine.quarantined for machine in machines)
 
 
@@ -73,9 +73,9 @@
     job = bench.job(1)
     for number in range(3):
         health.record_failure(bench.machine(number), job, seconds(1))
-    health.release(job, seconds(30))
+    health.release_avoided_machines(job, seconds(30))
     assert len(job.failed_machines) == 3
-    health.release(job, seconds(62))
+    health.release_avoided_machines(job, seconds(62))
     assert not job.failed_machines
 
 
@@ -105,6 +105,6 @@
     bench.runs(job, machine)
     allocation = next(iter(job.allocations.values()))
     allocation.started_at = now
-    health.record_replica_end(allocation, now + STEADY)
-    assert not job.backoff and job.retry_at <= now + STEADY
+    health.record_replica_end(allocation, now + STEADY_RUN_TIME)
+    assert not job.backoff and job.retry_at <= now + STEADY_RUN_TIME
     assert not machine.quarantined and not machine.failures_by_job
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -7,8 +7,8 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import REMEMBERED, InstanceKind, Machine, MachineState
-from elmthread.cluster.state import ClusterState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
+from elmthread.cluster.state import DELETED_MACHINE_RETENTION, ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.messages import Listed
@@ -128,7 +128,7 @@
     one.reconcile_with_list([seen])
     assert up.name not in cluster.machines
     # Names are not kept for ever.
-    cluster.remove_machine(booting, cloud.loop.clock() + REMEMBERED * 2)
+    cluster.remove_machine(booting, cloud.loop.clock() + DELETED_MACHINE_RETENTION * 2)
     assert set(cluster.deleted_machines) == {booting.name}
     cloud.loop.close()
 
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -1,24 +1,23 @@
-"""A new leader's view, rebuilt from the store: jobs, done tasks, assignments, rentals in doubt, types."""
+"""Rebuilds a new leader's state from the store: jobs, done tasks, assignments and machine types."""
 
 import asyncio
 import logging
+from collections.abc import Callable, Iterable, Mapping
 from datetime import UTC, datetime, timedelta
 from functools import partial
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
-from elmthread.api.jobs import JobFactory
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.job import Job, JobPolicy, JobState
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
-from elmthread.common.clock import seconds
+from elmthread.common.clock import ZERO, seconds
+from elmthread.common.features import SupportedLevels
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.records import mark_done
-from elmthread.rollout import messages as rollout_messages
-from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
 from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_prefix
@@ -26,27 +25,51 @@
 from elmthread.store.job_spec import BATCH, JobSpec
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PAGE_PREFIX, UnreadableRecordError
-from elmthread.store.records import LAYOUT
 from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
-RETRY = seconds(0.2)
-PAGE = 400
-# Records taken in before other work gets a turn: renewals must not wait for a large load.
-BREATH = 100
+RETRY_PAUSE = seconds(0.2)
+# Keys in one read of the store.
+READ_PAGE_SIZE = 400
+# Records loaded before other work gets a turn: lease renewals must not wait for a large load.
+RECORDS_PER_TURN = 100
+
+
+class JobMaker(Protocol):
+    """Makes a job of what its user submitted."""
+
+    def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
+        """Return the job, submitted at that time of the clock and of the calendar."""
+
+
+class CompatibilityLevel(Protocol):
+    """The level of the stored forms, before which nothing else may be read."""
+
+    @property
+    def supported(self) -> SupportedLevels:
+        """The levels whose forms this process reads."""
+
+    @property
+    def enabled(self) -> bool:
+        """Whether the records of the level are read; the fence always is."""
+
+    def load(self, items: Iterable[messages.KeyValue], packed_records: Mapping[str, Any], /) -> None:
+        """Read the level and the fence. Raises an error for a level that this process does not read."""
 
 
 class StateLoader:
+    """Loads the state of one term, once."""
+
     def __init__(
         self,
         context: TermContext,
-        factory: JobFactory,
+        factory: JobMaker,
         catalog: MachineTypeCatalog,
         completions: CompletionRecorder,
-        rollout: TermRollout,
+        level: CompatibilityLevel,
     ) -> None:
-        """`rollout` takes in the compatibility level, before which nothing else may be read."""
+        """Load into the cluster of `context` and into `catalog`; `completions` ends jobs whose tasks are all done."""
         self._store = context.store
         self._writer = context.writer
         self._pages = context.writer.pages
@@ -55,37 +78,14 @@
         self._factory = factory
         self._catalog = catalog
         self._completions = completions
-        self._rollout = rollout
-        self._supported = rollout.supported
+        self._level = level
+        self._supported = level.supported
         self._types: dict[str, MachineType] = {}
 
     async def load(self) -> None:
-        """Rebuilds the view: jobs, done tasks, assignments, rentals in doubt, machine types."""
-        level = await self._all(rollout_messages.PREFIX) if self._rollout.enabled else []
-        view = self._pages.load((item.key, item.value, item.mod_revision) for item in await self._all(PAGE_PREFIX))
-        # Before anything else is read: on a level that is not known here, nothing may be.
-        self._rollout.load(level, view)
-        view.pop(rollout_messages.FENCE_KEY, None)
-        if LAYOUT not in view:
-            await self._adopt_earlier_layout(view)
-        count = 0
-        for prefix, read in (
-            ("j/", self._read_job),
-            ("d/", self._read_marks),
-            ("m/", self._read_machine),
-            ("r/", self._read_rental),
-            ("t/", self._read_types),
-            (records.TYPE_PARTS, self._read_types),
-        ):
-            for key, value in view.items():
-                if key.startswith(prefix):
-                    try:
-                        read(key, value)
-                    except (msgspec.MsgspecError, ValueError) as error:
-                        raise UnreadableRecordError(f"{key}: {error}") from error
-                    count += 1
-                    if count % BREATH == 0:
-                        await asyncio.sleep(0)
+        """Rebuild the state. Raises UnreadableRecordError, which names the key."""
+        view = await self._read_view()
+        await self._load_records(view)
         if self._types:
             self._catalog.replace(self._types.values())
         for job in list(self._cluster.open_jobs.values()):
@@ -99,48 +99,85 @@
             len(self._cluster.machines),
         )
 
-    async def _adopt_earlier_layout(self, view: dict[str, Any]) -> None:
-        """Takes over records that stand under keys of their own, as an earlier version wrote them."""
+    async def _read_view(self) -> dict[str, Any]:
+        """Return the newest version of each record."""
+        level = await self._read_all(records.ROLLOUT) if self._level.enabled else []
+        pages = await self._read_all(PAGE_PREFIX)
+        view = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
+        # On a level that this process does not read, nothing else may be interpreted.
+        self._level.load(level, view)
+        view.pop(records.COMPATIBILITY_FENCE, None)
+        if records.LAYOUT not in view:
+            await self._migrate_earlier_layout(view)
+        return view
+
+    async def _load_records(self, view: dict[str, Any]) -> None:
+        readers: tuple[tuple[str, Callable[[str, Any], None]], ...] = (
+            (records.JOBS, self._load_job),
+            (records.DONE_TASKS, self._load_done_tasks),
+            (records.MACHINES, self._load_machine),
+            (records.INSTANCE_REQUESTS, self._discard_instance_request),
+            (records.MACHINE_TYPES, self._load_types),
+            (records.TYPE_PARTS, self._load_types),
+        )
+        count = 0
+        for prefix, read in readers:
+            for key, value in view.items():
+                if not key.startswith(prefix):
+                    continue
+                try:
+                    read(key, value)
+                except (msgspec.MsgspecError, ValueError) as error:
+                    raise UnreadableRecordError(f"{key}: {error}") from error
+                count += 1
+                if count % RECORDS_PER_TURN == 0:
+                    await asyncio.sleep(0)
+
+    async def _migrate_earlier_layout(self, view: dict[str, Any]) -> None:
+        """Pack the records that an earlier version wrote under keys of their own into pages."""
         found = [
-            item for prefix in ("j/", "d/", "m/", "t/") for item in await self._all(prefix) if item.key not in view
+            item
+            for prefix in (records.JOBS, records.DONE_TASKS, records.MACHINES, records.MACHINE_TYPES)
+            for item in await self._read_all(prefix)
+            if item.key not in view
         ]
-        left = len(found)
+        remaining = len(found)
 
-        def taken_over() -> None:
-            nonlocal left
-            left -= 1
-            if left <= 0:
-                self._writer.write(LAYOUT, WritePriority.MAINTENANCE, lambda: 2)
+        def migrated() -> None:
+            nonlocal remaining
+            remaining -= 1
+            if remaining <= 0:
+                self._writer.write(records.LAYOUT, WritePriority.MAINTENANCE, lambda: records.LAYOUT_OF_PAGES)
 
         for item in found:
             view[item.key] = item.value
-            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), taken_over)
+            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), migrated)
         if not found:
-            taken_over()
+            migrated()
 
-    async def _all(self, prefix: str) -> list[messages.KeyValue]:
-        found = await read_prefix(self._page, prefix, PAGE)
-        return found.items
+    async def _read_all(self, prefix: str) -> list[messages.KeyValue]:
+        return (await read_prefix(self._read_page, prefix, READ_PAGE_SIZE)).items
 
-    async def _page(self, prefix: str, after: str | None, most: int) -> messages.RangePage:
-        """One page, asked for until the state service answers."""
+    async def _read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
+        """Return one page, requested until the key-value store answers."""
         while True:
             try:
-                return await self._store.read_page(prefix, after, most)
+                return await self._store.read_page(prefix, after, page_size)
             except (StoreUnavailableError, UnknownOutcomeError) as error:
-                log.info("loading %s: %s", prefix, error)
-                await asyncio.sleep(RETRY.total_seconds())
+                log.info("can't read the records under %s, trying again: %s", prefix, error)
+                await asyncio.sleep(RETRY_PAUSE.total_seconds())
 
-    def _read_job(self, key: str, value: Any) -> None:
+    def _load_job(self, key: str, value: Any) -> None:
         record = msgspec.convert(value, records.JobRecord)
         state = JobState(record.state)
         if record.spec is None:
-            spec = _finished_spec(key.removeprefix("j/"), record.tasks)
-            job = Job(spec, datetime.now(UTC), self._clock(), seconds(0), 1.0, False, MAX_TASKS_PER_CHUNK)
+            spec = _finished_spec(key.removeprefix(records.JOBS), record.tasks)
+            policy = JobPolicy(deadline=ZERO, slack=1.0, urgent=False)
+            job = Job(spec, datetime.now(UTC), self._clock(), policy, MAX_TASKS_PER_CHUNK)
         else:
-            submitted = record.submission_time
-            age = max(timedelta(), datetime.now(UTC) - submitted)
-            job = self._factory.new(record.spec, self._clock() - age, submitted)
+            submission_time = record.submission_time
+            age = max(timedelta(), datetime.now(UTC) - submission_time)
+            job = self._factory.new(record.spec, self._clock() - age, submission_time)
             job.tasks_per_chunk = record.chunk
         job.state = job.durable_state = job.state_being_written = state
         if not job.is_open:
@@ -149,7 +186,7 @@
             job.done_count = job.task_count
         self._cluster.add_job(job)
 
-    def _read_marks(self, key: str, value: Any) -> None:
+    def _load_done_tasks(self, key: str, value: Any) -> None:
         _, job_id, chunk = key.split("/")
         job = self._cluster.jobs.get(job_id)
         if job is not None and job.is_open:
@@ -157,19 +194,18 @@
         else:
             self._writer.delete(key)
 
-    def _read_rental(self, key: str, value: Any) -> None:
+    def _discard_instance_request(self, key: str, value: Any) -> None:
         # Whether it was carried out shows in the machine list; the name is never used again.
         self._writer.delete(key)
 
-    def _read_types(self, key: str, value: Any) -> None:
-        self._types.update((kind.name, kind) for kind in msgspec.convert(value, list[MachineType]))
+    def _load_types(self, key: str, value: Any) -> None:
+        types = msgspec.convert(value, list[MachineType])
+        self._types.update((machine_type.name, machine_type) for machine_type in types)
 
-    def _read_machine(self, key: str, value: Any) -> None:
+    def _load_machine(self, key: str, value: Any) -> None:
         record = read_machine(value, self._supported)
-        name = key.removeprefix("m/")
-        machine = Machine(
-            name, InstanceKind(record.machine_type, record.zone, record.spot), MachineState.UNCONFIRMED, self._clock()
-        )
+        kind = InstanceKind(record.machine_type, record.zone, record.spot)
+        machine = Machine(key.removeprefix(records.MACHINES), kind, MachineState.UNCONFIRMED, self._clock())
         machine.in_deferrable_pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
@@ -182,7 +218,7 @@
 
 
 def _finished_spec(job_id: str, tasks: int) -> JobSpec:
-    """Of a job that is over only its end is kept; this fills the form."""
+    """Return a specification for a finished job, of which only its end is kept."""
     return JobSpec(
         id=job_id,
         job_class="-",
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -68,7 +68,7 @@
             count = len(job.pending_tasks)
             if not count or job.durable_state is not JobState.OPEN or job.retry_at > now:
                 continue
-            health.release(job, now)
+            health.release_avoided_machines(job, now)
             sort_key = self._sort_key(job, now)
             request = self._requests.make(job, sort_key, count)
             requests.append(request)
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple, Self
 
 from elmthread.cluster.job import Job
-from elmthread.cluster.state import entry_size, task_size
+from elmthread.cluster.state import job_entry_bytes, task_entry_bytes
 from elmthread.placement.attempts import AttemptCounter
 
 # Bounds the work of one scheduling round, and so the attempt numbers that it may use.
@@ -107,8 +107,8 @@
             excluded_machines=job.failed_machines,
             urgent=job.urgent,
             priority_rank=job.priority_rank,
-            record_bytes_per_job=entry_size(job.id),
-            record_bytes_per_task=task_size(job.task_count, self._attempts.last + MAX_TASKS_PLACED_PER_ROUND),
+            record_bytes_per_job=job_entry_bytes(job.id),
+            record_bytes_per_task=task_entry_bytes(job.task_count, self._attempts.last + MAX_TASKS_PLACED_PER_ROUND),
             preferred_max_per_machine=math.ceil(job.task_count / REPLICA_SPREAD) if job.is_service else math.inf,
             tasks_by_machine=Counter(allocation.machine.name for allocation in job.allocations.values())
             if job.is_service
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -6,7 +6,7 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.cluster.allocation import AllocationState
-from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.job import Job, JobPolicy, JobState
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
@@ -51,7 +51,7 @@
             )
         )
         since = NOW - seconds(rng.uniform(0, 600))
-        job = Job(spec, datetime.now(UTC), since, seconds(rng.choice([60, 120, 200])), 1.5, urgent, 64)
+        job = Job(spec, datetime.now(UTC), since, JobPolicy(seconds(rng.choice([60, 120, 200])), 1.5, urgent), 64)
         job.durable_state = JobState.OPEN
         cluster.add_job(job)
         if rng.random() < 0.4:
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/messages.py
@@ -15,11 +15,12 @@
 from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.messages import KeyValue
+from elmthread.store.records import COMPATIBILITY_FENCE, ROLLOUT
 
-PREFIX = "rollout/"
+PREFIX = ROLLOUT
 LEVEL_KEY = f"{PREFIX}level"
 NODES_PREFIX = f"{PREFIX}nodes/"
-FENCE_KEY = "t/compatibility"
+FENCE_KEY = COMPATIBILITY_FENCE
 
 Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=LAST_LEVEL)]
 
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -1,8 +1,9 @@
 """The keys of the store, and the records that stand under them.
 
 `j/ID` is a job, `d/ID/CHUNK` its done tasks, `m/NAME` a machine's assignments, `r/NAME` an instance
-request, `t/types` the machine types. All of them are packed into pages (`pages.py`); the leader key is
-not. An earlier layout had one key for each record; the record `layout` says that none of these is left.
+request, `t/types` the machine types. All of them are packed into pages (`pages.py`); the leader key and
+the records of a rollout are not. An earlier layout had one key for each record; the record `layout` says
+that none of these is left.
 """
 
 from datetime import UTC, datetime
@@ -25,6 +26,10 @@
 # Parts of the machine types, where all of them together are more than a value may hold. An earlier
 # version ignores them and asks the cloud, as it does at its first start.
 TYPE_PARTS = "y/"
+# The records of a staged rollout, which have keys of their own, and the packed record that keeps
+# versions without compatibility levels from leading: they read its key, and refuse its form.
+ROLLOUT = "rollout/"
+COMPATIBILITY_FENCE = "t/compatibility"
 
 
 def job_key(job_id: str) -> str:
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -6,7 +6,7 @@
 from functools import partial
 
 from elmthread.cluster import health
-from elmthread.cluster.allocation import SEEN, Allocation, AllocationState, StopMode
+from elmthread.cluster.allocation import OBSERVED_STATES, Allocation, AllocationState, StopMode
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.cluster.run_times import RunTimeModel
@@ -31,7 +31,7 @@
     TaskState.CHECKPOINTING: AllocationState.CHECKPOINTING,
 }
 # An allocation in one of these states that a heartbeat leaves out is not on the machine.
-MUST_BE_LISTED = SEEN | {AllocationState.UNCONFIRMED}
+MUST_BE_LISTED = OBSERVED_STATES | {AllocationState.UNCONFIRMED}
 
 
 @dataclass(slots=True)
@@ -158,7 +158,7 @@
             machine.cached_images[job.spec.image] = job.spec.image_gb
             health.record_success(machine, job)
             if allocation.started_at is not None and allocation.stop_mode is None:
-                self._run_times.saw(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
+                self._run_times.record(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
         elif task.exit_reason == ExitReason.FAILED:
             log.info("%s failed on %s", task.name, machine.name)
             health.record_failure(machine, job, now)
