--- a/src/elmthread/store/machine_type.py
+++ b/src/elmthread/store/machine_type.py
@@ -1,4 +1,4 @@
-"""A type of machine: the form in which the cloud lists it and the store keeps it."""
+"""A machine type, in the form in which the cloud lists it and the store keeps it."""
 
 import msgspec
 
@@ -7,7 +7,11 @@
     msgspec.Struct,
     rename={"gpus": "cards", "memory_gb": "ram_gb", "price": "rate", "boot_s": "ready_s", "zones": "yards"},
 ):
-    """A type of machine, as the cloud describes it."""
+    """A machine type as the cloud describes it.
+
+    Prices are for an hour, `boot_s` is the time in seconds until a new machine sends heartbeats, and
+    `cache_gb` is the room for images on its disk.
+    """
 
     name: str
     cpus: float
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -32,6 +32,7 @@
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.services import Port, StateStore, Trouble
+from tests.world.stored import stored_pages, stored_records
 from tests.world.term import SureTerm
 
 VALUE = 2 * 1024
@@ -55,15 +56,11 @@
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
     def pages(self) -> list[tuple[str, Any, int]]:
-        return [
-            (key, value, mod_revision)
-            for key, (value, mod_revision, _) in self.store.items.items()
-            if key.startswith(PAGE_PREFIX)
-        ]
+        return stored_pages(self.store)
 
     def read(self) -> dict[str, Any]:
         """What a new leader would find."""
-        return RecordPages(page_capacity(2)).load(self.pages())
+        return stored_records(self.store)
 
 
 def test_many_changes_go_in_few_transactions_within_the_rate() -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -18,6 +18,7 @@
 from tests.world.random_troubles import HISTORIES, TROUBLES
 from tests.world.settings import NEXT, NODES
 from tests.world.specs import daemon, job
+from tests.world.stored import stored_pages, stored_records
 from tests.world.upgrades import begin_old, fall, rollout, upgrade
 from tests.world.world import World, start
 
@@ -33,8 +34,7 @@
 
 
 def records(world: World) -> dict[str, Any]:
-    pages = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)]
-    return RecordPages(page_capacity(8)).load(pages)
+    return stored_records(world.store)
 
 
 @settings(HISTORIES, max_examples=25)
@@ -93,9 +93,7 @@
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large pages may still stand there until they are overwritten, but nothing in them is current.
         pages = RecordPages(page_capacity(NEXT["value_kb"]))
-        pages.load(
-            (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)
-        )
+        pages.load(stored_pages(world.store))
         assert not pages._oversized
         after = records(world)
         assert {key: after[key] for key in before} == before
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -143,41 +143,50 @@
         check(level, form, value)
 
 
+def check_what_is_stored_and_sent(world: World) -> Iterator[tuple[int, str]]:
+    """Level and form of all that stands in the store, and of each message that is sent."""
+    level = world.store.values().get("rollout/level", {"level": 1})["level"]
+    for form, _, value in forms_in(world.store.values()):
+        check(level, form, value)
+        yield level, form
+    for one in world.controllers.values():
+        frame = json.loads(peers.encode(one._say()))
+        # The leader may know of a level that it has raised a moment ago.
+        check(level, "message lead", frame)
+        if "links" in frame:
+            check(level, "link view", frame["links"])
+            yield level, "link view"
+
+
+def check_rollout_records(world: World) -> None:
+    for key, value in world.store.values().items():
+        if key.startswith("rollout/"):
+            name = "level" if key == "rollout/level" else "announcement"
+            jsonschema.Draft202012Validator(schemas("rollout.json")[name]).validate(value)
+            msgspec.convert(value, LevelRecord if name == "level" else AnnouncementRecord)
+
+
 def test_all_that_is_written_while_a_level_is_active_is_of_that_level() -> None:
-    """Looked at all the time through an upgrade: what stands in the store, and each message that is sent."""
+    """Checked all the time through an upgrade: what stands in the store, and each message that is sent."""
     sent: set[tuple[int, str]] = set()
 
     async def script(world: World) -> None:
-        async def look(seconds: float) -> None:
+        async def check_for(seconds: float) -> None:
             for _ in range(int(seconds / 0.25)):
-                level = world.store.values().get("rollout/level", {"level": 1})["level"]
-                for form, _, value in forms_in(world.store.values()):
-                    check(level, form, value)
-                    sent.add((level, form))
-                for one in world.controllers.values():
-                    frame = json.loads(peers.encode(one._say()))
-                    # The leader may know of a level that it has raised a moment ago.
-                    check(level, "message lead", frame)
-                    if "links" in frame:
-                        check(level, "link view", frame["links"])
-                        sent.add((level, "link view"))
+                sent.update(check_what_is_stored_and_sent(world))
                 await asyncio.sleep(0.25)
 
         for number in range(3):
             assert await world.submit(job(number, pieces=30, cpus=0.2, ram_gb=0.1, true_s=9.0, expected_s=9.0))
-        await look(12)
+        await check_for(12)
         for node in world.nodes:
             replace(world, node, SUPPORTED, 0.5)
-            await look(4)
+            await check_for(4)
         await until_level(world, SUPPORTED.highest)
         assert await world.submit(job(10, pieces=300, cpus=0.1, ram_gb=0.1, true_s=9.0, expected_s=9.0))
         assert await world.submit(daemon(11))
-        await look(20)
-        for key, value in world.store.values().items():
-            if key.startswith("rollout/"):
-                name = "level" if key == "rollout/level" else "announcement"
-                jsonschema.Draft202012Validator(schemas("rollout.json")[name]).validate(value)
-                msgspec.convert(value, LevelRecord if name == "level" else AnnouncementRecord)
+        await check_for(20)
+        check_rollout_records(world)
 
     day(script, before=begin_before, machines=6)
     newest_level = SUPPORTED.highest
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,11 +5,12 @@
 
 import pytest
 
-from elmthread.store.pages import PAGE_PREFIX, RecordPages
+from elmthread.store.pages import PAGE_PREFIX
 from tests.world.day import day
 from tests.world.faults import errors_logged
 from tests.world.loop import play
 from tests.world.specs import job
+from tests.world.stored import stored_records
 from tests.world.world import World
 
 
@@ -32,10 +33,7 @@
         world.leader.election.step_down("told to")
         await asyncio.sleep(8)
         assert await world.poll("run-000002") == "done"
-        pages = [
-            (k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(PAGE_PREFIX)
-        ]
-        assert RecordPages(8 * 1024).load(pages)["j/run-000002"] == {"state": "done", "tasks": 4}
+        assert stored_records(world.store)["j/run-000002"] == {"state": "done", "tasks": 4}
 
     def before(world: World) -> None:
         spec = job(1, true_s=4.0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,11 +14,11 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
-from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.world import earlier
 from tests.world.day import day
 from tests.world.random_troubles import befall, restore
 from tests.world.specs import daemon, job, sent
+from tests.world.stored import stored_records
 from tests.world.upgrades import begin_old, fall, upgrade
 from tests.world.world import World
 
@@ -112,67 +112,71 @@
         earlier.frame(encode(message).decode())
 
 
+def check_earlier_reader(world: World) -> None:
+    """An earlier leader would miss and mistake nothing of what is stored now."""
+    view = earlier.read(world.store.values())
+    for job_id, told in world.rules.told.items():
+        state = view.jobs[job_id]["state"]
+        assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
+    for job_id, marked in view.done.items():
+        assert {f"{job_id}/{task}" for task in marked} <= world.rules.finished
+    # No task is on a machine that the store does not name for it, unless its end is stored.
+    for machine, task in world.rules.where:
+        job_id, _, index = task.rpartition("/")
+        over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
+        assert (machine, task) in view.holds or over, (machine, task)
+    if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
+        known = stored_records(world.store)
+        assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
+
+
+async def submit_of_many_sizes(world: World) -> list[str]:
+    ids = []
+    for number in range(24):
+        spec = job(
+            number,
+            crew="red" if number % 3 else "blue",
+            pieces=(pieces := world.rng.choice([1, 4, 300])),
+            cpus=0.1 if pieces == 300 else 1.0,
+            ram_gb=0.1,
+            true_s=world.rng.uniform(2, 20),
+            builds=["large", *(f"other-{n}" for n in range(20))] if number % 5 == 0 else None,
+            due_s=60.0 if number % 4 == 0 else None,
+        )
+        if await world.submit(spec):
+            ids.append(spec["name_id"])
+    return ids
+
+
 @pytest.mark.parametrize("seed", range(4))
 def test_an_earlier_leader_finds_all_that_the_newer_version_stored(seed: int) -> None:
     """At any moment before all nodes are new, whoever leads: nothing is missed or mistaken."""
 
     async def script(world: World) -> None:
-        looks = 0
-
-        def look() -> None:
-            nonlocal looks
-            looks += 1
-            view = earlier.read(world.store.values())
-            for job_id, told in world.rules.told.items():
-                state = view.jobs[job_id]["state"]
-                assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
-            for job_id, marked in view.done.items():
-                assert {f"{job_id}/{task}" for task in marked} <= world.rules.finished
-            # No task is on a machine that the store does not name for it, unless its end is stored.
-            for machine, task in world.rules.where:
-                job_id, _, index = task.rpartition("/")
-                over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
-                assert (machine, task) in view.holds or over, (machine, task)
-            if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
-                known = RecordPages(page_capacity(8)).load(
-                    (k, v, mod_revision)
-                    for k, (v, mod_revision, _) in world.store.items.items()
-                    if k.startswith(PAGE_PREFIX)
-                )
-                assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
-
-        ids = []
-        for number in range(24):
-            spec = job(
-                number,
-                crew="red" if number % 3 else "blue",
-                pieces=(pieces := world.rng.choice([1, 4, 300])),
-                cpus=0.1 if pieces == 300 else 1.0,
-                ram_gb=0.1,
-                true_s=world.rng.uniform(2, 20),
-                builds=["large", *(f"other-{n}" for n in range(20))] if number % 5 == 0 else None,
-                due_s=60.0 if number % 4 == 0 else None,
-            )
-            if await world.submit(spec):
-                ids.append(spec["name_id"])
+        checks = 0
+
+        async def check_often(times: int, interval_s: float) -> None:
+            nonlocal checks
+            for _ in range(times):
+                await asyncio.sleep(interval_s)
+                check_earlier_reader(world)
+                checks += 1
+
+        ids = await submit_of_many_sizes(world)
 
         async def trouble() -> None:
             await befall(world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids)
-            for _ in range(20):
-                await asyncio.sleep(0.3)
-                look()
+            await check_often(20, 0.3)
 
         # Up to the last but one: whichever leads, an earlier version may be next.
         await upgrade(world, world.nodes[:2], 3.0, trouble)
-        for _ in range(60):
-            await asyncio.sleep(0.5)
-            look()
+        await check_often(60, 0.5)
         restore(world)
         await upgrade(world, world.nodes[2:], 10.0)
         fall(world)
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
-        assert looks > 90
+        assert checks > 90
 
     day(script, seed=seed, before=begin_old)
 
