--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -7,9 +7,9 @@
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import REMEMBERED, InstanceKind, Machine, MachineState
+from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.machine_deletion import DeletionReason
-from elmthread.cluster.state import ClusterState
+from elmthread.cluster.state import DELETED_MACHINE_RETENTION, ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
 from elmthread.machines.inventory import MAX_MISSED_LISTS
@@ -136,7 +136,7 @@
     manager.inventory.reconcile([seen])
     assert up.name not in cluster.machines
     # Names are not kept for ever.
-    cluster.remove_machine(booting, cloud.loop.clock() + REMEMBERED * 2)
+    cluster.remove_machine(booting, cloud.loop.clock() + DELETED_MACHINE_RETENTION * 2)
     assert set(cluster.deleted_machines) == {booting.name}
     cloud.loop.close()
 
