--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -95,10 +95,7 @@
                 urgent.append((machine_names, [request for request in alike if request.urgent]))
         for share in shares.values():
             share.urgent = [
-                request
-                for names, requests in urgent
-                if not share.machines.isdisjoint(names)
-                for request in requests
+                request for names, requests in urgent if not share.machines.isdisjoint(names) for request in requests
             ]
         return list(shares.values())
 
--- a/src/elmthread/placement/tests/reference.py
+++ b/src/elmthread/placement/tests/reference.py
@@ -15,7 +15,7 @@
 from elmthread.placement.capacity import FreeCapacity
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
-from elmthread.placement.victims import PreemptionCandidate, cheapest_victims
+from elmthread.placement.victims import PreemptionCandidate, least_loss_victims
 
 
 def preference(request: TaskRequest, capacity: FreeCapacity, cheapest: float) -> tuple[bool, float, float, str]:
@@ -147,7 +147,7 @@
             continue
         if request.max_per_zone < math.inf and request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
             continue
-        victims = cheapest_victims(request, capacity, held)
+        victims = least_loss_victims(request, capacity, held)
         if victims is None:
             continue
         loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -43,7 +43,7 @@
     return selection.chosen
 
 
-def cheapest_victims(
+def least_loss_victims(
     request: TaskRequest, capacity: FreeCapacity, candidates: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
     """Return the candidates with the least loss whose room, with what is free, fits one task; None if it can't."""
@@ -122,7 +122,7 @@
                 continue
             if request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
                 continue
-            victims = cheapest_victims(request, capacity, self._candidates[name])
+            victims = least_loss_victims(request, capacity, self._candidates[name])
             if victims is None:
                 continue
             for candidate in victims:
@@ -138,7 +138,7 @@
             or not is_allowed(request, capacity.machine_type, capacity.zone, capacity.spot)
         ):
             return
-        victims = cheapest_victims(request, capacity, self._candidates[name])
+        victims = least_loss_victims(request, capacity, self._candidates[name])
         if victims is not None:
             loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
             heapq.heappush(self._machines_by_loss, (loss, order, name))
