--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -10,7 +10,7 @@
 from elmthread.placement.feasibility import infeasibility
 from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
 from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Facts
+from elmthread.settings.platform import ClusterSettings
 from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
 from elmthread.store.job_spec import SERVICE, JobSpec
 from elmthread.store.log import slot_bytes, text_of, weight
@@ -19,11 +19,11 @@
 
 
 class JobFactory:
-    def __init__(self, facts: Facts, operators: Operators, features: ActiveFeatures) -> None:
+    def __init__(self, cluster: ClusterSettings, operators: Operators, features: ActiveFeatures) -> None:
         self._features = features
         self._operators = operators
-        self._teams = {team.name: team for team in facts.teams}
-        value_kb = facts.state.kept().value_kb
+        self._teams = {team.name: team for team in cluster.teams}
+        value_kb = cluster.store.strictest().value_kb
         self._chunk = chunk_tasks(value_kb)
         self._bitmap_chunk = bitmap_chunk_tasks(value_kb)
         self._most_record = slot_bytes(value_kb)
@@ -32,7 +32,7 @@
         self._times: dict[str, float] = {}
         # How soon a replica of the class is to serve: an aim for its start, or from when on it is missed.
         self._start: dict[str, float] = {}
-        for aim in facts.objectives:
+        for aim in cluster.objectives:
             start = {"wait": aim.within_s, "up": aim.after_s}.get(aim.kind)
             if aim.job_class and start:
                 self._start[aim.job_class] = min(start, self._start.get(aim.job_class, start))
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -9,7 +9,7 @@
 from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
 from elmthread.api.service import JobService
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.common.load import OverloadControl, WorkClass
+from elmthread.common.overload import OverloadControl, WorkClass
 from elmthread.leadership.election import Election
 from elmthread.net.http_messages import (
     MalformedBodyError,
@@ -29,7 +29,7 @@
 # Users wait 5 s for a submission and 2 s for a poll; the answer must be on its way before.
 ASK_TIME = {"submit": seconds(4), "withdraw": seconds(4), "status": seconds(1.5)}
 # What a node that has fallen behind refuses, and with what: the protocol's word for too much.
-KINDS = {"submit": WorkClass.SUBMITTING, "withdraw": WorkClass.ASKING, "status": WorkClass.ASKING}
+KINDS = {"submit": WorkClass.SUBMISSION, "withdraw": WorkClass.STATUS_REQUEST, "status": WorkClass.STATUS_REQUEST}
 # A node that knows a leader it can't reach leaves users to nodes that can, after this time.
 CUT_OFF = seconds(2.8)
 # Where nobody leads, no node is better than another: users are told at once when to come
--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -10,7 +10,7 @@
 
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine
-from elmthread.common.states import step
+from elmthread.common.states import transition
 
 
 class AllocationState(Enum):
@@ -55,4 +55,4 @@
         if new is self.state:
             return
         self.job.running_count += (new is AllocationState.RUNNING) - (self.state is AllocationState.RUNNING)
-        self.state = step(self.job.id, ALLOCATION_STEPS, self.state, new)
+        self.state = transition(self.job.id, ALLOCATION_STEPS, self.state, new)
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from elmthread.common.clock import ZERO
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.store.job_spec import SERVICE, JobSpec
 
 if TYPE_CHECKING:
@@ -107,7 +107,7 @@
         self.backoff = ZERO
 
     def transition_to(self, new: JobState) -> None:
-        self.state = step(self.id, JOB_STEPS, self.state, new)
+        self.state = transition(self.id, JOB_STEPS, self.state, new)
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from elmthread.common.clock import seconds
-from elmthread.common.states import step
+from elmthread.common.states import transition
 
 if TYPE_CHECKING:
     from elmthread.cluster.allocation import Allocation
@@ -139,7 +139,7 @@
         self.uncommitted_completions: dict[int, tuple[str, int]] = {}
 
     def transition_to(self, new: MachineState) -> None:
-        self.state = step(self.name, MACHINE_STEPS, self.state, new)
+        self.state = transition(self.name, MACHINE_STEPS, self.state, new)
 
     @property
     def is_schedulable(self) -> bool:
--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -1,4 +1,4 @@
-"""Steady time as timedelta, and the allowance for clocks that drift apart."""
+"""Monotonic time as timedelta, and the allowance for clocks that drift apart."""
 
 import time
 from collections.abc import Callable
@@ -12,20 +12,20 @@
 
 
 def steady() -> timedelta:
-    """Time since some moment, by this machine's steady clock."""
+    """Return the time since an arbitrary moment, by this machine's monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
 
 def seconds(value: float) -> timedelta:
-    """A span of so many seconds."""
+    """Return a time span of so many seconds."""
     return timedelta(seconds=value)
 
 
 def at_most(span: timedelta) -> timedelta:
-    """How much of span may be trusted here when another clock measures it."""
+    """Return the span that, measured here, surely ends before `span` has passed on another clock."""
     return span * (1 - DRIFT)
 
 
 def at_least(span: timedelta) -> timedelta:
-    """How long to wait here until span has surely passed on another clock."""
+    """Return how long to wait here until the span has surely passed on another clock."""
     return span * (1 + DRIFT)
--- a/src/elmthread/common/logs.py
+++ b/src/elmthread/common/logs.py
@@ -1,4 +1,4 @@
-"""Logging on standard error, in the amount that LOG_LEVEL sets."""
+"""Logging to standard error, at the level that LOG_LEVEL names."""
 
 import logging
 import os
@@ -7,11 +7,11 @@
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
-def set_up() -> None:
-    """Logs to standard error, as much as `LOG_LEVEL` says."""
+def configure() -> None:
+    """Log to standard error, at the level that the environment variable `LOG_LEVEL` names."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
     logging.basicConfig(stream=sys.stderr, level=level, format="%(levelname)s %(name)s %(message)s")
-    # Looking up thread and process names costs time on every line and tells nothing here.
+    # Looking up the thread and the process costs time for each line; there is only one of each.
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
--- a/src/elmthread/common/states.py
+++ b/src/elmthread/common/states.py
@@ -1,4 +1,4 @@
-"""The one way in which a named state changes: along a table of allowed steps."""
+"""State machines: a named state changes along a table of allowed transitions."""
 
 import logging
 from collections.abc import Mapping
@@ -13,11 +13,11 @@
 
 
 class TransitionError(ElmthreadError):
-    """A change of state that the table does not allow: a fault in the program."""
+    """A state may not change like that: a fault in the program."""
 
 
-def step(name: str, table: Mapping[S, frozenset[S]], old: S, new: S) -> S:
-    """The new state. Raises TransitionError where the table does not allow the change."""
+def transition(name: str, table: Mapping[S, frozenset[S]], old: S, new: S) -> S:
+    """Return the new state. Raises TransitionError where the table does not allow the change."""
     if new is old:
         return old
     if new not in table[old]:
--- a/src/elmthread/common/tests/test_load.py
+++ b/src/elmthread/common/tests/test_overload.py
@@ -1,7 +1,7 @@
 """What is refused by a node that has fallen behind."""
 
 from elmthread.common.clock import ZERO, seconds
-from elmthread.common.load import LASTING, OverloadControl, WorkClass
+from elmthread.common.overload import MEASUREMENTS, OverloadControl, WorkClass
 
 
 def test_kinds_are_refused_in_order_and_only_while_it_lasts() -> None:
@@ -11,7 +11,7 @@
     assert not any(load.rejects(kind) for kind in WorkClass)
     seen = []
     for late in (0.1, 0.7, 1.2, 3.0, 0.7, 0.0):
-        for _ in range(LASTING):
+        for _ in range(MEASUREMENTS):
             load.record_delay(seconds(late))
         refused = [kind for kind in WorkClass if load.rejects(kind)]
         # Whatever is refused, all that is less needed is refused too.
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -9,7 +9,7 @@
 from elmthread.api.service import JobService
 from elmthread.common.clock import Clock, seconds, steady
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
-from elmthread.common.load import OverloadControl
+from elmthread.common.overload import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
 from elmthread.limits import (
@@ -33,7 +33,7 @@
 from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError, Membership
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Platform, split_address
+from elmthread.settings.platform import Platform, parse_address
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH, names_leader
@@ -65,11 +65,11 @@
         self._platform = platform
         self._operators = operators
         self._clock = clock
-        facts = platform.facts
+        cluster = platform.cluster
         # A follower needs little of the state service's rate; a leader takes its own part.
-        self._store_rps = facts.state.kept().rps
+        self._store_rps = cluster.store.strictest().rps
         self._requests = TokenBucket(self._store_rps * OTHERS_PART, self._store_rps * OTHERS_PART, clock)
-        links = {other.node: split_address(other.address) for other in platform.others}
+        links: dict[str, tuple[str, int]] = {peer.node: parse_address(peer.address) for peer in platform.peers}
         self.peers = peers(
             links,
             self._answer,
@@ -80,15 +80,15 @@
         self._features = ActiveFeatures()
         self.reachability = Reachability(
             platform.node,
-            [other.node for other in platform.others],
-            ReachabilityBounds(LEASE, facts.workers.heartbeat_interval, facts.workers.lease),
+            [peer.node for peer in platform.peers],
+            ReachabilityBounds(LEASE, cluster.workers.heartbeat_interval, cluster.workers.lease),
             clock,
             self._features,
-            facts.workers.lease * QUIET,
+            cluster.workers.lease * QUIET,
             self.peers,
         )
         self._state = KeyValueStore(
-            state or HttpClient(platform.endpoints.state), self._requests, self.reachability.store
+            state or HttpClient(platform.endpoints.store), self._requests, self.reachability.store
         )
         self._cloud = cloud or HttpClient(platform.endpoints.cloud)
         members = platform.members
@@ -102,7 +102,7 @@
             operators.rollout,
             gate,
             self._features,
-            GUARDS_FOR_EACH_CHANGE * facts.state.kept().txn_ops,
+            GUARDS_FOR_EACH_CHANGE * cluster.store.strictest().txn_ops,
             self._process_of,
         )
         self.election = Election(
@@ -128,8 +128,8 @@
             self.load,
             gate,
         )
-        most = max(10, int(facts.limits.max_connections * SERVERS_PART))
-        workers = ConnectionLimit(HEARTBEAT_PATH, max(5, int(most * WORKERS_PART)), facts.workers.lease)
+        most = max(10, int(cluster.limits.max_connections * SERVERS_PART))
+        workers = ConnectionLimit(HEARTBEAT_PATH, max(5, int(most * WORKERS_PART)), cluster.workers.lease)
         self.server = HttpServer(self.api.handle, most, clock, workers)
         self.leader: Leader | None = None
         self._leading: asyncio.Task[None] | None = None
@@ -163,7 +163,7 @@
             if self.election.role is not Role.LEASE_UNCERTAIN:
                 continue
             asked, fencing_token = self._clock(), self.election.fencing_token
-            asks = [self._confirms_no_later_term(other.node, fencing_token) for other in self._platform.others]
+            asks = [self._confirms_no_later_term(peer.node, fencing_token) for peer in self._platform.peers]
             if all(await asyncio.gather(*asks)):
                 self.election.note_no_later_term(fencing_token, asked)
 
@@ -238,7 +238,7 @@
             self.rollout.gate.check(level)
         except IncompatibleLevelError:
             return
-        self.rollout.features.learn(level)
+        self.rollout.features.raise_level(level)
 
     async def _answer(self, ask: ForwardedRequest) -> ForwardedResponse:
         return await self.api.answer(ask)
@@ -268,10 +268,10 @@
     async def run(self) -> None:
         """Serves users, workers and the other controllers until it is cancelled."""
         platform = self._platform
-        host, port = split_address(platform.listen)
+        host, port = parse_address(platform.listen)
         await self.server.start(host, port)
         async with asyncio.TaskGroup() as group:
             group.create_task(self.load.run())
             group.create_task(self.server.close_expired())
-            group.create_task(self.peers.run(*split_address(platform.peer_listen)))
+            group.create_task(self.peers.run(*parse_address(platform.peer_listen)))
             group.create_task(self.coordinate())
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -14,7 +14,7 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock, seconds
-from elmthread.common.load import OverloadControl, WorkClass
+from elmthread.common.overload import OverloadControl, WorkClass
 from elmthread.leadership.context import TermContext
 from elmthread.leadership.election import Election
 from elmthread.leadership.term import Term
@@ -82,12 +82,12 @@
         self._events = self.context.events
         self.reachability = self._make_reachability()
         self.leases = WorkerLeases(
-            node.platform.facts.workers.lease,
-            node.clock() + node.election.failover_delay(node.platform.facts.workers.lease),
+            node.platform.cluster.workers.lease,
+            node.clock() + node.election.failover_delay(node.platform.cluster.workers.lease),
         )
         self.catalog = MachineTypeCatalog(self.cluster, self._events)
         self.run_times = RunTimeModel()
-        self._factory = JobFactory(node.platform.facts, node.operators, node.rollout.features)
+        self._factory = JobFactory(node.platform.cluster, node.operators, node.rollout.features)
         self._completions = CompletionRecorder(self.context)
         self._assignments = Assignments(self.context)
         self.machine_manager = self._make_machine_manager()
@@ -102,7 +102,7 @@
 
     def _make_context(self) -> TermContext:
         node = self._node
-        limits = node.platform.facts.state.kept()
+        limits = node.platform.cluster.store.strictest()
         pages = RecordPages(slot_bytes(limits.value_kb))
         rate = limits.write_rps * LEADERS_PART
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
@@ -122,19 +122,19 @@
         return TermReachability(node.reachability, ZoneHealth(census, bounds, node.clock), self.context)
 
     def _make_machine_manager(self) -> MachineManager:
-        node, cloud = self._node, self._node.platform.facts.cloud
+        node, cloud = self._node, self._node.platform.cluster.cloud
         calls = TokenBucket(cloud.rps * 0.9, max(1.0, cloud.rps * 1.5), node.clock)
         client = CloudClient(node.cloud, calls, cloud.list_lag, self.term.holds_lease)
         return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zones)
 
     def _make_job_service(self) -> JobService:
         platform = self._node.platform
-        limits = RequestLimits(users_at_once(platform), platform.facts.workers.cancel)
+        limits = RequestLimits(users_at_once(platform), platform.cluster.workers.cancellation_time)
         return JobService(self.context, self._factory, self.catalog, self.leases, limits)
 
     def _make_scheduler(self) -> Scheduler:
-        facts = self._node.platform.facts
-        settings = SchedulerSettings({team.name: team for team in facts.teams}, facts.workers.heartbeat_interval)
+        cluster = self._node.platform.cluster
+        settings = SchedulerSettings({team.name: team for team in cluster.teams}, cluster.workers.heartbeat_interval)
         attempts = AttemptCounter(self.term.fencing_token)
         return Scheduler(self.context, settings, attempts, self._assignments, self.run_times)
 
@@ -174,7 +174,7 @@
     async def _time_to_decide(self) -> None:
         """Decisions wait while there is not even time for answers, though not for ever."""
         for _ in range(MOST_PUT_OFF):
-            if not self._node.load.rejects(WorkClass.DECIDING):
+            if not self._node.load.rejects(WorkClass.SCHEDULING_ROUND):
                 return
             await asyncio.sleep(ROUND.total_seconds())
 
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.store import messages
 from elmthread.store.client import (
     ConflictError,
@@ -131,7 +131,7 @@
         self._given_up = asyncio.Event()
 
     def _move(self, new: Role) -> None:
-        self.role = step(self._node, ROLE_STEPS, self.role, new)
+        self.role = transition(self._node, ROLE_STEPS, self.role, new)
 
     def holds_lease(self) -> bool:
         """The lease surely holds now: this node may write, start and answer users."""
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -23,10 +23,10 @@
 
 def users_at_once(platform: Platform) -> int:
     """Requests of users that may wait here: about as many as their sockets, so others get answers."""
-    return max(10, int(platform.facts.limits.max_connections * SERVERS_PART * (1 - WORKERS_PART)))
+    return max(10, int(platform.cluster.limits.max_connections * SERVERS_PART * (1 - WORKERS_PART)))
 
 
 def holding_time(platform: Platform) -> timedelta:
     """How long workers may be answered on a lease that is no longer sure."""
-    workers = platform.facts.workers
-    return max(seconds(0), min(at_most(workers.cancel) - at_least(workers.lease) - CANCEL_SLACK, MOST_HELD))
+    workers = platform.cluster.workers
+    return max(seconds(0), min(at_most(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MOST_HELD))
--- a/src/elmthread/peers/link.py
+++ b/src/elmthread/peers/link.py
@@ -15,7 +15,7 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, Message, decode, encode
 
 log = logging.getLogger(__name__)
@@ -113,7 +113,7 @@
         self.state = LinkState.DOWN
 
     def _move(self, new: LinkState) -> None:
-        self.state = step(f"link to {self.node}", LINK_STEPS, self.state, new)
+        self.state = transition(f"link to {self.node}", LINK_STEPS, self.state, new)
 
     async def run(self) -> None:
         """Connects, and connects anew, for ever."""
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -11,7 +11,7 @@
 from elmthread.common.errors import ElmthreadError
 from elmthread.peers.messages import LeaderAnnouncement, decode
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage
-from elmthread.settings.platform import Platform, split_address
+from elmthread.settings.platform import Platform, parse_address
 
 OK, FAILED = 0, 1
 # Controllers announce themselves each second.
@@ -25,7 +25,7 @@
 
 def run(platform: Platform, within: timedelta = ANNOUNCED_WITHIN) -> int:
     """Prints each controller's links; exits with 1 where one of them tells nothing."""
-    addresses = {platform.node: platform.peer_listen} | {other.node: other.address for other in platform.others}
+    addresses = {platform.node: platform.peer_listen} | {peer.node: peer.address for peer in platform.peers}
     told = asyncio.run(_ask_all(addresses, within))
     for node in sorted(told):
         found = told[node]
@@ -71,7 +71,7 @@
     """What the controller that listens there for others announces next."""
     try:
         async with asyncio.timeout(within.total_seconds()):
-            reader, writer = await asyncio.open_connection(*split_address(address))
+            reader, writer = await asyncio.open_connection(*parse_address(address))
             try:
                 return await _next_announcement(reader)
             finally:
--- a/src/elmthread/reachability/links.py
+++ b/src/elmthread/reachability/links.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 from elmthread.common.clock import Clock
-from elmthread.common.states import step
+from elmthread.common.states import transition
 
 
 class LinkState(Enum):
@@ -73,4 +73,4 @@
         return None if self.confirmed_at is None else self._clock() - self.confirmed_at
 
     def _move(self, new: LinkState) -> None:
-        self._state = step(f"link to {self.name}", LINK_STEPS, self._state, new)
+        self._state = transition(f"link to {self.name}", LINK_STEPS, self._state, new)
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -23,14 +23,14 @@
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Prints the state of the rollout."""
     client = KeyValueStore(
-        HttpClient(platform.endpoints.state), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
+        HttpClient(platform.endpoints.store), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
     )
     members = platform.members
     try:
         records: RolloutRecords = asyncio.run(read_records(client))
         view = read_view(records.items)
     except (StoreError, UnreadableLevelError) as error:
-        print(f"elmthread: {platform.endpoints.state}: {error}", file=sys.stderr)
+        print(f"elmthread: {platform.endpoints.store}: {error}", file=sys.stderr)
         return FAILED
     for line in describe(view, members, SUPPORTED, settings, time.time()):
         print(line)
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -19,7 +19,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import SupportedLevels
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.rollout import messages
 from elmthread.rollout.store import read_records
 from elmthread.rollout.view import Announcement, RolloutView
@@ -96,7 +96,7 @@
             self._admission.set()
 
     def _move(self, new: GateState) -> None:
-        self.state = step(f"gate of {self._membership.node}", GATE_STEPS, self.state, new)
+        self.state = transition(f"gate of {self._membership.node}", GATE_STEPS, self.state, new)
 
     @property
     def admitted(self) -> bool:
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -84,7 +84,7 @@
         self._level = max(messages.read_view(items).level, self._fence)
         self._context.gate.check(self._level)
         # Forms up to the fence's level may stand in the store, and may be written.
-        self._context.features.learn(self._fence)
+        self._context.features.raise_level(self._fence)
 
     async def run(self) -> None:
         """Puts up the fence where it is missing, then raises the level as soon as it may be."""
@@ -180,7 +180,7 @@
 
         def durable() -> None:
             self._fence = level
-            self._context.features.learn(level)
+            self._context.features.raise_level(level)
 
         self._writer.write(messages.FENCE_KEY, WritePriority.USER, lambda: messages.FenceRecord(level), durable)
 
--- a/src/elmthread/settings/expressions.py
+++ b/src/elmthread/settings/expressions.py
@@ -1,7 +1,7 @@
 """Operators' expressions: a small language over a job's fields, checked before start.
 
-simpleeval runs them; the checker here walks the same syntax tree first, so that a wrong
-name, a wrong type or a costly construct is told at start and never in the middle of work.
+simpleeval evaluates them. The checks here walk the same syntax tree first, so that a wrong name, a
+wrong type or a costly construct is an error at start and never while the controller runs.
 """
 
 import ast
@@ -17,25 +17,19 @@
 
 FUNCTIONS: dict[str, Any] = {"min": min, "max": max, "abs": abs}
 
-_OPERATORS: dict[type[ast.AST], str] = {
-    ast.Add: "number",
-    ast.Sub: "number",
-    ast.Mult: "number",
-    ast.Div: "number",
-}
 _ORDERS = (ast.Lt, ast.LtE, ast.Gt, ast.GtE)
 _EQUALS = (ast.Eq, ast.NotEq)
 
 
 class ExpressionError(ElmthreadError):
-    """What is wrong with an expression, in one line."""
+    """An expression is not part of the language or has the wrong type; the message is one line."""
 
 
 class Expression:
     """A checked expression of a known type: "number", "text" or "truth"."""
 
     def __init__(self, source: str, names: Mapping[str, str], wanted: str) -> None:
-        """Checks the source against the names and the kind of value that is wanted. Raises ExpressionError."""
+        """Check the source: it may use `names`, by type, and must have the type `wanted`. Raises ExpressionError."""
         self.source = source
         if len(source) > MAX_LENGTH:
             raise ExpressionError(f"longer than {MAX_LENGTH} characters")
@@ -53,70 +47,71 @@
         self.names = frozenset(node.id for node in ast.walk(tree) if isinstance(node, ast.Name)) - FUNCTIONS.keys()
 
     def __call__(self, values: Mapping[str, Any]) -> Any:
-        """The expression's value for these names. Raises ZeroDivisionError and OverflowError."""
+        """Return the expression's value for these names. Raises ZeroDivisionError and OverflowError."""
         self._eval.names = dict(values)
         return self._eval.eval(self.source, previously_parsed=self._tree)
 
 
 def _type_of(node: ast.AST, names: Mapping[str, str]) -> str:
     match node:
-        case ast.Constant(value=bool()):
-            return "truth"
-        case ast.Constant(value=int() | float()):
-            return "number"
-        case ast.Constant(value=str()):
-            return "text"
+        case ast.Constant(value=bool() | int() | float() | str() as value):
+            return _constant_type(value)
         case ast.Name(id=name):
             if name not in names:
                 raise ExpressionError(f"unknown name {name!r}; known: {', '.join(sorted(names))}")
             return names[name]
-        case ast.UnaryOp(op=ast.Not(), operand=inner):
-            _want(inner, "truth", names)
-            return "truth"
-        case ast.UnaryOp(op=ast.USub(), operand=inner):
-            _want(inner, "number", names)
-            return "number"
-        case ast.BoolOp(values=parts):
-            for part in parts:
-                _want(part, "truth", names)
-            return "truth"
-        case ast.BinOp(left=left, op=op, right=right) if type(op) in _OPERATORS:
-            _want(left, "number", names)
-            _want(right, "number", names)
-            return "number"
+        case ast.UnaryOp(op=ast.Not() | ast.USub() as operator, operand=operand):
+            return _require_all([operand], "truth" if isinstance(operator, ast.Not) else "number", names)
+        case ast.BoolOp(values=operands):
+            return _require_all(operands, "truth", names)
+        case ast.BinOp(left=left, op=ast.Add() | ast.Sub() | ast.Mult() | ast.Div(), right=right):
+            return _require_all([left, right], "number", names)
         case ast.IfExp(test=test, body=body, orelse=orelse):
-            _want(test, "truth", names)
-            kind = _type_of(body, names)
-            _want(orelse, kind, names)
-            return kind
-        case ast.Compare(left=left, ops=ops, comparators=rest):
-            return _compare(left, ops, rest, names)
+            _require(test, "truth", names)
+            return _require_all([orelse], _type_of(body, names), names)
+        case ast.Compare(left=left, ops=operators, comparators=rest):
+            return _compare(left, operators, rest, names)
         case ast.Call(func=ast.Name(id=name), args=args, keywords=[]) if name in FUNCTIONS:
-            if not args or (name == "abs" and len(args) != 1) or (name != "abs" and len(args) < 2):
-                raise ExpressionError(f"{name}() has the wrong number of arguments")
-            for arg in args:
-                _want(arg, "number", names)
-            return "number"
+            return _call(name, args, names)
     raise ExpressionError(f"not part of the language: {ast.unparse(node)[:40]}")
 
 
-def _compare(left: ast.expr, ops: list[ast.cmpop], rest: list[ast.expr], names: Mapping[str, str]) -> str:
+def _constant_type(value: bool | int | float | str) -> str:
+    if isinstance(value, bool):
+        return "truth"
+    return "text" if isinstance(value, str) else "number"
+
+
+def _call(name: str, args: list[ast.expr], names: Mapping[str, str]) -> str:
+    if not args or (name == "abs" and len(args) != 1) or (name != "abs" and len(args) < 2):
+        raise ExpressionError(f"{name}() has the wrong number of arguments")
+    return _require_all(args, "number", names)
+
+
+def _compare(left: ast.expr, operators: list[ast.cmpop], rest: list[ast.expr], names: Mapping[str, str]) -> str:
     kind = _type_of(left, names)
-    for op, right in zip(ops, rest, strict=True):
+    for op, right in zip(operators, rest, strict=True):
         if isinstance(op, _ORDERS):
-            _want(left, "number", names)
-            _want(right, "number", names)
+            _require(left, "number", names)
+            _require(right, "number", names)
         elif isinstance(op, _EQUALS):
-            _want(right, kind, names)
+            _require(right, kind, names)
         elif isinstance(op, ast.In | ast.NotIn) and isinstance(right, ast.Tuple | ast.List):
             for item in right.elts:
-                _want(item, kind, names)
+                _require(item, kind, names)
         else:
             raise ExpressionError("a comparison is one of < <= > >= == != in, not in (a list)")
     return "truth"
 
 
-def _want(node: ast.AST, wanted: str, names: Mapping[str, str]) -> None:
+def _require_all(nodes: list[ast.expr], wanted: str, names: Mapping[str, str]) -> str:
+    """Return the type that all nodes were found to have. Raises ExpressionError."""
+    for node in nodes:
+        _require(node, wanted, names)
+    return wanted
+
+
+def _require(node: ast.AST, wanted: str, names: Mapping[str, str]) -> None:
     found = _type_of(node, names)
     if found != wanted:
         raise ExpressionError(f"{ast.unparse(node)[:40]}: is a {found}, wanted a {wanted}")
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -1,4 +1,4 @@
-"""Operators' own settings: expressions over a job's fields and a few bounded numbers."""
+"""The operators' settings file: expressions over a job's fields and a few bounded numbers."""
 
 import math
 import tomllib
@@ -13,6 +13,9 @@
 from elmthread.settings.platform import SettingsError
 from elmthread.settings.rollout import RolloutSettings
 
+# Deadlines after submission, where the expression has no value, and the bounds of its value.
+DEFAULT_DEADLINE_S = 3600.0
+MIN_DEADLINE_S, MAX_DEADLINE_S = 1.0, 30 * 86400.0
 # What an expression may name: fields of the job, and the objective of its class (0: none).
 JOB_NAMES = {
     "job_class": "text",
@@ -31,8 +34,8 @@
 }
 
 
-class Raw(msgspec.Struct, forbid_unknown_fields=True):
-    """The operators' file as it is written."""
+class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True):
+    """The operators' file as it is written, not checked yet."""
 
     urgent: str = "form == 'daemon' or priority in ('production', 'high')"
     deadline_s: str = "due_s if due_s > 0 else objective_s if objective_s > 0 else 3600"
@@ -43,32 +46,34 @@
 
 
 class Operators:
-    """The checked settings, with defaults that serve a deployment that says nothing."""
-
-    def __init__(self, raw: Raw) -> None:
-        """Checks everything. Raises SettingsError."""
-        self._urgent = _expression("urgent", raw.urgent, "truth")
-        self._deadline = _expression("deadline_s", raw.deadline_s, "number")
-        self.theta = _number("theta", raw.theta, 0.05, 1.0)
-        self.delta = _number("delta", raw.delta, 0.0, 0.5)
-        self.check: timedelta = seconds(_number("check_s", raw.check_s, 0.5, 600.0))
-        problem = raw.rollout.problem()
+    """The checked settings; the defaults suit a deployment that sets none."""
+
+    def __init__(self, file: OperatorsFile) -> None:
+        """Check all fields. Raises SettingsError."""
+        self._urgent = _expression("urgent", file.urgent, "truth")
+        self._deadline = _expression("deadline_s", file.deadline_s, "number")
+        self.theta = _number("theta", file.theta, 0.05, 1.0)
+        self.delta = _number("delta", file.delta, 0.0, 0.5)
+        self.check: timedelta = seconds(_number("check_s", file.check_s, 0.5, 600.0))
+        problem = file.rollout.problem()
         if problem is not None:
             raise SettingsError(problem)
-        self.rollout = raw.rollout
+        self.rollout = file.rollout
 
     def urgent(self, job: dict[str, Any]) -> bool:
-        """Whether a job goes first, by its fields."""
+        """Return whether a job is urgent, by its fields."""
         return bool(self._urgent(job))
 
     def deadline(self, job: dict[str, Any]) -> timedelta:
-        """How long after its submission a job is to be done, from 1 s to 30 days."""
+        """Return how long after its submission a job is to be done, from 1 s to 30 days."""
         try:
             value = float(self._deadline(job))
         except (ZeroDivisionError, OverflowError):
-            value = 3600.0
-        # An expression may give any number; a deadline is bounded to what a clock can hold.
-        return seconds(min(max(value, 1.0), 30 * 86400.0) if math.isfinite(value) else 3600.0)
+            value = DEFAULT_DEADLINE_S
+        # An expression may give any number; a deadline must be one that a clock can hold.
+        if not math.isfinite(value):
+            value = DEFAULT_DEADLINE_S
+        return seconds(min(max(value, MIN_DEADLINE_S), MAX_DEADLINE_S))
 
 
 def _expression(name: str, source: str, wanted: str) -> Expression:
@@ -85,17 +90,17 @@
 
 
 def parse(text: str) -> Operators:
-    """Reads a file's text. Raises SettingsError."""
+    """Return the settings in a file's text. Raises SettingsError."""
     try:
-        return Operators(msgspec.convert(tomllib.loads(text), Raw))
+        return Operators(msgspec.convert(tomllib.loads(text), OperatorsFile))
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise SettingsError(str(error)) from error
 
 
 def load(path: Path | None) -> Operators:
-    """Reads a file; without one, the defaults. Raises SettingsError, naming the file."""
+    """Return the settings in a file, or the defaults without one. Raises SettingsError, naming the file."""
     if path is None:
-        return Operators(Raw())
+        return Operators(OperatorsFile())
     try:
         return parse(path.read_text())
     except (OSError, UnicodeDecodeError, SettingsError) as error:
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -1,9 +1,13 @@
-"""The file that the platform hands over: its fields, checked; unknown ones are ignored."""
+"""The platform's settings file, checked; unknown fields are ignored.
+
+The fields keep the file's names on the outside; `rename` maps them to the terms of the code.
+"""
 
 import math
 import tomllib
 from datetime import timedelta
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
@@ -12,26 +16,26 @@
 
 
 class SettingsError(ElmthreadError):
-    """One clear line naming the field that is wrong."""
+    """A settings file cannot be used; the message is one line that names the field."""
 
 
-class Other(msgspec.Struct, rename={"node": "node_name", "zone": "site"}):
-    """Another controller."""
+class PeerController(msgspec.Struct, rename={"node": "node_name", "zone": "site"}):
+    """Another controller, and where it listens for its peers."""
 
     node: str
     zone: str
     address: str
 
 
-class Endpoints(msgspec.Struct):
-    """Where the cloud and the state service are."""
+class Endpoints(msgspec.Struct, rename={"store": "state"}):
+    """Addresses of the cloud and of the key-value store."""
 
     cloud: str
-    state: str
+    store: str
 
 
 class Team(msgspec.Struct):
-    """Guarantee and limit of a team; 0 means that there is none."""
+    """A team's guarantee and limit, in cores and in GPUs; 0 means that there is none."""
 
     name: str
     cpus: float = 0.0
@@ -41,17 +45,17 @@
 
     @property
     def cpu_quota(self) -> float:
-        """The most cores that the team may use."""
+        """Cores that the team may use at most."""
         return self.cpus_max or math.inf
 
     @property
     def gpu_quota(self) -> float:
-        """The most GPUs that the team may use."""
+        """GPUs that the team may use at most."""
         return self.gpus_max or math.inf
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
-    """What is wanted of a class; `up` is the share of replica time served, from `after_s` on."""
+    """A service-level objective for a class of jobs; `up` is the share of replica time served, from `after_s` on."""
 
     kind: str
     job_class: str | None = None
@@ -61,12 +65,12 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct, rename={"heartbeat_interval_s": "report_s"}):
-    """Times that workers keep to."""
+class WorkerTimes(msgspec.Struct, rename={"heartbeat_interval_s": "report_s", "cancellation_time_s": "cancel_s"}):
+    """Times that workers keep."""
 
     heartbeat_interval_s: float
     lease_s: float
-    cancel_s: float
+    cancellation_time_s: float
 
     @property
     def heartbeat_interval(self) -> timedelta:
@@ -75,17 +79,17 @@
 
     @property
     def lease(self) -> timedelta:
-        """How long a worker goes on without an answer."""
+        """How long a worker goes on without a response."""
         return seconds(self.lease_s)
 
     @property
-    def cancel(self) -> timedelta:
-        """How soon after a cancellation is told all tasks must be gone."""
-        return seconds(self.cancel_s)
+    def cancellation_time(self) -> timedelta:
+        """How soon all tasks must be gone after a user has read that their job is cancelled."""
+        return seconds(self.cancellation_time_s)
 
 
-class NextState(msgspec.Struct):
-    """Limits that the state service will have from some moment on; what is absent does not change."""
+class NextStoreLimits(msgspec.Struct):
+    """Limits that the key-value store will have from some moment on; what is absent does not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -93,20 +97,20 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct):
-    """Limits of the state service."""
+class StoreLimits(msgspec.Struct):
+    """Limits of the key-value store: requests and writes per second, size of a value, changes in a transaction."""
 
     rps: float
     write_rps: float
     value_kb: float
     txn_ops: int
-    next: NextState | None = None
+    next: NextStoreLimits | None = None
 
-    def kept(self) -> "State":
-        """The stricter of each limit now and next, which this version keeps from its start.
+    def strictest(self) -> "StoreLimits":
+        """Return the stricter of each limit now and next.
 
-        The moment of the change comes without notice: what keeps both never has to notice it,
-        and no transaction that is under way then becomes one that is refused.
+        The moment of the change is not announced. A controller that keeps both limits from its start need
+        not notice it, and no transaction in flight is refused.
         """
         if self.next is None:
             return self
@@ -118,71 +122,81 @@
         return msgspec.structs.replace(self, **limits)
 
 
-class Cloud(msgspec.Struct):
-    """Limits of the cloud."""
+class CloudLimits(msgspec.Struct):
+    """Requests per second that the cloud takes, and how late its list is."""
 
     rps: float
     list_lag_s: float
 
     @property
     def list_lag(self) -> timedelta:
-        """How late the cloud's list is."""
+        """How far the cloud's list may lag behind."""
         return seconds(self.list_lag_s)
 
 
-class Limits(msgspec.Struct):
-    """What a controller's machine allows."""
+class ControllerLimits(msgspec.Struct):
+    """Resources of the machine that a controller runs on."""
 
     cores: float = 1.0
     ram_mb: float = 256.0
     max_connections: int = 1000
 
 
-class Facts(msgspec.Struct):
-    """Everything that is the same for all controllers."""
+class ClusterSettings(msgspec.Struct, rename={"store": "state"}):
+    """Settings that are the same for all controllers."""
 
     zones: list[str]
-    workers: Workers
-    state: State
-    cloud: Cloud
-    limits: Limits = msgspec.field(default_factory=Limits)
+    workers: WorkerTimes
+    store: StoreLimits
+    cloud: CloudLimits
+    limits: ControllerLimits = msgspec.field(default_factory=ControllerLimits)
     teams: list[Team] = []
     objectives: list[Objective] = []
     initial_size: int = 1
     time_bound_ms: float = 0.0
 
 
-class Platform(msgspec.Struct, rename={"node": "node_name", "zone": "site", "listen": "serve_on"}):
-    """The platform's settings file."""
+class Platform(
+    msgspec.Struct,
+    rename={"node": "node_name", "zone": "site", "listen": "serve_on", "cluster": "facts", "peers": "others"},
+):
+    """The platform's settings file: this node's settings and those of the cluster."""
 
     node: str
     zone: str
     listen: str
     peer_listen: str
     endpoints: Endpoints
-    facts: Facts
-    others: list[Other] = []
+    cluster: ClusterSettings
+    peers: list[PeerController] = []
 
     @property
     def members(self) -> frozenset[str]:
-        """All controllers, this one included."""
-        return frozenset({self.node, *(other.node for other in self.others)})
+        """The nodes of all controllers, this one included."""
+        return frozenset({self.node, *(peer.node for peer in self.peers)})
 
     def team(self, name: str) -> Team | None:
-        """The team of that name."""
-        return next((team for team in self.facts.teams if team.name == name), None)
+        """Return the team of that name, if there is one."""
+        return next((team for team in self.cluster.teams if team.name == name), None)
+
+
+class Address(NamedTuple):
+    """A host and a port."""
 
+    host: str
+    port: int
 
-def split_address(address: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT. Raises ValueError."""
+
+def parse_address(address: str) -> Address:
+    """Return the parts of HOST:PORT. Raises ValueError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(address)
-    return host, int(port)
+    return Address(host, int(port))
 
 
 def parse(text: str) -> Platform:
-    """Reads a file's text. Raises SettingsError."""
+    """Return the settings in a file's text. Raises SettingsError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -196,7 +210,7 @@
 
 
 def load(path: Path) -> Platform:
-    """Reads a file. Raises SettingsError, naming the file."""
+    """Return the settings in a file. Raises SettingsError, naming the file."""
     try:
         return parse(path.read_text())
     except (OSError, UnicodeDecodeError, SettingsError) as error:
@@ -204,43 +218,51 @@
 
 
 def _check(platform: Platform) -> None:
-    facts = platform.facts
+    _check_addresses(platform)
+    _check_positive(platform.cluster)
+    for team in platform.cluster.teams:
+        for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
+            value = getattr(team, field)
+            if not (math.isfinite(value) and value >= 0):
+                raise SettingsError(f"facts.teams.{team.name}.{field}: must be 0 or more, is {value}")
+    list_lag_s = platform.cluster.cloud.list_lag_s
+    if not math.isfinite(list_lag_s) or list_lag_s < 0:
+        raise SettingsError("facts.cloud.list_lag_s: must be 0 or more")
+
+
+def _check_addresses(platform: Platform) -> None:
     addresses = {
         "serve_on": platform.listen,
         "peer_listen": platform.peer_listen,
         "endpoints.cloud": platform.endpoints.cloud,
-        "endpoints.state": platform.endpoints.state,
-        **{f"others.{other.node}.address": other.address for other in platform.others},
+        "endpoints.state": platform.endpoints.store,
+        **{f"others.{peer.node}.address": peer.address for peer in platform.peers},
     }
-    for name, address in addresses.items():
+    for field, address in addresses.items():
         try:
-            split_address(address)
+            parse_address(address)
         except ValueError:
-            raise SettingsError(f"{name}: not an address: {address!r}") from None
+            raise SettingsError(f"{field}: not an address: {address!r}") from None
+
+
+def _check_positive(cluster: ClusterSettings) -> None:
     positive = {
-        "facts.workers.report_s": facts.workers.heartbeat_interval_s,
-        "facts.workers.lease_s": facts.workers.lease_s,
-        "facts.workers.cancel_s": facts.workers.cancel_s,
-        "facts.state.rps": facts.state.rps,
-        "facts.state.write_rps": facts.state.write_rps,
-        "facts.state.value_kb": facts.state.value_kb,
-        "facts.state.txn_ops": facts.state.txn_ops,
-        "facts.cloud.rps": facts.cloud.rps,
-        "facts.limits.cores": facts.limits.cores,
-        "facts.limits.ram_mb": facts.limits.ram_mb,
-        "facts.limits.max_connections": facts.limits.max_connections,
+        "facts.workers.report_s": cluster.workers.heartbeat_interval_s,
+        "facts.workers.lease_s": cluster.workers.lease_s,
+        "facts.workers.cancel_s": cluster.workers.cancellation_time_s,
+        "facts.state.rps": cluster.store.rps,
+        "facts.state.write_rps": cluster.store.write_rps,
+        "facts.state.value_kb": cluster.store.value_kb,
+        "facts.state.txn_ops": cluster.store.txn_ops,
+        "facts.cloud.rps": cluster.cloud.rps,
+        "facts.limits.cores": cluster.limits.cores,
+        "facts.limits.ram_mb": cluster.limits.ram_mb,
+        "facts.limits.max_connections": cluster.limits.max_connections,
     }
-    if facts.state.next is not None:
-        for field, value in msgspec.structs.asdict(facts.state.next).items():
+    if cluster.store.next is not None:
+        for field, value in msgspec.structs.asdict(cluster.store.next).items():
             if value is not None:
                 positive[f"facts.state.next.{field}"] = value
-    for name, value in positive.items():
+    for field, value in positive.items():
         if not (math.isfinite(value) and value > 0):
-            raise SettingsError(f"{name}: must be above 0, is {value}")
-    for team in facts.teams:
-        for field in ("cpus", "cpus_max", "gpus", "gpus_max"):
-            value = getattr(team, field)
-            if not (math.isfinite(value) and value >= 0):
-                raise SettingsError(f"facts.teams.{team.name}.{field}: must be 0 or more, is {value}")
-    if not math.isfinite(facts.cloud.list_lag_s) or facts.cloud.list_lag_s < 0:
-        raise SettingsError("facts.cloud.list_lag_s: must be 0 or more")
+            raise SettingsError(f"{field}: must be above 0, is {value}")
--- a/src/elmthread/settings/rollout.py
+++ b/src/elmthread/settings/rollout.py
@@ -26,7 +26,7 @@
         return seconds(self.soak_s)
 
     def problem(self) -> str | None:
-        """What is wrong with a value, in one line; None where all are good."""
+        """Return what is wrong with a value, in one line, or None if all values are valid."""
         if not (math.isfinite(self.soak_s) and 0 <= self.soak_s <= LONGEST_SOAK_S):
             return f"rollout.soak_s: must be from 0 to {LONGEST_SOAK_S:.0f}, is {self.soak_s}"
         if self.hold_at is not None and not FIRST_LEVEL <= self.hold_at <= LAST_LEVEL:
--- a/src/elmthread/settings/tests/test_settings.py
+++ b/src/elmthread/settings/tests/test_settings.py
@@ -14,8 +14,8 @@
 
 def test_platform_file_with_unknown_fields() -> None:
     parsed = platform.parse("colour = 1\n" + GOOD)
-    assert parsed.node == "loom-0" and parsed.facts.teams[0].cpu_quota == 12.0
-    assert parsed.facts.teams[1].cpu_quota == float("inf")  # 0: no limit
+    assert parsed.node == "loom-0" and parsed.cluster.teams[0].cpu_quota == 12.0
+    assert parsed.cluster.teams[1].cpu_quota == float("inf")  # 0: no limit
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,9 @@
 
 def test_the_stricter_of_the_stores_limits_now_and_next_is_kept() -> None:
     def kept(extra: str) -> tuple[float, float, float, int]:
-        state = platform.parse(SETTINGS.format(node="loom-0", others="", next=extra, cancel=30.0)).facts.state.kept()
+        state = platform.parse(
+            SETTINGS.format(node="loom-0", others="", next=extra, cancel=30.0)
+        ).cluster.store.strictest()
         return state.rps, state.write_rps, state.value_kb, state.txn_ops
 
     now = kept("")
--- a/src/elmthread/store/tests/test_assignments.py
+++ b/src/elmthread/store/tests/test_assignments.py
@@ -34,7 +34,7 @@
 
 def level(number: int) -> ActiveFeatures:
     features = ActiveFeatures()
-    features.learn(number)
+    features.raise_level(number)
     return features
 
 
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -153,7 +153,7 @@
 
 def test_services_are_urgent_whatever_the_operators_say() -> None:
     """Deferrable work is judged by its deadline; a service has none, and would wait beside all of it."""
-    facts = platform.parse(settings("loom-0", ["loom-0"])).facts
+    facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
     spec = sent(daemon(1))
     assert jobs.new(read_submission(spec), seconds(0)).urgent
@@ -190,7 +190,7 @@
 
 
 def test_aims_for_a_class_of_services_say_how_soon_its_replicas_are_to_serve() -> None:
-    facts = platform.parse(settings("loom-0", ["loom-0"])).facts
+    facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     spec = read_submission(sent(daemon(1)))
     due = []
     aims = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -170,7 +170,7 @@
 
 def learn_at_once(rollout: TermRollout) -> None:
     """New forms do not wait for the fence, which is not put up."""
-    rollout._context.features.learn(rollout._level)
+    rollout._context.features.raise_level(rollout._level)
 
 
 FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -21,7 +21,7 @@
     parser.add_argument("--config", type=Path, required=True)
     parser.add_argument("--operators", type=Path)
     options = parser.parse_args()
-    logs.set_up()
+    logs.configure()
     controller = Controller(platform.load(options.config), operators.load(options.operators), supported=BEFORE)
     asyncio.run(controller.run())
 
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -36,6 +36,7 @@
     ("net.http_client", "NoResponseError"): ("NoAnswer",),
     ("net.http_client", "NotSentError"): ("Withheld",),
     ("peers.link", "PeerUnreachableError"): ("NotReached",),
+    ("settings.operators", "OperatorsFile"): ("Raw",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
 ATTRIBUTES: dict[tuple[str, str], dict[str, tuple[str, ...]]] = {
@@ -73,7 +74,7 @@
         state, cloud = ports
         return Controller(
             platform.parse(settings),
-            operators.Operators(operators.Raw(rollout=levels.rollout)),
+            operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
             clock,
             state,
             cloud,
@@ -141,14 +142,14 @@
         self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: NodeLevels
     ) -> Controller:
         """Make a controller that supports what the earlier version does; one without levels is told of none."""
-        operators = self.module("settings.operators")
-        raw = operators.Raw()
-        if "rollout" in raw.__struct_fields__:
+        file = self.named("settings.operators", "OperatorsFile")
+        operators_file = file()
+        if "rollout" in operators_file.__struct_fields__:
             known = self.named("settings.rollout", "RolloutSettings")
-            raw = operators.Raw(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
+            operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
         controller: Controller = self.named("controller", "Controller")(
             self.named("settings.platform", "parse")(settings),
-            operators.Operators(raw),
+            self.named("settings.operators", "Operators")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
