--- a/src/elmthread/api/jobs.py
+++ b/src/elmthread/api/jobs.py
@@ -4,18 +4,19 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.cluster.job import Job
+from elmthread.cluster.job import Job, JobPolicy
 from elmthread.common.clock import ZERO
 from elmthread.common.features import ActiveFeatures, Feature
+from elmthread.persistence.records import job_record
 from elmthread.placement.feasibility import infeasibility
 from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import ClusterSettings
-from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.done_marks import bits_per_chunk, marks_per_chunk
 from elmthread.store.job_spec import SERVICE, JobSpec
-from elmthread.store.log import slot_bytes, text_of, weight
 from elmthread.store.machine_type import MachineType
-from elmthread.store.records import job_key, job_record
+from elmthread.store.pages import json_text, page_capacity, record_bytes
+from elmthread.store.records import job_key
 
 
 class JobFactory:
@@ -24,9 +25,9 @@
         self._operators = operators
         self._teams = {team.name: team for team in cluster.teams}
         value_kb = cluster.store.strictest().value_kb
-        self._chunk = chunk_tasks(value_kb)
-        self._bitmap_chunk = bitmap_chunk_tasks(value_kb)
-        self._most_record = slot_bytes(value_kb)
+        self._chunk = marks_per_chunk(value_kb)
+        self._bitmap_chunk = bits_per_chunk(value_kb)
+        self._most_record = page_capacity(value_kb)
         # What is wanted of each class: the soonest bound, and how much later the last one is.
         self._within: dict[str, list[float]] = {}
         self._times: dict[str, float] = {}
@@ -41,7 +42,7 @@
             elif aim.job_class and aim.kind == "deadline" and aim.times:
                 self._times[aim.job_class] = max(aim.times, self._times.get(aim.job_class, 1.0))
 
-    def new(self, spec: JobSpec, since: timedelta, submitted: datetime | None = None) -> Job:
+    def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
         within = self._within.get(spec.job_class, [0.0])
         if spec.deadline_s:
             slack = self._times.get(spec.job_class, 1.0)
@@ -64,12 +65,14 @@
         }
         return Job(
             spec,
-            submitted or datetime.now(UTC),
-            since,
-            self._operators.deadline(fields),
-            slack,
-            # Replicas have no end to be late with: they are urgent whatever the operators say.
-            spec.form == SERVICE or self._operators.urgent(fields),
+            submission_time or datetime.now(UTC),
+            submitted_at,
+            JobPolicy(
+                self._operators.deadline(fields),
+                slack,
+                # Replicas have no end to be late with: they are urgent whatever the operators say.
+                spec.form == SERVICE or self._operators.urgent(fields),
+            ),
             self._bitmap_chunk if self._features.is_active(Feature.DONE_BITMAPS) else self._chunk,
         )
 
@@ -91,6 +94,6 @@
             zone=spec.zone,
         )
         record = job_record(self.new(spec, ZERO))
-        if weight(job_key(spec.id), text_of(record)) > self._most_record:
+        if record_bytes(job_key(spec.id), json_text(record)) > self._most_record:
             return "its record is larger than the state service takes"
         return infeasibility(request, team, kinds)
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -7,9 +7,9 @@
 from elmthread.cluster.allocation import Allocation, AllocationState
 from elmthread.cluster.machine import Machine
 from elmthread.leadership.context import TermContext
-from elmthread.store.assignments import machine_record
+from elmthread.persistence.records import machine_record
 from elmthread.store.records import machine_key
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 
 class Assignments:
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -5,13 +5,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.day import day
-from tests.world.rollouts import (
-    RolloutMonitor,
-    begin_before,
-    monitored,
-    replace,
-    until_level,
-)
+from tests.world.rollouts import RolloutMonitor, begin_before, monitored, replace, until_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
