--- /dev/null
+++ b/src/elmthread/api/cancellation.py
@@ -0,0 +1,55 @@
+"""Cancellations at the leader, which are idempotent."""
+
+from elmthread.api import responses
+from elmthread.api.job_writes import JobWrites
+from elmthread.api.messages import JobStatus
+from elmthread.api.status import StatusReporter
+from elmthread.cluster.job import Job, JobState
+from elmthread.leadership.context import TermContext
+from elmthread.net.http import Response
+
+
+class CancellationHandler:
+    """Cancels jobs that have not ended."""
+
+    def __init__(self, context: TermContext, writes: JobWrites, status: StatusReporter) -> None:
+        """Cancel by `writes`, which makes an end durable before it is answered."""
+        self._cluster = context.cluster
+        self._term = context.term
+        self._events = context.events
+        self._writes = writes
+        self._status = status
+
+    async def cancel(self, job_id: str) -> Response:
+        """Return the response once the job's end, whichever it is, is durable."""
+        job = self._cluster.jobs.get(job_id)
+        if job is None:
+            return responses.unknown_job()
+        if job.durable_state is None:
+            failure = await self._writes.wait_until_durable(job_id)
+            if failure is not None:
+                return failure
+        if job.is_open:
+            refusal = self._writes.refuse_more()
+            if refusal is not None:
+                return refusal
+            self._cluster.close_job(job, JobState.CANCELLED)
+            self._writes.write(job)
+            self._events.notify_jobs_changed()
+        failure = await self._make_end_durable(job)
+        if failure is not None:
+            return failure
+        if not self._term.holds_lease():
+            return responses.not_leading()
+        assert job.durable_state is not None
+        return self._status.respond(job, 200, JobStatus(job.id, job.durable_state.value))
+
+    async def _make_end_durable(self, job: Job) -> Response | None:
+        if job.durable_state is job.state:
+            return None
+        if not self._writes.is_pending(job.id):
+            self._writes.write(job)
+        failure = await self._writes.wait_until_durable(job.id)
+        if failure is not None:
+            return failure
+        return None if job.durable_state is job.state else responses.not_durable_yet()
--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -1,26 +1,35 @@
-"""A user's side of the interface, for the command line."""
+"""The users' commands of the command line: submit, status and cancel."""
 
 import argparse
 import asyncio
 import json
 import sys
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from elmthread.common.clock import seconds
 from elmthread.net.http import Answer, Client, NoResponseError
 
-CALL_TIME = seconds(5)
+CALL_TIMEOUT = seconds(5)
+
+
+class ApiCall(NamedTuple):
+    """One request to a controller."""
+
+    method: str
+    path: str
+    body: Any
 
 
 def run(args: argparse.Namespace) -> int:
+    """Carry out the command and print the response. Return 0, 1 if it failed, or 2 if it could not be sent."""
     try:
-        method, path, body = _request(args)
+        call = _call_for(args)
     except (OSError, ValueError) as error:
         print(f"elmthread: {error}", file=sys.stderr)
         return 2
     try:
-        answer = asyncio.run(_call(args.server, method, path, body))
+        answer = asyncio.run(_send(args.server, call))
     except (NoResponseError, ValueError) as error:
         print(f"elmthread: no answer: {error}", file=sys.stderr)
         return 1
@@ -31,16 +40,19 @@
     return 1
 
 
-def _request(args: argparse.Namespace) -> tuple[str, str, Any]:
+def _call_for(args: argparse.Namespace) -> ApiCall:
     if args.verb == "submit":
-        return "POST", "/submissions", _read_job(args.job)
+        return ApiCall("POST", "/submissions", _read_job(args.job))
     if args.verb == "status":
-        return "GET", f"/submissions/{args.job}", None
-    return "POST", f"/submissions/{args.job}/withdraw", {}
+        return ApiCall("GET", f"/submissions/{args.job}", None)
+    return ApiCall("POST", f"/submissions/{args.job}/withdraw", {})
 
 
 def _read_job(path: Path) -> Any:
-    """The job that a file, or standard input for `-`, holds as JSON. Raises OSError, and ValueError naming the file."""
+    """Return the job that a file, or standard input for `-`, holds as JSON.
+
+    Raises OSError, and ValueError that names the file.
+    """
     from_stdin = str(path) == "-"
     try:
         return json.loads(sys.stdin.read() if from_stdin else path.read_text())
@@ -48,5 +60,5 @@
         raise ValueError(f"{'standard input' if from_stdin else path}: not JSON: {error}") from error
 
 
-async def _call(server: str, method: str, path: str, body: Any) -> Answer:
-    return await Client(server).call(method, path, body, timeout=CALL_TIME)
+async def _send(server: str, call: ApiCall) -> Answer:
+    return await Client(server).call(call.method, call.path, call.body, timeout=CALL_TIMEOUT)
--- /dev/null
+++ b/src/elmthread/api/forwarding.py
@@ -0,0 +1,128 @@
+"""Users' requests on any node: carried out where the leader is, whichever node took them."""
+
+from datetime import timedelta
+from functools import partial
+
+from elmthread.api import responses
+from elmthread.api.messages import InvalidSubmissionError, read_submission
+from elmthread.api.node import ApiNode
+from elmthread.api.readiness import Readiness
+from elmthread.api.service import JobService
+from elmthread.common.clock import seconds
+from elmthread.common.load import WorkClass
+from elmthread.net.http import UNSURE, Response
+from elmthread.peers.link import PeerUnreachableError
+from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
+
+# Users wait 5 s for a submission and 2 s for a status; the response must be on its way before.
+FORWARDING_TIMEOUTS: dict[str, timedelta] = {
+    RequestVerb.SUBMIT: seconds(4),
+    RequestVerb.CANCEL: seconds(4),
+    RequestVerb.STATUS: seconds(1.5),
+}
+# What an overloaded node refuses.
+WORK_CLASSES: dict[str, WorkClass] = {
+    RequestVerb.SUBMIT: WorkClass.SUBMITTING,
+    RequestVerb.CANCEL: WorkClass.ASKING,
+    RequestVerb.STATUS: WorkClass.ASKING,
+}
+
+
+class RequestForwarder:
+    """Carries requests out on the leader, and forwards them to it from the other nodes."""
+
+    def __init__(self, node: ApiNode, readiness: Readiness) -> None:
+        """`readiness` says whether users may as well come back to this node."""
+        self._node = node
+        self._readiness = readiness
+
+    async def handle(self, request: ForwardedRequest) -> Response:
+        """Return the response to a request that a user sent to this node."""
+        if not self._node.gate.admitted:
+            return self._unavailable("not admitted")
+        if self._node.load.rejects(WORK_CLASSES[request.verb]):
+            return responses.overloaded("too much to do")
+        if self._node.leading_service() is not None:
+            return await self._carry_out(request)
+        leader = self._node.election.leader
+        if leader is None or leader == self._node.name:
+            return self._unavailable("no leader")
+        return await self._forward(leader, request)
+
+    async def answer(self, request: ForwardedRequest) -> ForwardedResponse:
+        """Return the response to another node's request, which is for the term that it knows."""
+        if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
+            confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
+            return _reply(request, Response(200 if confirmed else 503))
+        if request.verb == RequestVerb.WHICH_PROCESS:
+            return _reply(request, Response(200, {"process": self._node.gate.process}))
+        service = self._node.leading_service()
+        if request.verb in WORK_CLASSES and self._node.load.rejects(WORK_CLASSES[request.verb]):
+            return _reply(request, responses.overloaded("too much to do"))
+        if service is None or request.fencing_token != service.fencing_token:
+            return _reply(request, responses.not_leading())
+        response = await self._carry_out(request)
+        if response.sure is not None and not response.sure():
+            response = UNSURE
+        return _reply(request, response)
+
+    async def _forward(self, leader: str, request: ForwardedRequest) -> Response:
+        sent_at = self._node.clock()
+        timeout = FORWARDING_TIMEOUTS[request.verb]
+        request.fencing_token = self._node.election.highest_seen_token
+        try:
+            reply = await self._node.peers.ask(leader, request, timeout)
+        except PeerUnreachableError:
+            return self._unavailable("the leader does not answer")
+        retry_after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
+        still_valid = partial(self._is_still_valid, reply, sent_at + timeout)
+        return Response(reply.status, reply.body, retry_after, sure=None if reply.status == 503 else still_valid)
+
+    def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
+        """Return whether this node has neither stood still with the reply nor heard of a newer leader."""
+        return self._node.clock() <= until and reply.fencing_token >= self._node.election.highest_seen_token
+
+    async def _carry_out(self, request: ForwardedRequest) -> Response:
+        """Carry the request out as the leader, with a complete state and a lease that surely holds."""
+        service = self._node.leading_service()
+        if service is None or not self._node.election.holds_lease():
+            return responses.not_leading()
+        response = await _call(service, request)
+        if response.status != 503:
+            response.sure = service.holds_lease
+        return response
+
+    def _unavailable(self, reason: str) -> Response:
+        """Return a response that asks the user to come back; to another node, if this one is not ready.
+
+        The load balancer sends new connections elsewhere by then, but leaves open ones where they
+        are for seconds more, on which the user would ask here again and again.
+        """
+        response = responses.retry(reason)
+        response.close = self._readiness.check().status != 200
+        return response
+
+
+async def _call(service: JobService, request: ForwardedRequest) -> Response:
+    if request.verb == RequestVerb.SUBMIT:
+        return await _submit(service, request)
+    if request.verb == RequestVerb.CANCEL:
+        return await service.cancel(request.job_id)
+    if request.verb == RequestVerb.STATUS:
+        return service.status(request.job_id)
+    return responses.rejection(400, "unknown request")
+
+
+async def _submit(service: JobService, request: ForwardedRequest) -> Response:
+    if request.body is None:
+        return await service.submit(request.job_id, None, request.fault)
+    try:
+        spec = read_submission(request.body)
+    except InvalidSubmissionError as error:
+        return await service.submit(request.job_id, None, str(error))
+    return await service.submit(request.job_id, spec, request.fault)
+
+
+def _reply(request: ForwardedRequest, response: Response) -> ForwardedResponse:
+    retry_after_s = None if response.retry_after is None else response.retry_after.total_seconds()
+    return ForwardedResponse(request.number, response.status, response.body, retry_after_s, request.fencing_token)
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -1,4 +1,4 @@
-"""What users send and are told, checked; wire words stay here."""
+"""What users send and what they are answered, in the words of the wire."""
 
 import math
 import re
@@ -10,6 +10,7 @@
 from elmthread.store.job_spec import JobSpec
 
 JOB_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,64}\Z")
+MAX_MACHINE_TYPES_PER_JOB = 100
 
 
 class InvalidSubmissionError(ElmthreadError):
@@ -30,32 +31,47 @@
 
 
 def job_id_of(body: Any) -> str:
-    """The id alone, so that a known job is answered before the rest is looked at."""
+    """Return the job's id alone, as a known job is answered before the rest is read.
+
+    Raises InvalidSubmissionError.
+    """
     if not isinstance(body, dict):
         raise InvalidSubmissionError("not a map")
-    name = body.get("name_id")
-    if not isinstance(name, str) or not JOB_ID.match(name):
+    job_id = body.get("name_id")
+    if not isinstance(job_id, str) or not JOB_ID.match(job_id):
         raise InvalidSubmissionError("name_id: malformed")
-    return name
+    return job_id
 
 
 def read_submission(body: Any) -> JobSpec:
+    """Return the job that a decoded body asks for. Raises InvalidSubmissionError."""
     job_id_of(body)
     try:
-        job = msgspec.convert(body, JobSpec)
+        spec = msgspec.convert(body, JobSpec)
     except (msgspec.ValidationError, TypeError, ValueError, OverflowError) as error:
         raise InvalidSubmissionError(str(error)) from error
     for name, field in _AMOUNTS.items():
-        value = getattr(job, field)
+        value = getattr(spec, field)
         if value is not None and not math.isfinite(value):
             raise InvalidSubmissionError(f"{name}: not a finite number")
-    if job.machine_types is not None and len(job.machine_types) > 100:
+    if spec.machine_types is not None and len(spec.machine_types) > MAX_MACHINE_TYPES_PER_JOB:
         raise InvalidSubmissionError("builds: too many")
-    return job
+    return spec
+
+
+class JobStatus(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"job_id": "name_id", "state": "status", "done_count": "done", "running_count": "running"},
+):
+    """A job's state as users are told it; the counts of tasks are for display."""
 
+    job_id: str
+    state: str
+    done_count: int | None = None
+    running_count: int | None = None
 
-def status(job_id: str, state: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
-    body: dict[str, Any] = {"name_id": job_id, "status": state}
-    if done is not None:
-        body |= {"done": done, "running": running}
-    return body
+    def body(self) -> dict[str, Any]:
+        """Return the status in the words of the wire."""
+        fields: dict[str, Any] = msgspec.to_builtins(self)
+        return fields
--- /dev/null
+++ b/src/elmthread/api/node.py
@@ -0,0 +1,26 @@
+"""What the users' interface uses of its node, whoever leads."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from elmthread.api.service import JobService
+from elmthread.common.clock import Clock
+from elmthread.common.load import OverloadControl
+from elmthread.leadership.election import Election
+from elmthread.peers.link import Peers
+from elmthread.rollout.gate import CompatibilityGate
+
+
+@dataclass(frozen=True)
+class ApiNode:
+    """The node's name and the parts of its process."""
+
+    name: str
+    election: Election
+    peers: Peers
+    # Whether this process may serve at all.
+    gate: CompatibilityGate
+    load: OverloadControl
+    clock: Clock
+    # The service of the present term, while this node leads with a complete state.
+    leading_service: Callable[[], JobService | None]
--- /dev/null
+++ b/src/elmthread/api/responses.py
@@ -0,0 +1,39 @@
+"""Responses that several kinds of requests share."""
+
+from datetime import timedelta
+
+from elmthread.common.clock import seconds
+from elmthread.net.http import Response, again
+
+RETRY_AFTER = seconds(1)
+RETRY_AFTER_OVERLOAD = seconds(2)
+
+
+def rejection(status: int, reason: str) -> Response:
+    """Return a response to a request that can't be carried out, now or later."""
+    return Response(status, {"error": reason})
+
+
+def retry(reason: str, after: timedelta = RETRY_AFTER) -> Response:
+    """Return a response to a request that may be carried out later."""
+    return again(503, after, reason)
+
+
+def unknown_job() -> Response:
+    """Return the response about a job that nobody has submitted."""
+    return rejection(404, "no such job")
+
+
+def not_leading() -> Response:
+    """Return the response of a node that does not lead, or does not surely lead any more."""
+    return retry("not leading")
+
+
+def not_durable_yet() -> Response:
+    """Return the response about a change that the store has not confirmed yet."""
+    return retry("not durable yet")
+
+
+def overloaded(reason: str) -> Response:
+    """Return the response to a request that is one too many."""
+    return again(429, RETRY_AFTER_OVERLOAD, reason)
--- /dev/null
+++ b/src/elmthread/api/status.py
@@ -0,0 +1,68 @@
+"""The state of jobs as users are told it: only what is durable, and only what can't change back."""
+
+import logging
+from datetime import timedelta
+
+from elmthread.api import responses
+from elmthread.api.messages import JobStatus
+from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.leases import WorkerLeases
+from elmthread.common.clock import ZERO, at_most, seconds
+from elmthread.leadership.context import TermContext
+from elmthread.net.http import Response
+
+log = logging.getLogger(__name__)
+
+# A worker kills its tasks within this time after its lease has expired.
+MAX_KILL_DELAY = seconds(1)
+MAX_RETRY_AFTER = seconds(30)
+
+
+class StatusReporter:
+    """Answers with the state of jobs."""
+
+    def __init__(self, context: TermContext, leases: WorkerLeases, cancellation_time: timedelta) -> None:
+        """`cancellation_time`: within it after a confirmed cancellation all tasks of the job must have ended."""
+        self._cluster = context.cluster
+        self._clock = context.clock
+        self._leases = leases
+        self._cancellation_time = cancellation_time
+
+    def status(self, job_id: str) -> Response:
+        """Return the response to a request for a job's status."""
+        job = self._cluster.jobs.get(job_id)
+        if job is None:
+            return responses.unknown_job()
+        if job.durable_state is None:
+            # Submitted, but not durable: neither known nor unknown.
+            return responses.not_durable_yet()
+        return self.respond(job, 200, describe(job))
+
+    def respond(self, job: Job, status: int, body: JobStatus) -> Response:
+        """Return the response that names the job's state, or when to ask again while it can't be told.
+
+        From the moment a user is told `cancelled`, all tasks must end within `cancel_s`. A machine
+        that can't be reached is empty once its lease has expired, as this leader and every earlier
+        one can have renewed it; where that might be later, the cancellation is not confirmed yet.
+        Nor is an older state: an earlier leader may have confirmed the cancellation.
+        """
+        if job.durable_state is not JobState.CANCELLED:
+            return Response(status, body.body())
+        machines = (allocation.machine for allocation in job.allocations.values())
+        ended_by = max(map(self._leases.expires_by, machines), default=ZERO)
+        wait = ended_by - self._clock() - at_most(self._cancellation_time) + MAX_KILL_DELAY
+        if wait <= ZERO:
+            return Response(status, body.body())
+        log.info("the cancellation of %s can't be confirmed to users for %.1f s", job.id, wait.total_seconds())
+        after = min(max(wait, responses.RETRY_AFTER), MAX_RETRY_AFTER)
+        return responses.retry("its tasks may not be gone in time", after)
+
+
+def describe(job: Job) -> JobStatus:
+    """Return the job's durable state with its counts of tasks."""
+    state = job.durable_state
+    if state is JobState.OPEN or state is None:
+        name = "running" if job.running_count else "queued"
+        return JobStatus(job.id, name, job.done_count, job.running_count)
+    done_count = job.task_count if state is JobState.DONE else job.done_count
+    return JobStatus(job.id, state.value, done_count, 0)
--- a/src/elmthread/api/tests/test_command.py
+++ b/src/elmthread/api/tests/test_command.py
@@ -12,7 +12,7 @@
 def test_a_job_is_cancelled_by_either_spelling() -> None:
     for verb in ("cancel", "withdraw"):
         args = cli.parser().parse_args([verb, "--server", "127.0.0.1:1", "run-000412"])
-        assert command._request(args) == ("POST", "/submissions/run-000412/withdraw", {})
+        assert command._call_for(args) == ("POST", "/submissions/run-000412/withdraw", {})
 
 
 @pytest.mark.parametrize("from_stdin", [False, True])
@@ -23,6 +23,6 @@
     path.write_text("{name_id")
     monkeypatch.setattr("sys.stdin", io.StringIO("{name_id"))
     assert cli.main(["submit", "--server", "127.0.0.1:1", "-" if from_stdin else str(path)]) == 2
-    told = capsys.readouterr().err
-    assert told.startswith(f"elmthread: {'standard input' if from_stdin else path}: not JSON: ")
-    assert told.count("\n") == 1
+    error = capsys.readouterr().err
+    assert error.startswith(f"elmthread: {'standard input' if from_stdin else path}: not JSON: ")
+    assert error.count("\n") == 1
--- /dev/null
+++ b/src/elmthread/api/validation.py
@@ -0,0 +1,53 @@
+"""Whether a submitted job can run at all on this platform."""
+
+from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.job_factory import JobFactory
+from elmthread.common.clock import ZERO
+from elmthread.placement.feasibility import infeasibility
+from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
+from elmthread.settings.platform import Facts
+from elmthread.store.job_spec import SERVICE, JobSpec
+from elmthread.store.log import slot_bytes, text_of, weight
+from elmthread.store.records import job_key, job_record
+
+
+class JobValidator:
+    """Judges jobs by their teams' quotas, the machine types and the size of a stored value."""
+
+    def __init__(self, facts: Facts, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
+        """Judge with these; `factory` makes the job whose record is measured."""
+        self._teams = {team.name: team for team in facts.teams}
+        self._max_record_bytes = slot_bytes(facts.state.kept().value_kb)
+        self._factory = factory
+        self._catalog = catalog
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether the machine types are known, without which no job can be judged."""
+        return self._catalog.is_known
+
+    def rejection_reason(self, spec: JobSpec) -> str | None:
+        """Return why the job can never run, or None."""
+        team = self._teams.get(spec.team)
+        if team is None:
+            return "unknown team"
+        record = job_record(self._factory.new(spec, ZERO))
+        if weight(job_key(spec.id), text_of(record)) > self._max_record_bytes:
+            return "its record is larger than the state service takes"
+        return infeasibility(_task_request(spec), team, self._catalog.types.values())
+
+
+def _task_request(spec: JobSpec) -> TaskRequest:
+    """Return a request for as many of the job's tasks as must run at once."""
+    return TaskRequest(
+        job_id=spec.id,
+        team=spec.team,
+        sort_key=SortKey(PlacementClass.ON_TIME),
+        # Tasks of a batch may run one after the other, replicas can't.
+        count=spec.tasks if spec.form == SERVICE else 1,
+        cpus=spec.cpus,
+        gpus=spec.gpus,
+        memory_gb=spec.ram_gb,
+        machine_types=None if spec.machine_types is None else frozenset(spec.machine_types),
+        zone=spec.zone,
+    )
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,7 +5,8 @@
 
 import msgspec
 
-from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, RequestRouter
+from elmthread.api.node import ApiNode
+from elmthread.api.routes import RequestRouter
 from elmthread.api.service import JobService
 from elmthread.common.clock import Clock, seconds, steady
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
@@ -24,7 +25,7 @@
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.net.http import Caller, Client, ConnectionLimit, Request, Response, Server
 from elmthread.peers.link import Peers, PeerUnreachableError
-from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
+from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, RequestVerb
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.service import Reachability
 from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError, Membership
@@ -113,16 +114,8 @@
         )
         self.load = OverloadControl(clock)
         self._features.on_change(self.peers.tell)
-        self.api = RequestRouter(
-            platform.node,
-            self.election,
-            self.peers,
-            clock,
-            self._intake,
-            self._heartbeat,
-            self.load,
-            gate,
-        )
+        api_node = ApiNode(platform.node, self.election, self.peers, gate, self.load, clock, self._leading_service)
+        self.api = RequestRouter(api_node, self._heartbeat)
         most = max(10, int(facts.limits.max_connections * SERVERS_PART))
         workers = ConnectionLimit(HEARTBEAT_PATH, max(5, int(most * WORKERS_PART)), facts.workers.lease)
         self.server = Server(self.api.handle, most, clock, workers)
@@ -164,13 +157,15 @@
 
     async def _process_of(self, node: str) -> str | None:
         """The process that a node runs; None where its version has no name for it. Raises PeerUnreachableError."""
-        reply = await self.peers.ask(node, ForwardedRequest(0, WHICH_PROCESS, ""), PEER_ANSWER_TIME)
+        reply = await self.peers.ask(node, ForwardedRequest(0, RequestVerb.WHICH_PROCESS, ""), PEER_ANSWER_TIME)
         return (reply.body or {}).get("process") if reply.status == 200 else None
 
     async def _confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
         try:
             return (
-                await self.peers.ask(node, ForwardedRequest(0, NO_LATER_TERM, "", fencing_token), PEER_ANSWER_TIME)
+                await self.peers.ask(
+                    node, ForwardedRequest(0, RequestVerb.CONFIRM_NO_LATER_TERM, "", fencing_token), PEER_ANSWER_TIME
+                )
             ).status == 200
         except PeerUnreachableError:
             return False
@@ -202,7 +197,7 @@
         self.reachability.leading.clear()
         self.peers.tell()
 
-    def _intake(self) -> JobService | None:
+    def _leading_service(self) -> JobService | None:
         if self.leader is not None and self.leader.loaded and self.election.holds_lease():
             return self.leader.job_service
         return None
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,11 +5,12 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
+from elmthread.api.validation import JobValidator
 from elmthread.autoscaling.service import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.job_factory import JobFactory
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
@@ -130,7 +131,8 @@
     def _make_job_service(self) -> JobService:
         platform = self._node.platform
         limits = RequestLimits(users_at_once(platform), platform.facts.workers.cancel)
-        return JobService(self.context, self._factory, self.catalog, self.leases, limits)
+        validator = JobValidator(platform.facts, self._factory, self.catalog)
+        return JobService(self.context, self._factory, validator, self.leases, limits)
 
     def _make_scheduler(self) -> Scheduler:
         facts = self._node.platform.facts
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -1,10 +1,23 @@
 """What controllers say to one another: netstrings, each a JSON object with a `kind`."""
 
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
 
+class RequestVerb(StrEnum):
+    """What one controller asks another; the values are the words of the wire."""
+
+    SUBMIT = "submit"
+    STATUS = "status"
+    CANCEL = "withdraw"
+    # Whether nobody there has won since the asker's term began. An earlier version confirms nothing.
+    CONFIRM_NO_LATER_TERM = "vouch"
+    # Which process of its node this is. An earlier version refuses the question.
+    WHICH_PROCESS = "process"
+
+
 class LeaderAnnouncement(msgspec.Struct, tag_field="kind", tag="lead", rename={"fencing_token": "token"}):
     """The sender says who leads, as far as it knows, and by which token."""
 
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from elmthread.api.jobs import JobFactory
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.job_factory import JobFactory
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -3,8 +3,8 @@
 import asyncio
 from typing import Any
 
-from elmthread.api.jobs import JobFactory
 from elmthread.api.messages import read_submission
+from elmthread.cluster.job_factory import JobFactory
 from elmthread.common.clock import seconds
 from elmthread.common.features import ActiveFeatures
 from elmthread.placement.feasibility import infeasibility
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -85,10 +85,10 @@
             self.renewed(node, self.granted[node])
             won(fencing_token)
 
-        async def answered(ask: Any) -> Any:
-            reply = await answer(ask)
-            if ask.verb in ("submit", "withdraw", "status") and reply.status in (200, 201):
-                self.act(node, f"{ask.verb} of {ask.job_id} answered")
+        async def answered(request: Any) -> Any:
+            reply = await answer(request)
+            if request.verb in ("submit", "withdraw", "status") and reply.status in (200, 201):
+                self.act(node, f"{request.verb} of {request.job_id} answered")
             return reply
 
         election._won = begun
@@ -100,7 +100,7 @@
             return
         if request.path == HEARTBEAT_PATH:
             self._commanded(node, controller, response.body)
-        elif request.path.startswith("/submissions") and controller._intake() is not None:
+        elif request.path.startswith("/submissions") and controller._leading_service() is not None:
             self.act(node, f"{request.path} answered")
 
     def _commanded(self, node: str, controller: Controller, body: Any) -> None:
