--- a/src/elmthread/api/cancellation.py
+++ b/src/elmthread/api/cancellation.py
@@ -6,7 +6,7 @@
 from elmthread.api.status import StatusReporter
 from elmthread.cluster.job import Job, JobState
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 
 
 class CancellationHandler:
--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple
 
 from elmthread.common.clock import seconds
-from elmthread.net.http import Answer, Client, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
 
 CALL_TIMEOUT = seconds(5)
 
@@ -60,5 +60,5 @@
         raise ValueError(f"{'standard input' if from_stdin else path}: not JSON: {error}") from error
 
 
-async def _send(server: str, call: ApiCall) -> Answer:
-    return await Client(server).call(call.method, call.path, call.body, timeout=CALL_TIMEOUT)
+async def _send(server: str, call: ApiCall) -> ClientResponse:
+    return await HttpClient(server).call(call.method, call.path, call.body, timeout=CALL_TIMEOUT)
--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -10,7 +10,7 @@
 from elmthread.api.service import JobService
 from elmthread.common.clock import seconds
 from elmthread.common.load import WorkClass
-from elmthread.net.http import UNSURE, Response
+from elmthread.net.http_messages import Response
 from elmthread.peers.link import PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 
@@ -62,9 +62,7 @@
         if service is None or request.fencing_token != service.fencing_token:
             return _reply(request, responses.not_leading())
         response = await self._carry_out(request)
-        if response.sure is not None and not response.sure():
-            response = UNSURE
-        return _reply(request, response)
+        return _reply(request, response.checked())
 
     async def _forward(self, leader: str, request: ForwardedRequest) -> Response:
         sent_at = self._node.clock()
@@ -76,7 +74,9 @@
             return self._unavailable("the leader does not answer")
         retry_after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
         still_valid = partial(self._is_still_valid, reply, sent_at + timeout)
-        return Response(reply.status, reply.body, retry_after, sure=None if reply.status == 503 else still_valid)
+        return Response(
+            reply.status, reply.body, retry_after, precondition=None if reply.status == 503 else still_valid
+        )
 
     def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
         """Return whether this node has neither stood still with the reply nor heard of a newer leader."""
@@ -89,7 +89,7 @@
             return responses.not_leading()
         response = await _call(service, request)
         if response.status != 503:
-            response.sure = service.holds_lease
+            response.precondition = service.holds_lease
         return response
 
     def _unavailable(self, reason: str) -> Response:
--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -8,10 +8,11 @@
 from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from elmthread.persistence.completions import make_job_record
 from elmthread.store.records import job_key
-from elmthread.store.writer import WritePriority, WriterStoppedError
+from elmthread.store.write_queue import WritePriority
+from elmthread.store.writer import WriterStoppedError
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -5,7 +5,7 @@
 from elmthread.api import responses
 from elmthread.api.node import ApiNode
 from elmthread.common.clock import seconds
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 
 # A node that can't reach the leader it knows leaves users to nodes that can, after this time.
 UNREACHED_LEADER_GRACE = seconds(2.8)
--- a/src/elmthread/api/responses.py
+++ b/src/elmthread/api/responses.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from elmthread.common.clock import seconds
-from elmthread.net.http import Response, again
+from elmthread.net.http_messages import Response, retry_later
 
 RETRY_AFTER = seconds(1)
 RETRY_AFTER_OVERLOAD = seconds(2)
@@ -16,7 +16,7 @@
 
 def retry(reason: str, after: timedelta = RETRY_AFTER) -> Response:
     """Return a response to a request that may be carried out later."""
-    return again(503, after, reason)
+    return retry_later(503, after, reason)
 
 
 def unknown_job() -> Response:
@@ -36,4 +36,4 @@
 
 def overloaded(reason: str) -> Response:
     """Return the response to a request that is one too many."""
-    return again(429, RETRY_AFTER_OVERLOAD, reason)
+    return retry_later(429, RETRY_AFTER_OVERLOAD, reason)
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -9,7 +9,7 @@
 from elmthread.api.messages import JOB_ID, InvalidSubmissionError, job_id_of, read_submission
 from elmthread.api.node import ApiNode
 from elmthread.api.readiness import Readiness
-from elmthread.net.http import MalformedBodyError, Request, Response, decode
+from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 from elmthread.workers.messages import HEARTBEAT_PATH
 
@@ -48,7 +48,7 @@
 
     async def _submit(self, request: Request) -> Response:
         try:
-            body = decode(request.body)
+            body = decode_body(request.body)
             job_id = job_id_of(body)
         except (MalformedBodyError, InvalidSubmissionError) as error:
             return responses.rejection(400, str(error))
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -9,7 +9,7 @@
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.common.clock import ZERO, at_most, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/api/submission.py
+++ b/src/elmthread/api/submission.py
@@ -9,7 +9,7 @@
 from elmthread.cluster.job import Job
 from elmthread.cluster.job_factory import JobFactory
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from elmthread.store.job_spec import JobSpec
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -13,9 +13,9 @@
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from elmthread.store.job_spec import JobSpec
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.specs import job as wire
 from tests.world.term import SureTerm, term_context
--- a/src/elmthread/api/validation.py
+++ b/src/elmthread/api/validation.py
@@ -3,12 +3,13 @@
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.job_factory import JobFactory
 from elmthread.common.clock import ZERO
+from elmthread.persistence.records import job_record
 from elmthread.placement.feasibility import infeasibility
 from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
 from elmthread.settings.platform import Facts
 from elmthread.store.job_spec import SERVICE, JobSpec
-from elmthread.store.log import slot_bytes, text_of, weight
-from elmthread.store.records import job_key, job_record
+from elmthread.store.pages import json_text, page_capacity, record_bytes
+from elmthread.store.records import job_key
 
 
 class JobValidator:
@@ -17,7 +18,7 @@
     def __init__(self, facts: Facts, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
         """Judge with these; `factory` makes the job whose record is measured."""
         self._teams = {team.name: team for team in facts.teams}
-        self._max_record_bytes = slot_bytes(facts.state.kept().value_kb)
+        self._max_record_bytes = page_capacity(facts.state.kept().value_kb)
         self._factory = factory
         self._catalog = catalog
 
@@ -32,7 +33,7 @@
         if team is None:
             return "unknown team"
         record = job_record(self._factory.new(spec, ZERO))
-        if weight(job_key(spec.id), text_of(record)) > self._max_record_bytes:
+        if record_bytes(job_key(spec.id), json_text(record)) > self._max_record_bytes:
             return "its record is larger than the state service takes"
         return infeasibility(_task_request(spec), team, self._catalog.types.values())
 
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -7,7 +7,7 @@
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts, Objective
-from elmthread.store.done_marks import bitmap_chunk_tasks, chunk_tasks
+from elmthread.store.done_marks import bits_per_chunk, marks_per_chunk
 from elmthread.store.job_spec import SERVICE, JobSpec
 
 
@@ -57,8 +57,8 @@
         self._features = features
         self._operators = operators
         value_kb = facts.state.kept().value_kb
-        self._tasks_per_chunk = chunk_tasks(value_kb)
-        self._tasks_per_bitmap_chunk = bitmap_chunk_tasks(value_kb)
+        self._tasks_per_chunk = marks_per_chunk(value_kb)
+        self._tasks_per_bitmap_chunk = bits_per_chunk(value_kb)
         self._objectives = ClassObjectives(facts.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.machines import messages
-from elmthread.net.http import Answer, Caller, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpCaller, NoResponseError
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 
@@ -36,7 +36,7 @@
     """Makes the calls. Whoever makes one takes it from `rate_limit` first."""
 
     def __init__(
-        self, caller: Caller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
+        self, caller: HttpCaller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
     ) -> None:
         """`may_change` is asked right before a call that changes something leaves: the cloud knows no leaders."""
         self._caller = caller
@@ -68,10 +68,10 @@
         return _read(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
     async def _call(
-        self, method: str, path: str, body: Any = None, may_leave: Callable[[], bool] | None = None
-    ) -> Answer:
+        self, method: str, path: str, body: Any = None, precondition: Callable[[], bool] | None = None
+    ) -> ClientResponse:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, sure=may_leave)
+            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=precondition)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if answer.status == 429:
@@ -83,7 +83,7 @@
         return answer
 
 
-def _read(answer: Answer, body_type: type[ResponseBody]) -> ResponseBody:
+def _read(answer: ClientResponse, body_type: type[ResponseBody]) -> ResponseBody:
     try:
         return msgspec.convert(answer.body, body_type)
     except msgspec.ValidationError as error:
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -4,11 +4,11 @@
 from datetime import timedelta
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.machines.deletion_reasons import DeletionReason, request_deletion
 from elmthread.reachability.zones import ZoneHealth
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -9,11 +9,11 @@
 from datetime import timedelta
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import MAX_MACHINES_PER_PAGE, CloudClient, CloudError, NoCapacityError
-from elmthread.machines.deletion_reasons import DeletionReason, request_deletion
 from elmthread.machines.messages import InstanceState, ListedMachine
 
 log = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
                     break
                 after = page.machines[-1].name
                 while not self._cloud.rate_limit.take():
-                    await asyncio.sleep(self._cloud.rate_limit.wait().total_seconds())
+                    await asyncio.sleep(self._cloud.rate_limit.time_until().total_seconds())
         except (CloudError, NoCapacityError) as error:
             log.info("listing the machines failed: %s", error)
             return
--- a/src/elmthread/machines/machine_types.py
+++ b/src/elmthread/machines/machine_types.py
@@ -7,7 +7,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import CloudClient, CloudError, NoCapacityError
 from elmthread.store.records import types_records
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.machine import InstanceKind, Machine
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import CloudClient
 from elmthread.machines.deletion import Deleter
-from elmthread.machines.deletion_reasons import DeletionReason, request_deletion
 from elmthread.machines.failure_detection import FailureDetector
 from elmthread.machines.inventory import Inventory
 from elmthread.machines.machine_types import MachineTypeUpdater
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -12,8 +12,8 @@
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import MAX_INSTANCES_PER_REQUEST, CloudClient, CloudError, NoCapacityError
 from elmthread.reachability.zones import ZoneHealth
-from elmthread.store.records import RentalRecord, rental_key
-from elmthread.store.writer import WritePriority
+from elmthread.store.records import InstanceRequestRecord, instance_request_key
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -135,10 +135,10 @@
         name = f"r-{self._term.fencing_token}-{self._request_count}"
         request = InstanceRequest(name, kind, count, for_deferrable_pool, self._clock())
         self.requests[name] = request
-        record = RentalRecord(kind.machine_type, kind.zone, kind.spot, for_deferrable_pool)
+        record = InstanceRequestRecord(kind.machine_type, kind.zone, kind.spot, for_deferrable_pool)
         log.info("requesting %s instances of %s", count, kind)
         self._writer.write(
-            rental_key(name), WritePriority.ASSIGNMENT, lambda: record, partial(self._ready.append, request)
+            instance_request_key(name), WritePriority.ASSIGNMENT, lambda: record, partial(self._ready.append, request)
         )
 
     def _add_machines(self, names: list[str], request: InstanceRequest) -> None:
@@ -167,5 +167,5 @@
 
     def _close(self, request: InstanceRequest) -> None:
         self.requests.pop(request.name, None)
-        self._writer.delete(rental_key(request.name))
+        self._writer.delete(instance_request_key(request.name))
         self._events.notify_changed()
--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -6,22 +6,22 @@
 from typing import Any
 
 from elmthread.cluster.catalog import MachineTypeCatalog
+from elmthread.cluster.deletion import DeletionReason
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.machine import REMEMBERED, InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
 from elmthread.machines.client import CloudClient
-from elmthread.machines.deletion_reasons import DeletionReason
 from elmthread.machines.inventory import MAX_MISSED_LISTS
 from elmthread.machines.manager import MachineManager
 from elmthread.machines.messages import ListedMachine
-from elmthread.net.http import Answer
+from elmthread.net.http_client import ClientResponse
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.census import Census
 from elmthread.reachability.zones import ZoneHealth
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.term import term_context
 
@@ -49,17 +49,23 @@
         self.number = 0
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
-    ) -> Answer:
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        precondition: Callable[[], bool] | None = None,
+    ) -> ClientResponse:
         self.calls.append((self.loop.now, path.split("?")[0], body))
         await asyncio.sleep(0.25)
         if path == "/hosts":
             first = self.number
             self.number += body["how_many"]
-            return Answer(200, {"looms": [f"m-{n:06d}" for n in range(first, self.number)]})
+            return ClientResponse(200, {"looms": [f"m-{n:06d}" for n in range(first, self.number)]})
         if method == "GET" and path.startswith("/hosts"):
-            return Answer(200, {"looms": [], "has_next": False})
-        return Answer(200, {})
+            return ClientResponse(200, {"looms": [], "has_next": False})
+        return ClientResponse(200, {})
 
 
 def machine_manager(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -10,7 +10,7 @@
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.net.http import MalformedBodyError, Request, Response, again, decode
+from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body, retry_later
 from elmthread.persistence.assignments import Assignments
 from elmthread.workers import messages
 from elmthread.workers.commands import MAX_COMMANDS_PER_RESPONSE, CommandPlanner, removals
@@ -50,7 +50,7 @@
     async def handle(self, request: Request) -> Response:
         """Return the response to a heartbeat, which may wait a moment for new assignments."""
         try:
-            heartbeat = messages.read_heartbeat(decode(request.body))
+            heartbeat = messages.read_heartbeat(decode_body(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
             self._rejected_count += 1
             log.info("malformed heartbeat rejected (%s heartbeats so far): %s", self._rejected_count, error)
@@ -61,12 +61,12 @@
             return self._redirect()
         if heartbeat.machine in self._cluster.deleted_machines:
             # Late: the cloud has confirmed the machine's deletion.
-            return again(503, RETRY_AFTER, "machine is gone")
+            return retry_later(503, RETRY_AFTER, "machine is gone")
         machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
         heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
         if heartbeat_id <= machine.last_heartbeat_id or heartbeat.incarnation <= machine.expired_incarnation:
             self._rejected_count += 1
-            return again(503, RETRY_AFTER, "an older report")
+            return retry_later(503, RETRY_AFTER, "an older report")
         if heartbeat.fencing_token < self._term.fencing_token:
             # The first response carries this term's token; what the next heartbeat lists, no earlier
             # leader can change any more. Until then this may be a late copy of a heartbeat that an
@@ -78,7 +78,7 @@
     async def _handle_current(self, machine: Machine, heartbeat: Heartbeat, request: Request) -> Response:
         """Handle the newest heartbeat of a machine that has seen this term's token."""
         now = self._clock()
-        self._responsiveness.observe_heartbeat(machine, heartbeat, request.answered_at, now)
+        self._responsiveness.observe_heartbeat(machine, heartbeat, request.previous_answered_at, now)
         machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
         machine.heartbeat_overdue = False
@@ -96,7 +96,7 @@
         body = msgspec.to_builtins(HeartbeatResponse(self._term.fencing_token, commands))
         # Checked once more when the bytes leave: no start may be sent after the leader's lease.
         has_start = any(isinstance(command, StartCommand) for command in commands)
-        return Response(200, body, sure=self._term.holds_lease if has_start else self._term.may_answer_workers)
+        return Response(200, body, precondition=self._term.holds_lease if has_start else self._term.may_answer_workers)
 
     def _redirect(self) -> Response:
         return Response(421, messages.redirect_body(self._term.leader))
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -4,9 +4,7 @@
 
 from tests.world.settings import ZONES
 from tests.world.stage import Stage, _gone
-from tests.world.user_troubles import (
-    cancel_now,
-)
+from tests.world.user_troubles import cancel_now
 
 
 async def leader_apart(stage: Stage) -> None:
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -3,9 +3,7 @@
 import asyncio
 
 from tests.world.stage import Stage
-from tests.world.user_troubles import (
-    cancel_now,
-)
+from tests.world.user_troubles import cancel_now
 
 
 async def refused_then_down(stage: Stage) -> None:
