--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -2,8 +2,8 @@
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
 from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
-from elmthread.cluster.deletion import DeletionReason
 from elmthread.cluster.machine import MachineState
+from elmthread.cluster.machine_deletion import DeletionReason
 
 
 class DeferrablePool:
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.deletion import DeletionReason
 from elmthread.cluster.machine import InstanceKind, Machine
+from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.placement.bin_packing import is_allowed
 from elmthread.placement.requests import TaskRequest
 from elmthread.store.machine_type import MachineType
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -9,8 +9,8 @@
 from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
 from elmthread.autoscaling.instance_offers import MAX_INSTANCES_PER_ROUND
 from elmthread.autoscaling.instance_selection import cover_shortfall
-from elmthread.cluster.deletion import DeletionReason
 from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.common.clock import seconds
 
 # Urgent demand is remembered for this long to track theta, once there is enough of it.
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any
 
-from elmthread.cluster.job import Job
+from elmthread.cluster.job import Job, JobPolicy
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Facts, Objective
@@ -63,18 +63,18 @@
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
         """Return an open job, submitted at that time of this process's clock, and by the calendar now or then."""
+        tasks_per_chunk = self._tasks_per_chunk
+        if self._features.is_active(Feature.DONE_BITMAPS):
+            tasks_per_chunk = self._tasks_per_bitmap_chunk
+        return Job(spec, submission_time or datetime.now(UTC), submitted_at, self._policy(spec), tasks_per_chunk)
+
+    def _policy(self, spec: JobSpec) -> JobPolicy:
         variables = self._expression_variables(spec)
-        # Replicas have no end to be late with: they are urgent whatever the operators say.
-        urgent = spec.form == SERVICE or self._operators.urgent(variables)
-        use_bitmaps = self._features.is_active(Feature.DONE_BITMAPS)
-        return Job(
-            spec,
-            submission_time or datetime.now(UTC),
-            submitted_at,
+        return JobPolicy(
             self._operators.deadline(variables),
             self._objectives.latest_deadline_factor(spec),
-            urgent,
-            self._tasks_per_bitmap_chunk if use_bitmaps else self._tasks_per_chunk,
+            # Replicas have no end to be late with: they are urgent whatever the operators say.
+            spec.form == SERVICE or self._operators.urgent(variables),
         )
 
     def _expression_variables(self, spec: JobSpec) -> dict[str, Any]:
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -13,15 +13,7 @@
 from elmthread.common.load import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.election import Election, Role
-from elmthread.limits import (
-    LEADERS_PART,
-    LEASE,
-    OTHERS_PART,
-    SERVERS_PART,
-    WORKERS_PART,
-    holding_time,
-    users_at_once,
-)
+from elmthread.limits import LEADERS_PART, LEASE, OTHERS_PART, SERVERS_PART, WORKERS_PART, holding_time, users_at_once
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.net.connections import ConnectionLimit
 from elmthread.net.http_client import HttpCaller, HttpClient
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -68,10 +68,10 @@
         return _read(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
     async def _call(
-        self, method: str, path: str, body: Any = None, precondition: Callable[[], bool] | None = None
+        self, method: str, path: str, body: Any = None, may_leave: Callable[[], bool] | None = None
     ) -> ClientResponse:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=precondition)
+            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=may_leave)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if answer.status == 429:
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -4,9 +4,9 @@
 from datetime import timedelta
 
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine_deletion import DeletionReason, request_deletion
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.reachability.zones import ZoneHealth
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -9,8 +9,8 @@
 from datetime import timedelta
 
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
+from elmthread.cluster.machine_deletion import DeletionReason, request_deletion
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import MAX_MACHINES_PER_PAGE, CloudClient, CloudError, NoCapacityError
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.deletion import DeletionReason, request_deletion
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.machine import InstanceKind, Machine
+from elmthread.cluster.machine_deletion import DeletionReason, request_deletion
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import CloudClient
