--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -79,7 +79,7 @@
         )
 
     def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
-        """Return whether this node has neither stood still with the reply nor heard of a newer leader."""
+        """Return whether this node has neither been suspended with the reply nor learnt of a newer leader."""
         return self._node.clock() <= until and reply.fencing_token >= self._node.election.highest_seen_token
 
     async def _carry_out(self, request: ForwardedRequest) -> Response:
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -64,7 +64,7 @@
     omit_defaults=True,
     rename={"job_id": "name_id", "state": "status", "done_count": "done", "running_count": "running"},
 ):
-    """A job's state as users are told it; the counts of tasks are for display."""
+    """A job's state in a response to a user; the counts of tasks are for display."""
 
     job_id: str
     state: str
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -9,7 +9,7 @@
 
 # A node that can't reach the leader it knows leaves users to nodes that can, after this time.
 UNREACHED_LEADER_GRACE = seconds(2.8)
-# Where nobody leads, no node is better than another: users are told at once when to come back,
+# Where nobody leads, no node is better than another: users are asked at once to come back,
 # and a node taken out of service would be missing for a while after the trouble ends.
 NO_LEADER_GRACE = seconds(60)
 
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -17,11 +17,10 @@
 
 
 class RequestRouter:
-    """Takes requests of users, workers, the load balancer and other nodes."""
+    """Routes requests of users, workers, the load balancer and other nodes."""
 
     def __init__(self, node: ApiNode, heartbeat: HeartbeatRoute) -> None:
         """`heartbeat` handles the requests of workers."""
-        self.node_name = node.name
         self._heartbeat = heartbeat
         self._readiness = Readiness(node)
         self._forwarder = RequestForwarder(node, self._readiness)
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -1,4 +1,4 @@
-"""The state of jobs as users are told it: only what is durable, and only what can't change back."""
+"""Responses that state a job's state: only what is durable, and only what can't change back."""
 
 import logging
 from datetime import timedelta
@@ -39,9 +39,9 @@
         return self.respond(job, 200, describe(job))
 
     def respond(self, job: Job, status: int, body: JobStatus) -> Response:
-        """Return the response that names the job's state, or when to ask again while it can't be told.
+        """Return the response that states the job's state, or when to ask again while it can't be stated yet.
 
-        From the moment a user is told `cancelled`, all tasks must end within `cancel_s`. A machine
+        Once `cancelled` has been sent to a user, all tasks must end within `cancel_s`. A machine
         that can't be reached is empty once its lease has expired, as this leader and every earlier
         one can have renewed it; where that might be later, the cancellation is not confirmed yet.
         Nor is an older state: an earlier leader may have confirmed the cancellation.
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -28,10 +28,15 @@
         """Replace all types, and apply them to the machines."""
         self.types = {machine_type.name: machine_type for machine_type in types}
         for machine in self._cluster.machines.values():
-            self.apply_to(machine)
+            self._apply_to(machine)
         self._events.notify_changed()
 
-    def apply_to(self, machine: Machine) -> None:
+    def add_machine(self, machine: Machine) -> None:
+        """Add a machine to the cluster, with what its type gives it."""
+        self._apply_to(machine)
+        self._cluster.add_machine(machine)
+
+    def _apply_to(self, machine: Machine) -> None:
         """Set the machine's size, image fetch rate and price (per hour) by its type, if that is known."""
         machine_type = self.types.get(machine.machine_type)
         if machine_type is None:
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -43,6 +43,10 @@
     zone: str
     spot: bool
 
+    def __str__(self) -> str:
+        """Return the kind as log lines name it."""
+        return f"{self.machine_type} in {self.zone}{' (spot)' if self.spot else ''}"
+
 
 @dataclass(slots=True, eq=False, repr=False)
 class Machine:
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -55,6 +55,7 @@
         supported: SupportedLevels = SUPPORTED,
     ) -> None:
         """`supported` are the compatibility levels of this program; tests stand in for other versions."""
+        self.node = platform.node
         self._platform = platform
         self._operators = operators
         self._clock = clock
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -25,7 +25,7 @@
 
 
 class CloudError(ElmthreadError):
-    """No usable answer; the request may have been carried out."""
+    """No usable response; the request may have been carried out."""
 
 
 class NoCapacityError(ElmthreadError):
@@ -33,7 +33,7 @@
 
 
 class CloudClient:
-    """Makes the calls. Whoever makes one takes it from `rate_limit` first."""
+    """Calls the cloud. Callers check `rate_limit` before each call."""
 
     def __init__(
         self, caller: HttpCaller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
@@ -54,8 +54,8 @@
         body = messages.ProvisioningBody(
             name, kind.machine_type, kind.zone, kind.spot, min(count, MAX_INSTANCES_PER_REQUEST)
         )
-        answer = await self._call("POST", "/hosts", messages.encode_body(body), self._may_change)
-        return _read(answer, messages.ProvisionedMachines).machines
+        response = await self._call("POST", "/hosts", messages.encode_body(body), self._may_change)
+        return _read(response, messages.ProvisionedMachines).machines
 
     async def delete(self, names: list[str]) -> None:
         """Delete the machines: once this returns, all that was on them has ended. Raises CloudError."""
@@ -71,21 +71,21 @@
         self, method: str, path: str, body: Any = None, may_leave: Callable[[], bool] | None = None
     ) -> ClientResponse:
         try:
-            answer = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=may_leave)
+            response = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=may_leave)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
-        if answer.status == 429:
+        if response.status == 429:
             self.rate_limit.drain()
-        if answer.status == 503 and isinstance(answer.body, dict) and answer.body.get("error") == "no capacity":
+        if response.status == 503 and isinstance(response.body, dict) and response.body.get("error") == "no capacity":
             raise NoCapacityError(path)
-        if answer.status != 200:
-            raise CloudError(f"{method} {path}: {answer.status} {answer.body}")
-        return answer
+        if response.status != 200:
+            raise CloudError(f"{method} {path}: {response.status} {response.body}")
+        return response
 
 
-def _read(answer: ClientResponse, body_type: type[ResponseBody]) -> ResponseBody:
+def _read(response: ClientResponse, body_type: type[ResponseBody]) -> ResponseBody:
     try:
-        return msgspec.convert(answer.body, body_type)
+        return msgspec.convert(response.body, body_type)
     except msgspec.ValidationError as error:
         log.error("malformed response of the cloud: %s", error)
         raise CloudError(str(error)) from error
--- a/src/elmthread/machines/deletion.py
+++ b/src/elmthread/machines/deletion.py
@@ -22,7 +22,7 @@
     def __init__(
         self, context: TermContext, cloud: CloudClient, provisioner: Provisioner, inventory: Inventory
     ) -> None:
-        """`provisioner` and `inventory` are told of machines that are gone."""
+        """Delete through `cloud`; `provisioner` and `inventory` forget machines that are gone."""
         self._cluster = context.cluster
         self._writer = context.writer
         self._events = context.events
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -43,7 +43,7 @@
         return max(self._cloud.list_lag / 2, seconds(CALLS_PER_LIST_CALL * pages / self._cloud.rate_limit.rate))
 
     async def refresh(self) -> None:
-        """Read the whole list and reconcile with it; its first call was taken from the rate limit before."""
+        """Read the whole list and reconcile with it; the caller has taken its first call from the rate limit."""
         machines: list[ListedMachine] = []
         after = None
         try:
@@ -74,7 +74,7 @@
                 self._observe_missing(machine, now)
 
     def forget(self, name: str) -> None:
-        """Drop what is kept of a machine that is gone."""
+        """Forget a machine that is gone."""
         self._missed_lists.pop(name, None)
 
     def _observe(self, listed: ListedMachine, now: timedelta) -> None:
@@ -98,7 +98,6 @@
         state = MachineState.BOOTING if listed.state == InstanceState.STARTING else MachineState.UNCONFIRMED
         machine = Machine(listed.name, InstanceKind(listed.machine_type, listed.zone, listed.spot), state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
-        self._catalog.apply_to(machine)
-        self._cluster.add_machine(machine)
+        self._catalog.add_machine(machine)
         log.info("adopting %s from the cloud's list", machine.name)
         return machine
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -149,8 +149,7 @@
             machine = self._cluster.machines.get(name)
             if machine is None:
                 machine = Machine(name, request.kind, MachineState.BOOTING, now)
-                self._catalog.apply_to(machine)
-                self._cluster.add_machine(machine)
+                self._catalog.add_machine(machine)
             machine.in_deferrable_pool = request.for_deferrable_pool
 
     def _pause(self, kind: InstanceKind) -> None:
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -18,7 +18,7 @@
 
 
 class CompletionRecorder:
-    """Records done tasks, before the worker may forget them and before users hear of them."""
+    """Records done tasks: only once that is durable may the worker remove them and users see the job as done."""
 
     def __init__(self, context: TermContext) -> None:
         """`context` is that of the term in which the tasks ended."""
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -109,8 +109,7 @@
             MachineState.UNCONFIRMED,
             self._clock(),
         )
-        self._catalog.apply_to(machine)
-        self._cluster.add_machine(machine)
+        self._catalog.add_machine(machine)
         return machine
 
     def _expects_assignments(self, machine: Machine) -> bool:
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -149,7 +149,7 @@
         self._completions.record(job, number, partial(_completion_is_durable, machine, attempt))
 
     def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
-        """Take what an exit says about the health of the machine and about the job's run time."""
+        """Record what an exit says about the health of the machine and about the job's run time."""
         job = allocation.job
         completed = task.exit_reason == ExitReason.COMPLETED
         if job.is_service and (completed or health.has_run_steadily(allocation, now)):
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -69,7 +69,7 @@
 def _follows_at_once(machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
     """Return whether this is the very next heartbeat, sooner than after a response that did not come.
 
-    A worker that gets no response turns to another node, and is not here again so soon.
+    A worker that gets no response turns to another node and comes back later than that.
     """
     return (
         machine.last_heartbeat_at is not None
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -58,7 +58,7 @@
 
 async def in_an_election(world: World, history: History) -> None:
     assert world.leader is not None
-    name = world.leader.api.node_name
+    name = world.leader.node
     world.kill(name)
     world.loop.call_later(0.2, start, world, name)
     await world.play_faults(
@@ -77,7 +77,7 @@
 
 async def leader_hangs(world: World, history: History) -> None:
     assert world.leader is not None
-    still = world.loop.create_task(world.stand_still(world.leader.api.node_name, 8.0))
+    still = world.loop.create_task(world.stand_still(world.leader.node, 8.0))
     await world.play_faults([cut("leader", "workers"), cut("follower", "store", at=2.0)])
     await still
 
--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -60,7 +60,7 @@
 
     async def alone(world: World, history: History) -> None:
         assert world.leader is not None
-        others = [node for node in NODES if node != world.leader.api.node_name]
+        others = [node for node in NODES if node != world.leader.node]
         for node in others:
             world.kill(node)
         await world.play_faults([cut("leader", "workers", length=12.0)])
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -20,7 +20,7 @@
         await asyncio.sleep(8)
         for _ in range(2):
             assert world.leader is not None
-            name = world.leader.api.node_name
+            name = world.leader.node
             world.kill(name)
             world.loop.call_later(1, start, world, name)
             await asyncio.sleep(5)
@@ -37,7 +37,7 @@
             assert await world.submit(job(number, true_s=25.0, expected_s=25.0))
         await asyncio.sleep(8)
         assert world.leader is not None
-        leader = world.leader.api.node_name
+        leader = world.leader.node
         names = [leader] if victims == ["leader"] else list(NODES)
         for name in names:
             world.kill(name)
@@ -76,7 +76,7 @@
         await asyncio.sleep(6)
         old = world.leader
         assert old is not None
-        world.ports[old.api.node_name][0].trouble.refused = True
+        world.ports[old.node][0].trouble.refused = True
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         assert old.election.role.name == "FOLLOWER"
@@ -93,7 +93,7 @@
         await asyncio.sleep(6)
         old = world.leader
         assert old is not None
-        name = old.api.node_name
+        name = old.node
         world.ports[name][1].trouble.cut = True
         # The links between controllers are cut too, but workers still reach the old leader.
         set_apart(world, name, True)
@@ -139,7 +139,7 @@
         assert await world.withdraw("run-000001") == "cancelled"
         old = world.leader
         assert old is not None
-        world.kill(old.api.node_name)
+        world.kill(old.node)
         for name in ("large", "large"):
             world.rent(name, "east")
         assert await world.submit(job(2, crew="red", pieces=12))
@@ -152,7 +152,7 @@
     async def script(world: World) -> None:
         await asyncio.sleep(5)
         assert world.leader is not None
-        name = world.leader.api.node_name
+        name = world.leader.node
         cut = next(node for node in NODES if node != name)
 
         async def ready(node: str) -> bool:
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -53,7 +53,7 @@
         old = world.leader
         assert old is not None and old.leader is not None
         assert len(old.leader.cluster.machines) >= 0.9 * MACHINES
-        world.kill(old.api.node_name)
+        world.kill(old.node)
         ended = world.loop.now
         for worker in world.workers.values():
             worker.change.set()
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -39,7 +39,7 @@
     rng = world.rng
     old = world.leader
     assert old is not None
-    name = old.api.node_name
+    name = old.node
     peers_too = rng.random() < 0.7
     world.ports[name][0].trouble.refused = True
     if peers_too:
@@ -144,7 +144,7 @@
         world.cut_workers.clear()
         await asyncio.sleep(40)
         # A leader is refused alone, with its workers: it does not hold on, or not for longer than it may.
-        name = world.leader.api.node_name if world.leader is not None else ""
+        name = world.leader.node if world.leader is not None else ""
         world.ports[name][0].trouble.refused = True
         world.apart.add(name)
         await asyncio.sleep(4)
@@ -172,17 +172,17 @@
         )
         old = world.leader
         assert old is not None
-        world.kill(old.api.node_name)
+        world.kill(old.node)
         await asyncio.sleep(5)
         assert world.leader is not None and world.leader is not old
         world.leader.leader.cluster.machines[body["loom"]].last_heartbeat_id = (0, 0)  # type: ignore[union-attr]
-        answer = await world.report(body, world.leader.api.node_name)
+        answer = await world.report(body, world.leader.node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
         told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
         running = [one for one in body["pieces"] if one["piece"].startswith("run-000001") and one["status"] != "exited"]
         # Exactly what is cancelled is stopped; what runs on is left alone, as the report may be an old copy.
         assert running and told == {("halt", one["piece"], one["try"]) for one in running}
-        world.start(old.api.node_name)
+        world.start(old.node)
 
     day(script, machines=2, each=0)
 
@@ -204,7 +204,7 @@
         world.store.outage(True)
         await asyncio.sleep(10)
         if not all_there:
-            world.kill(next(node for node in world.nodes if node != leader.api.node_name))
+            world.kill(next(node for node in world.nodes if node != leader.node))
         await asyncio.sleep(110)
         if all_there:
             assert sorted(world.rules.where) == before and leader.election.role is Role.LEASE_UNCERTAIN
@@ -231,7 +231,7 @@
         await asyncio.sleep(10)
         old = world.leader
         assert old is not None
-        name, other = old.api.node_name, next(node for node in world.nodes if node != old.api.node_name)
+        name, other = old.node, next(node for node in world.nodes if node != old.node)
         world.ports[name][0].trouble.refused = True
         world.apart.add(name)
         await asyncio.sleep(4)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -80,9 +80,9 @@
         world.workers.pop(names[0]).gone()
         leader = world.leader
         assert leader is not None
-        world.kill(leader.api.node_name)
+        world.kill(leader.node)
         await asyncio.sleep(10)
-        world.start(leader.api.node_name)
+        world.start(leader.node)
         died = world.loop.now
         while names[0] in world.cloud.machines and world.loop.now < died + 90:
             await asyncio.sleep(0.5)
@@ -116,7 +116,7 @@
         assert len(before) == 3
         assert world.leader is not None
         for request in [one for one in requests if one.path == "/agent/beat"]:
-            response = await handle[world.leader.api.node_name](request)
+            response = await handle[world.leader.node](request)
             assert response.status == 503
         assert sorted(world.rules.where) == sorted(before)
         assert world.leader.leader is not None
@@ -144,12 +144,12 @@
             {"pieces": [{"piece": "run-000001/0", "try": -5, "status": "running"}]},
             {"pieces": "none"},
         ):
-            response = await world.report(good | change, leader.api.node_name)
+            response = await world.report(good | change, leader.node)
             assert response.status == 400, change
-        assert (await world.report([1, 2], leader.api.node_name)).status == 400
+        assert (await world.report([1, 2], leader.node)).status == 400
         # Of a machine that nobody knows: it gets the token, and nothing else changes.
         stranger = good | {"loom": "m-999999", "baton": 0, "pieces": []}
-        assert (await world.report(stranger, leader.api.node_name)).status == 200
+        assert (await world.report(stranger, leader.node)).status == 200
         assert world.leader is leader and sorted(world.rules.where) == before
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
 
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -78,7 +78,7 @@
         assert done > 100
         old = world.leader
         assert old is not None
-        world.kill(old.api.node_name)
+        world.kill(old.node)
         await asyncio.sleep(10)
         assert await world.poll("run-000001") == "running"
         assert len(world.rules.finished) > done
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -72,7 +72,7 @@
         await asyncio.sleep(8)
         assert world.leader is not None
         rented = dict(world.cloud.requests)
-        world.kill(world.leader.api.node_name)
+        world.kill(world.leader.node)
         await asyncio.sleep(8)
         assert world.leader is not None and world.cloud.requests == rented
         ids = [f"run-{number:06d}" for number in range(1, 5)]
@@ -96,7 +96,7 @@
             ids.append(spec["name_id"])
         old = world.leader
         assert old is not None
-        name = old.api.node_name
+        name = old.node
         asking = [asyncio.create_task(world.poll(job_id, node)) for job_id in ids for node in world.nodes]
         withdrawn = asyncio.create_task(world.withdraw(ids[0]))
         await asyncio.sleep(world.rng.uniform(0.0, 0.1))
@@ -135,13 +135,13 @@
             assert reply.status == 503 and reply.retry_after_s
         # A follower that has heard of a newer leadership passes on nothing of the older one.
         other = next(one for one in world.controllers.values() if one is not leader)
-        name = other.api.node_name
+        name = other.node
         assert (await world.ask("GET", "/submissions/run-000001", node=name)).status == 200
         ask = other.peers.ask
 
         async def overtaken(*args: Any) -> Any:
             reply = await ask(*args)
-            other.election.observe_term(asked.fencing_token + 5, leader.api.node_name)
+            other.election.observe_term(asked.fencing_token + 5, leader.node)
             return reply
 
         other.peers.ask = overtaken  # type: ignore[method-assign,assignment]
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -42,7 +42,7 @@
 
     async def script(world: World, history: History) -> None:
         assert world.leader is not None
-        name, before = world.leader.api.node_name, world.loop.now
+        name, before = world.leader.node, world.loop.now
         await world.play_faults([cut("leader", "workers", length=12.0)])
         term = history.terms[-1]
         assert term[1] != name and len(history.terms) == 2
@@ -144,7 +144,7 @@
     async def script(world: World, history: History) -> None:
         nonlocal running, kept
         assert world.leader is not None
-        leader = world.leader.api.node_name
+        leader = world.leader.node
         reached, other = (NODES[(NODES.index(leader) + step) % len(NODES)] for step in (1, 2))
         long_jobs = [f"run-{number:06d}" for number in range(60, 64)]
         for number in range(60, 64):
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -20,7 +20,7 @@
         await asyncio.sleep(8)
         old = world.leader
         assert old is not None
-        name = old.api.node_name
+        name = old.node
         world.drift[name] = drift
         set_apart(world, name, True)
         # Half of the workers hear only the old leader, which answers them for a bounded time.
@@ -55,7 +55,7 @@
         running = set(world.rules.where)
         old = world.leader
         assert old is not None and len(running) == 200
-        name = old.api.node_name
+        name = old.node
         world.cut_workers |= {(worker, name) for worker in world.workers}
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
@@ -82,7 +82,7 @@
         await asyncio.sleep(10)
         old = world.leader
         assert old is not None
-        world.mute.add(old.api.node_name)
+        world.mute.add(old.node)
         await asyncio.sleep(14)
         assert world.leader is not None and world.leader is not old
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
@@ -106,7 +106,7 @@
                 world.workers[worker].hung = True
                 world.cut_workers |= {(worker, node) for node in world.nodes}
         else:
-            world.cut_workers |= {(worker, old.api.node_name) for worker in workers[:2]}
+            world.cut_workers |= {(worker, old.node) for worker in workers[:2]}
         await asyncio.sleep(25)
         assert world.leader is old
         world.cut_workers.clear()
@@ -161,7 +161,7 @@
         await asyncio.sleep(8)
         first = world.leader
         assert first is not None
-        node, fencing_token = first.api.node_name, first.election.fencing_token
+        node, fencing_token = first.node, first.election.fencing_token
         if not others_live:
             for other in [name for name in world.nodes if name != node]:
                 world.kill(other)
@@ -169,7 +169,7 @@
         world.cut_workers |= {(worker, node) for worker in world.workers}
         await asyncio.sleep(11)
         if others_live:
-            assert world.leader is not None and world.leader.api.node_name != node
+            assert world.leader is not None and world.leader.node != node
             await asyncio.sleep(60)
         else:
             # Nobody else can lead: after one try it goes on, and is there when the machines are back.
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -69,7 +69,7 @@
     async def script(world: World) -> None:
         await asyncio.sleep(2)
         assert world.leader is not None
-        cloud = world.ports[world.leader.api.node_name][1].trouble
+        cloud = world.ports[world.leader.node][1].trouble
         stuck = world.cloud.add("small", "east", True, 10_000.0)
         await asyncio.sleep(25)
         cloud.lost = 0.9
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -125,7 +125,7 @@
         await asyncio.sleep(8)
         running = sorted(world.rules.where)
         assert running and world.leader is not None
-        leader = world.leader.api.node_name
+        leader = world.leader.node
         other = next(node for node in world.nodes if node != leader)
 
         def behind(node: str, late: float) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -62,7 +62,7 @@
         # The leader first, and twice: it is back old once before its turn.
         leader = world.leader
         assert leader is not None
-        node = leader.api.node_name
+        node = leader.node
         world.kill(node)
         world.loop.call_later(1, start, world, node)
         await asyncio.sleep(8)
@@ -123,7 +123,7 @@
         assert await world.withdraw("run-000001", 5) == "cancelled"
         states = await world.until_over(["run-000002", "run-000003"], 300)
         assert set(states.values()) == {"done"}
-        world.kill(world.leader.api.node_name)  # type: ignore[union-attr]
+        world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
         assert await world.poll("run-000001") == "cancelled"
 
@@ -159,7 +159,7 @@
         assert "t/types" not in view and len([key for key in view if key.startswith("y/")]) == TYPES_MANY + 2
         # A new leader knows them from the store alone.
         world.cloud.down = True
-        world.kill(world.leader.api.node_name)  # type: ignore[union-attr]
+        world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
         assert await world.submit(job(2, pieces=1), 5)
         assert world.leader is not None and world.leader.leader is not None
@@ -197,7 +197,7 @@
         now = leader._clock().total_seconds()
         assert not backlog or now - min(backlog) < 8
         assert len(sizes(world)) < 250
-        world.kill(leader.api.node_name)
+        world.kill(leader.node)
         crashed = world.loop.now
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.1)
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -44,11 +44,11 @@
             ids = await submit_some(world)
             # The leader itself is rolled back: the others serve on, and nobody works on what it would misread.
             assert world.leader is not None
-            back = world.leader.api.node_name
+            back = world.leader.node
             replace(world, back, BEFORE, 0.3)
             await asyncio.sleep(8)
             await refused(world, back)
-            assert world.leader is not None and world.leader.api.node_name != back
+            assert world.leader is not None and world.leader.node != back
             # Alone it does not lead either.
             for node in NODES:
                 if node != back:
@@ -130,7 +130,7 @@
 
         def end_the_leader(before: int, level: int) -> None:
             written(before, level)
-            node = next(one.api.node_name for one in world.controllers.values() if one.election.holds_lease())
+            node = next(one.node for one in world.controllers.values() if one.election.holds_lease())
             ended.append(node)
             world.loop.call_soon(world.kill, node)
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -47,7 +47,7 @@
         assert len(running) > 1500
         old = world.leader
         assert old is not None
-        world.kill(old.api.node_name)
+        world.kill(old.node)
         crashed = world.loop.now
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
@@ -55,7 +55,7 @@
         assert world.loop.now - crashed < 6
         for job_id in ids:
             assert await world.poll(job_id) is not None
-        world.start(old.api.node_name)
+        world.start(old.node)
         states = await world.until_over(ids, 100)
         assert set(states.values()) == {"done"}
 
@@ -151,7 +151,7 @@
         await asyncio.sleep(6)
         # The controller keeps the workers of its zone, and nothing else.
         west = [name for name, worker in world.workers.items() if worker.zone == "west"]
-        cut_off = next(node for node in world.nodes if world.leader and node != world.leader.api.node_name)
+        cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
         set_apart(world, cut_off, True)
         world.cut_workers |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
         await asyncio.sleep(10)
@@ -163,7 +163,7 @@
         # Links are refused: users at the others are told so at once, the leader serves on.
         reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
         assert world.leader is not None
-        leader = world.leader.api.node_name
+        leader = world.leader.node
         for node in world.nodes:
             asked = world.loop.now
             status = (await world.ask("GET", f"/submissions/{ids[0]}", node=node)).status
@@ -172,7 +172,7 @@
         world.reach = reach  # type: ignore[method-assign]
         await more(5)
         await world.stand_still(leader, 6.0)
-        assert world.leader.api.node_name != leader
+        assert world.leader.node != leader
         # A third of the machines: dead, hung and sick, with work coming.
         names = sorted(world.workers)
         for name in names[::9]:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -44,7 +44,7 @@
         assert sum(world.rules.starts.values()) >= 15
         assert await served(world, "run-000001", 15) < 15
         assert await world.poll("run-000001") == "running"
-        world.kill(world.leader.api.node_name)  # type: ignore[union-attr]
+        world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(10)
         assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
 
@@ -131,7 +131,7 @@
         for turn in range(4):
             leader = world.leader
             assert leader is not None
-            node = leader.api.node_name
+            node = leader.node
             if turn % 2:
                 world.kill(node)
                 world.loop.call_later(0.3, start, world, node)
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -43,7 +43,7 @@
         ids += await submit_some(world, 4, 10)
         await asyncio.sleep(14)
         assert world.leader is not None
-        world.kill(world.leader.api.node_name)
+        world.kill(world.leader.node)
         await until_done(world, ids)
         assert monitor.loads >= 2
 
@@ -89,7 +89,7 @@
             replace(world, node, SUPPORTED, 0.1)
         await asyncio.sleep(6)
         assert stored_level(world) == 1
-        follower = next(node for node in NODES if world.leader and node != world.leader.api.node_name)
+        follower = next(node for node in NODES if world.leader and node != world.leader.node)
         replace(world, follower, SUPPORTED, 0.1)
         again = world.loop.now
         await until_level(world, SUPPORTED.highest)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -86,7 +86,7 @@
         assert await world.submit(job(9000, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
         assert world.leader is not None
-        world.kill(world.leader.api.node_name)
+        world.kill(world.leader.node)
         killed = world.loop.now
         world.rules.calm_since = killed
         left = {f"run-{number:06d}" for number in (1, 77, 1234, count - 1)} | {"run-009000"}
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -50,7 +50,7 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
     assert world.leader is not None
-    back = next(node for node in NODES if node != world.leader.api.node_name)
+    back = next(node for node in NODES if node != world.leader.node)
     # Without the setting it announces nothing, as a version that knows no levels.
     world.rollout = RolloutSettings()
     replace(world, back, BEFORE, 0.2)
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -80,7 +80,7 @@
         return self.world.rng.sample(names, max(1, round(len(names) * share))) if names else []
 
     def leader(self) -> str | None:
-        return None if self.world.leader is None else self.world.leader.api.node_name
+        return None if self.world.leader is None else self.world.leader.node
 
     def kill(self, node: str, back: float) -> None:
         if node in self.world.controllers:
