--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -60,24 +60,22 @@
         now = self._clock()
         if self._zones.find_unreachable():
             self._events.notify_changed()
+        unreachable_zones, overdue_after = self._zones.unreachable, self._overdue_after
         for machine in list(self._cluster.machines.values()):
-            machine.zone_unreachable = machine.zone in self._zones.unreachable
-            if self._is_healthy(machine, now):
+            machine.zone_unreachable = machine.zone in unreachable_zones
+            if (
+                machine.state is MachineState.UP
+                and machine.last_heartbeat_at is not None
+                and now - machine.last_heartbeat_at <= overdue_after
+                and machine.interruption_at is None
+                and machine.responses_lost_since is None
+                and not machine.quarantined
+            ):
+                # Healthy, as most machines are most of the time.
                 machine.heartbeat_overdue = False
             else:
                 self._check_machine(machine, now)
 
-    def _is_healthy(self, machine: Machine, now: timedelta) -> bool:
-        """Return whether there is nothing to judge, as with most machines most of the time."""
-        return (
-            machine.state is MachineState.UP
-            and machine.last_heartbeat_at is not None
-            and now - machine.last_heartbeat_at <= self._overdue_after
-            and machine.interruption_at is None
-            and machine.responses_lost_since is None
-            and not machine.quarantined
-        )
-
     def _check_machine(self, machine: Machine, now: timedelta) -> None:
         if machine.state is MachineState.DELETING:
             self._release_expired(machine, now)
--- a/src/elmthread/workers/commands.py
+++ b/src/elmthread/workers/commands.py
@@ -42,19 +42,21 @@
         starts: list[Command] = []
         now = self._clock()
         for allocation in list(machine.allocations.values()):
-            job = allocation.job
+            job, state = allocation.job, allocation.state
+            # Not listed by any heartbeat yet.
+            is_unseen = state is AllocationState.PLANNED or state is AllocationState.COMMITTED
             if not job.is_open or job.is_done(allocation.task):
                 allocation.stop_mode = StopMode.KILL
-            elif allocation.stop_mode is None and _was_seen(allocation):
+            elif allocation.stop_mode is None and not is_unseen:
                 # It runs and is to go on, as most do.
                 continue
             name = messages.task_name(job.id, allocation.task)
             unwanted = _is_unwanted(allocation)
-            if unwanted and not allocation.start_sent and not _was_seen(allocation):
+            if unwanted and is_unseen and not allocation.start_sent:
                 self._release_unsent(allocation, now)
             elif allocation.stop_mode is not None:
                 stops.append(StopCommand(name, allocation.attempt, _grace_s(allocation)))
-            elif allocation.state is AllocationState.COMMITTED and leads and not unwanted:
+            elif state is AllocationState.COMMITTED and leads and not unwanted:
                 allocation.start_sent = True
                 starts.append(StartCommand(name, allocation.attempt))
         return stops + starts
@@ -86,12 +88,6 @@
     ]
 
 
-def _was_seen(allocation: Allocation) -> bool:
-    """Return whether a heartbeat has listed it, or may do so."""
-    state = allocation.state
-    return state is not AllocationState.PLANNED and state is not AllocationState.COMMITTED
-
-
 def _is_unwanted(allocation: Allocation) -> bool:
     machine = allocation.machine
     return (
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -1,10 +1,11 @@
 """Reconciliation of what a heartbeat lists with the allocations of its machine."""
 
 import logging
-from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 
+import msgspec
+
 from elmthread.cluster import health
 from elmthread.cluster.allocation import OBSERVED_STATES, Allocation, AllocationState, StopMode
 from elmthread.cluster.job import Job
@@ -34,8 +35,7 @@
 MUST_BE_LISTED = OBSERVED_STATES | {AllocationState.UNCONFIRMED}
 
 
-@dataclass(slots=True)
-class Reconciliation:
+class Reconciliation(msgspec.Struct):
     """What follows for the response from one heartbeat."""
 
     # Exited tasks, which the worker is to remove once their completions are durable.
