--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -7,7 +7,7 @@
 
 from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
-from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.leases import WorkerLeases
@@ -18,13 +18,10 @@
 from elmthread.leadership.context import TermContext
 from elmthread.leadership.election import Election
 from elmthread.leadership.term import Term
-from elmthread.limits import (
-    LEADERS_PART,
-    users_at_once,
-)
+from elmthread.limits import LEADERS_PART, users_at_once
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
-from elmthread.net.http import Caller
+from elmthread.net.http_client import HttpCaller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
@@ -63,7 +60,7 @@
     operators: Operators
     election: Election
     state: KeyValueStore
-    cloud: Caller
+    cloud: HttpCaller
     clock: Clock
     load: OverloadControl
     reachability: Reachability
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -11,7 +11,7 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
-from elmthread.net.http import Answer, Caller, NoResponseError
+from elmthread.net.http_client import ClientResponse, HttpCaller, NoResponseError
 from elmthread.store import messages
 from elmthread.store.pacing import TokenBucket
 
@@ -97,7 +97,7 @@
     Each method raises StoreUnavailableError or UnknownOutcomeError if the request fails.
     """
 
-    def __init__(self, caller: Caller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
+    def __init__(self, caller: HttpCaller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
         """Send requests by `caller` within the rate of `requests`; `observer` learns which were executed."""
         self._observer = observer
         self._caller = caller
@@ -165,12 +165,14 @@
             raise ExpiredError("watch")
         return _decode(answer, messages.WatchEvents)
 
-    async def _call(self, method: str, path: str, body: Any = None, timeout: timedelta = REQUEST_TIMEOUT) -> Answer:
+    async def _call(
+        self, method: str, path: str, body: Any = None, timeout: timedelta = REQUEST_TIMEOUT
+    ) -> ClientResponse:
         if not self._requests.take():
             raise StoreUnavailableError("the request rate of this client is exhausted")
         return await self._send(method, path, body, timeout)
 
-    async def _send(self, method: str, path: str, body: Any, timeout: timedelta) -> Answer:
+    async def _send(self, method: str, path: str, body: Any, timeout: timedelta) -> ClientResponse:
         began = self._observer.begin() if self._observer is not None else None
         try:
             answer = await self._caller.call(method, path, body, timeout=timeout)
@@ -189,13 +191,13 @@
         return answer
 
 
-def _require_status(answer: Answer, expected: int) -> None:
+def _require_status(answer: ClientResponse, expected: int) -> None:
     if answer.status != expected:
         log.error("the key-value store sent unexpected status %s: %s", answer.status, answer.body)
         raise UnknownOutcomeError(f"status {answer.status}")
 
 
-def _decode(answer: Answer, kind: type[T], status: int = 200) -> T:
+def _decode(answer: ClientResponse, kind: type[T], status: int = 200) -> T:
     _require_status(answer, status)
     try:
         return msgspec.convert(answer.body, kind)
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -8,11 +8,7 @@
 from tests.world.faulty_rollouts import FAULTS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
 from tests.world.random_troubles import HISTORIES
-from tests.world.rollouts import (
-    RolloutMonitor,
-    begin_before,
-    monitored,
-)
+from tests.world.rollouts import RolloutMonitor, begin_before, monitored
 from tests.world.settings import NEXT
 from tests.world.staged_days import staged_day
 from tests.world.world import World
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -16,13 +16,7 @@
 from elmthread.rollout.view import Announcement, RolloutView
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
-from tests.world.rollouts import (
-    BEFORE,
-    SOAK_S,
-    replace,
-    stored_level,
-    until_level,
-)
+from tests.world.rollouts import BEFORE, SOAK_S, replace, stored_level, until_level
 from tests.world.settings import NODES
 from tests.world.staged_days import submit_some, upgrade_all
 from tests.world.world import World
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -3,11 +3,7 @@
 import asyncio
 from typing import Any
 
-from tests.world.machine_troubles import (
-    _hang,
-    _mute,
-    held_up,
-)
+from tests.world.machine_troubles import _hang, _mute, held_up
 from tests.world.stage import Stage
 
 
