--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -3,6 +3,7 @@
 from elmthread.autoscaling.context import RoundView, ScalingContext
 from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
 from elmthread.cluster.machine import MachineState
+from elmthread.cluster.machine_deletion import DeletionReason
 
 
 class DeferrablePool:
@@ -28,4 +29,4 @@
                 and not machine.reserved
                 and view.now - machine.idle_since > max_idle
             ):
-                self._machines.delete_machine(machine, "idle in the deferrable pool")
+                self._machines.delete_machine(machine, DeletionReason.POOL_IDLE)
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -10,6 +10,7 @@
 from elmthread.autoscaling.instance_offers import MAX_INSTANCES_PER_ROUND
 from elmthread.autoscaling.instance_selection import cover_shortfall
 from elmthread.cluster.machine import Machine, MachineState
+from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.common.clock import seconds
 
 # Urgent demand is remembered for this long to track theta, once there is enough of it.
@@ -114,7 +115,7 @@
         for machine in sorted(unneeded, key=lambda m: -m.price_per_core):
             if urgent_cores <= max_share * (cores - machine.cpus):
                 cores -= machine.cpus
-                self._machines.delete_machine(machine, "not needed")
+                self._machines.delete_machine(machine, DeletionReason.NOT_NEEDED)
 
     def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
         """Return whether the machine is empty, and has been for long enough to be deleted.
