--- a/src/elmthread/cluster/health.py
+++ b/src/elmthread/cluster/health.py
@@ -20,7 +20,7 @@
 REFUSAL_BACKOFF = seconds(1)
 # A job that has failed on this many machines, and runs on no more than that, is suspect.
 MACHINES_FOR_SUSPECT_JOB = 3
-# Jobs that fail on a machine, or failures there of one that runs elsewhere, before it is quarantined.
+# A machine is quarantined once this many jobs have failed there, or one that runs elsewhere this often.
 FAILURES_FOR_QUARANTINE = 2
 # A task that has run for this long has not failed at its start.
 START_UP_TIME = seconds(3)
@@ -39,7 +39,8 @@
     job.last_failure_at = now
     failures = machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
     healthy = _count_healthy_machines(job, now)
-    if not job.done_count and healthy <= len(job.failed_machines) >= MACHINES_FOR_SUSPECT_JOB:
+    failed = len(job.failed_machines)
+    if not job.done_count and failed >= MACHINES_FOR_SUSPECT_JOB and healthy <= failed:
         _back_off(job, now)
         return
     runs_elsewhere = job.done_count or healthy
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Sick machines and bad jobs, told apart by where tasks fail and where they run."""
+"""Faulty machines and faulty jobs, distinguished by where tasks fail and where they run."""
 
 from datetime import UTC, datetime
 
@@ -38,22 +38,22 @@
         allocation.transition_to(AllocationState.RUNNING)
 
 
-def test_large_job_that_meets_sick_machines_is_not_put_off() -> None:
-    """Its first tasks fail at once on the sick machines, long before any is done on the others."""
+def test_large_job_that_fails_on_faulty_machines_is_not_delayed() -> None:
+    """Its first tasks fail at once on the faulty machines, long before any is done on the others."""
     bench = Bench()
     job = bench.job(1)
     for number in range(10, 40):
         bench.runs(job, bench.machine(number))
-    sick = [bench.machine(number) for number in range(4)]
+    faulty = [bench.machine(number) for number in range(4)]
     for _ in range(4):
-        for machine in sick:
+        for machine in faulty:
             health.record_failure(machine, job, seconds(5))
     assert job.retry_at == ZERO
-    assert all(machine.quarantined for machine in sick)
-    assert job.failed_machines == {machine.name for machine in sick}
+    assert all(machine.quarantined for machine in faulty)
+    assert job.failed_machines == {machine.name for machine in faulty}
 
 
-def test_bad_job_waits_ever_longer_and_blames_no_machine() -> None:
+def test_faulty_job_waits_ever_longer_and_quarantines_no_machine() -> None:
     bench = Bench()
     job = bench.job(1)
     machines = [bench.machine(number) for number in range(6)]
@@ -79,7 +79,7 @@
     assert not job.failed_machines
 
 
-def test_failures_of_two_jobs_speak_against_the_machine() -> None:
+def test_failures_of_two_jobs_quarantine_the_machine() -> None:
     bench = Bench()
     machine = bench.machine(1)
     health.record_failure(machine, bench.job(1), seconds(1))
@@ -88,7 +88,7 @@
     assert machine.quarantined
 
 
-def test_replica_that_served_for_long_is_started_again_at_once_and_one_that_did_not_ever_later() -> None:
+def test_replica_is_restarted_at_once_after_a_steady_run_and_ever_later_after_short_ones() -> None:
     bench = Bench()
     job, machine = bench.job(1, tasks=2), bench.machine(1)
     pauses = []
--- a/src/elmthread/persistence/tests/test_records.py
+++ b/src/elmthread/persistence/tests/test_records.py
@@ -17,8 +17,8 @@
 BEFORE = SupportedLevels(1, 1)
 
 
-class Held:
-    """What the record takes of an assignment."""
+class Assigned:
+    """The part of an allocation that the record is made from."""
 
     def __init__(self, job_id: str, task: int, attempt: int) -> None:
         self.job = type("Job", (), {"id": job_id})
@@ -29,7 +29,7 @@
     machine = Machine("m-000001", InstanceKind("small", "east", True), MachineState.UP, ZERO)
     machine.in_deferrable_pool = True
     for one in assigned:
-        machine.allocations[one[2]] = Held(*one)  # type: ignore[assignment]
+        machine.allocations[one[2]] = Assigned(*one)  # type: ignore[assignment]
     return machine
 
 
@@ -39,7 +39,7 @@
     return features
 
 
-def plain(record: MachineRecord) -> set[tuple[str, int, int]]:
+def assignments_in(record: MachineRecord) -> set[tuple[str, int, int]]:
     return {
         (job_id, numbers[index], numbers[index + 1])
         for job_id, numbers in record.holds.items()
@@ -69,7 +69,7 @@
     assert len(json_text(new)) <= len(json_text(old))
     for record, supported in ((old, BEFORE), (old, SUPPORTED), (new, SUPPORTED)):
         read = read_machine(msgspec.to_builtins(record), supported)
-        assert plain(read) == set(assigned.values())
+        assert assignments_in(read) == set(assigned.values())
         assert (read.machine_type, read.zone, read.spot, read.pool) == ("small", "east", True, True)
 
 
@@ -77,7 +77,7 @@
     machine = machine_with([("run-000001", 40 + n, 7_000_000_100 + n) for n in range(50)])
     record = machine_record(machine, level(2))
     assert isinstance(record, AssignmentRunsRecord) and record.runs == {"run-000001": [40, 0, 50]}
-    # A version of the level before refuses it, and does not take the machine for empty.
+    # A version of the level before refuses it, and does not treat the machine as empty.
     with pytest.raises(ValueError):
         read_machine(msgspec.to_builtins(record), BEFORE)
 
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -1,8 +1,9 @@
-"""Group commit against the stand-in store: rates, sizes, late copies and other leaders."""
+"""Group commit against the simulated store: rates, sizes, delayed duplicates and other leaders."""
 
 import asyncio
 import json
 import random
+from collections.abc import Awaitable, Callable
 from functools import partial
 from typing import Any
 
@@ -62,12 +63,22 @@
         """What a new leader would find."""
         return stored_records(self.store)
 
+    def play(self, script: Callable[[], Awaitable[None]]) -> None:
+        """Runs the script while the writer runs, which must not end before."""
+
+        async def main() -> None:
+            task = self.loop.create_task(self.writer.run())
+            await script()
+            assert not task.done()
+            task.cancel()
+
+        play(main(), self.loop)
+
 
 def test_many_changes_go_in_few_transactions_within_the_rate() -> None:
     bench = Bench(rate=10.0)
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         for number in range(1200):
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
@@ -75,17 +86,15 @@
         await asyncio.sleep(6)
         assert len(bench.read()) == 1200
         assert bench.store.revision < 60
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
     assert bench.store.bad_requests == []
 
 
-def test_users_changes_pass_waiting_ones() -> None:
+def test_writes_for_users_overtake_waiting_ones() -> None:
     bench = Bench(rate=10.0)
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         for number in range(1200):
             bench.writer.write(f"k/{number}", WritePriority.MAINTENANCE, lambda: {"text": "x" * 20})
         await asyncio.sleep(5.5)
@@ -93,17 +102,15 @@
         await bench.writer.write_and_wait("j/1", WritePriority.USER, lambda: {"n": 1}, lambda: None)
         assert bench.loop.now - asked < 0.3
         assert bench.writer.queue.pending
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
 
 
-def test_late_copy_of_a_transaction_changes_nothing() -> None:
+def test_delayed_duplicate_of_a_transaction_changes_nothing() -> None:
     """An old value must not come back over a newer one, whenever the store applies it."""
     bench = Bench()
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         value = {"n": 0}
         for number in range(1, 30):
             value["n"] = number
@@ -111,21 +118,20 @@
             bench.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
         bench.trouble.late = 0.0
-        # The last writing is durable at the latest now; late copies go on arriving.
+        # The last write is durable at the latest now; delayed duplicates go on arriving.
         await bench.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
             await asyncio.sleep(0.5)
             assert bench.read()["k/1"] == {"n": 99}
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
     assert not bench.term.step_down_reasons
 
 
 def test_transactions_carried_out_a_second_time_change_nothing() -> None:
     bench = Bench()
 
-    async def main() -> None:
+    async def script() -> None:
         sent: list[Any] = []
         apply = bench.store.apply
 
@@ -135,7 +141,6 @@
             return apply(method, path, body)
 
         bench.store.apply = noting  # type: ignore[method-assign]
-        task = bench.loop.create_task(bench.writer.run())
         for number in range(60):
             bench.writer.write(f"k/{number % 7}", WritePriority.USER, lambda number=number: {"n": number})  # type: ignore[misc]
             if number % 5 == 4:
@@ -145,24 +150,21 @@
             for body in sent:
                 apply("POST", "/txn", body)
             assert bench.read() == before
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
     assert not bench.term.step_down_reasons
 
 
 def test_another_leader_ends_all_writing() -> None:
     bench = Bench()
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         bench.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "b"})))
         bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.term.step_down_reasons and bench.read() == {}
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
@@ -172,8 +174,7 @@
     bench = Bench()
     plain: dict[str, Any] = {}
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         for number, (key, size) in enumerate(changes):
             bench.trouble.lost = lost
             name = f"k/{key}"
@@ -192,17 +193,15 @@
         again = RecordPages(VALUE)
         again.load(bench.pages())
         assert all((name in again) == (name in plain) for name in (f"k/{key}" for key in range(41)))
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
     assert bench.store.bad_requests == []
 
 
 def test_pages_stay_few_however_long_it_writes() -> None:
     bench = Bench(rate=100.0)
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         for number in range(2000):
             # Some records are written once and stay, most are written again and again.
             bench.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
@@ -210,9 +209,8 @@
             await asyncio.sleep(0.05)
         assert len(bench.read()) == 110
         assert len(bench.pages()) < 40
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
 
 
 def test_a_page_that_cannot_be_read_is_named() -> None:
@@ -221,18 +219,16 @@
             RecordPages(VALUE).load([("s/0003", value, 5)])
 
 
-def test_record_larger_than_a_value_holds_up_nothing() -> None:
+def test_record_larger_than_a_page_blocks_no_other() -> None:
     bench = Bench()
 
-    async def main() -> None:
-        task = bench.loop.create_task(bench.writer.run())
+    async def script() -> None:
         bench.writer.write("k/1", WritePriority.USER, lambda: {"text": "x" * VALUE})
         bench.writer.write("k/2", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.read() == {"k/2": {"n": 1}}
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
     assert bench.store.bad_requests == []
 
 
@@ -250,44 +246,39 @@
         assert marks_per_chunk(kilobytes) / 4 + 50 < kilobytes * 1024
 
 
-def test_a_refused_record_is_found_and_holds_up_no_other() -> None:
+def test_a_refused_record_is_found_and_blocks_no_other() -> None:
     """The store takes less than the settings say: one record can't be stored, leadership goes on."""
     bench = Bench()
     stored: list[str] = []
 
-    async def main() -> None:
+    async def script() -> None:
         bench.store.limit(1.0, 2, 30.0)
-        task = bench.loop.create_task(bench.writer.run())
         for number in range(12):
             key, text = f"k/{number}", "x" * (1500 if number == 5 else 100)
             bench.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
         await asyncio.sleep(20)
-        assert not task.done()
-        task.cancel()
 
-    with errors_logged() as told:
-        play(main(), bench.loop)
+    with errors_logged() as lines:
+        bench.play(script)
     assert set(bench.read()) == {f"k/{number}" for number in range(12) if number != 5}
     assert sorted(stored) == sorted(bench.read())
     assert not bench.term.step_down_reasons
-    assert [line for line in told if "refuses" in line] and [line for line in told if "k/5 can't be stored" in line]
+    assert [line for line in lines if "refuses" in line] and [line for line in lines if "k/5 can't be stored" in line]
 
 
 def test_changes_beyond_the_rate_wait_and_leadership_goes_on() -> None:
     bench = Bench(rate=30.0)
 
-    async def main() -> None:
+    async def script() -> None:
         bench.store.limit(2.0, 8, 4.0)
-        task = bench.loop.create_task(bench.writer.run())
         for number in range(200):
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
         assert len(bench.read()) == 200
-        assert not task.done() and not bench.term.step_down_reasons
+        assert not bench.term.step_down_reasons
         assert bench.store.too_many < 60
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
 
 
 def test_large_pages_are_emptied_record_by_record() -> None:
@@ -317,21 +308,21 @@
 
 
 def test_a_page_lost_with_its_leader_is_written_and_none_is_taken_for_new() -> None:
-    """Seen where writes came late: of two transactions under way, only the one with the later page
-    was carried out. Each new leader counted the pages, took the last for one that did not exist,
-    and lost leadership by its guard, for ever.
+    """Of two transactions under way, only the one with the later page was executed.
+
+    A leader that counts the pages would take the last one for a page that does not exist, and lose
+    leadership by the comparison of its revision.
     """
     bench = Bench()
     writer = bench.writer
 
-    async def main() -> None:
+    async def script() -> None:
         for number in (0, 1, 3):
             put = messages.put(
                 f"{PAGE_PREFIX}{number:04d}", {"number": number + 1, "text": f'{{"k/{number}":{number}}}'}
             )
             bench.store.apply("POST", "/txn", wire(put))
         assert writer.pages.load(bench.pages()) == {"k/0": 0, "k/1": 1, "k/3": 3}
-        task = bench.loop.create_task(writer.run())
         for number in range(10, 14):
             bench.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
         await asyncio.sleep(2)
@@ -341,6 +332,5 @@
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
         # The gap is closed, so the version in production, which counts, finds none either.
         assert f"{PAGE_PREFIX}0002" in bench.store.items
-        task.cancel()
 
-    play(main(), bench.loop)
+    bench.play(script)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,6 +1,6 @@
 """An upgrade while the service serves, and the store's limits that fall after it.
 
-A node in `world.old` stands for the earlier version: it knows of no next limits, writes slots
+A node in `world.old` stands for the earlier version: it knows of no next limits, writes pages
 as large as the present ones allow, and is asked for no service. What it must be able to read
 of the newer version's records is judged by tests/test_versions.py.
 """
@@ -78,7 +78,7 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_slots_of_larger_values_are_carried_over_bit_by_bit() -> None:
+def test_records_that_larger_values_held_are_moved_to_smaller_pages() -> None:
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("machines", [300])
 def test_the_stores_load_at_the_lower_limits_and_full_size(machines: int) -> None:
-    """Slots, time of a load, backlog and time to an answer, with the limits enforced throughout."""
+    """Pages, time of a load, backlog and time to an answer, with the limits enforced throughout."""
 
     async def script(world: World) -> None:
         waits = []
--- a/tests/world/services.py
+++ b/tests/world/services.py
@@ -120,7 +120,7 @@
         super().__init__(loop, rng, 0.004)
         self.write_rps = self.level = write_rps
         self.level_at = loop.now
-        # Transactions refused as beyond the rate of changes, and the largest number of slots.
+        # Transactions refused as beyond the rate of changes, and the largest number of pages.
         self.too_many = 0
         self.revision = 1
         self.items: dict[str, tuple[Any, int, int | None]] = {}
