--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -58,7 +58,7 @@
             self.open_jobs[job.id] = job
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
-        """Remove a machine that surely does not exist any more, and release all its allocations."""
+        """Remove a machine that certainly does not exist any more, and release all its allocations."""
         self.machines.pop(machine.name, None)
         self.release_all(machine, now)
         for name in [name for name, at in self.deleted_machines.items() if now - at > DELETED_MACHINE_RETENTION]:
@@ -79,7 +79,7 @@
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation whose task is surely not on the machine; without another one the task is pending."""
+        """Release an allocation whose task is certainly not on the machine; without another one the task is pending."""
         machine, job, task = allocation.machine, allocation.job, allocation.task
         del machine.allocations[allocation.attempt]
         del job.allocations[allocation.attempt]
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -27,7 +27,7 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The request was surely not executed: status 503 or 429, or beyond the rate that this client keeps to."""
+    """The request was not executed: status 503 or 429, or beyond the rate that this client keeps to."""
 
 
 class RateLimitedError(StoreUnavailableError):
@@ -105,16 +105,16 @@
 
     async def get(self, key: str) -> messages.KeyValue | None:
         """Return the key with its value, None if it does not exist."""
-        answer = await self._call("GET", f"/store/{key}")
-        if answer.status == 404:
+        response = await self._call("GET", f"/store/{key}")
+        if response.status == 404:
             return None
-        return _decode(answer, messages.KeyValue)
+        return _decode(response, messages.KeyValue)
 
     async def read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
         """Return the first keys under a prefix, or those that follow `after`."""
         since = "" if after is None else f"&since={quote(after, safe='/')}"
-        answer = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={page_size}")
-        return _decode(answer, messages.RangePage)
+        response = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={page_size}")
+        return _decode(response, messages.RangePage)
 
     async def compare_and_swap(
         self,
@@ -127,31 +127,31 @@
         Raises ConflictError if one does not hold, RejectedTransactionError if the store never takes this transaction.
         """
         transaction = messages.Transaction(list(comparisons), list(operations))
-        answer = await self._call("POST", "/txn", msgspec.to_builtins(transaction), timeout)
-        if answer.status == 409:
-            raise ConflictError(_decode(answer, messages.Conflict, 409).failed)
-        if answer.status == 400:
-            raise RejectedTransactionError(str(answer.body))
-        return _decode(answer, messages.Revision).revision
+        response = await self._call("POST", "/txn", msgspec.to_builtins(transaction), timeout)
+        if response.status == 409:
+            raise ConflictError(_decode(response, messages.Conflict, 409).failed)
+        if response.status == 400:
+            raise RejectedTransactionError(str(response.body))
+        return _decode(response, messages.Revision).revision
 
     async def grant_lease(self, ttl: timedelta) -> int:
         """Return the number of a new lease that ends `ttl` after its last renewal."""
-        answer = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
-        return _decode(answer, messages.LeaseGrant).lease_id
+        response = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
+        return _decode(response, messages.LeaseGrant).lease_id
 
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         """Renew a lease. Raises ExpiredError if it has ended."""
         # Renewals are not held to the rate: everything else leaves room for them.
-        answer = await self._send("POST", f"/grants/{lease_id}/extend", {}, timeout)
-        if answer.status == 404:
+        response = await self._send("POST", f"/grants/{lease_id}/extend", {}, timeout)
+        if response.status == 404:
             raise ExpiredError(f"lease {lease_id}")
-        _require_status(answer, 200)
+        _require_status(response, 200)
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease, with all keys that expire with it; one that has ended already is no error."""
-        answer = await self._send("DELETE", f"/grants/{lease_id}", None, REQUEST_TIMEOUT)
-        if answer.status != 404:
-            _require_status(answer, 200)
+        response = await self._send("DELETE", f"/grants/{lease_id}", None, REQUEST_TIMEOUT)
+        if response.status != 404:
+            _require_status(response, 200)
 
     async def watch(self, prefix: str, since: int, block: timedelta) -> messages.WatchEvents:
         """Return what changed under a prefix after revision `since`, as soon as something has or `block` is over.
@@ -160,10 +160,10 @@
         """
         ms = round(block.total_seconds() * 1000)
         path = f"/watch?starts={prefix}&since={since}&block_ms={ms}"
-        answer = await self._call("GET", path, None, block + REQUEST_TIMEOUT)
-        if answer.status == 410:
+        response = await self._call("GET", path, None, block + REQUEST_TIMEOUT)
+        if response.status == 410:
             raise ExpiredError("watch")
-        return _decode(answer, messages.WatchEvents)
+        return _decode(response, messages.WatchEvents)
 
     async def _call(
         self, method: str, path: str, body: Any = None, timeout: timedelta = REQUEST_TIMEOUT
@@ -175,32 +175,32 @@
     async def _send(self, method: str, path: str, body: Any, timeout: timedelta) -> ClientResponse:
         began = self._observer.begin() if self._observer is not None else None
         try:
-            answer = await self._caller.call(method, path, body, timeout=timeout)
+            response = await self._caller.call(method, path, body, timeout=timeout)
         except NoResponseError as error:
             raise UnknownOutcomeError(str(error)) from error
         if self._observer is not None and began is not None:
-            if answer.status in (429, 503):
+            if response.status in (429, 503):
                 self._observer.hear()
             else:
                 self._observer.confirm(began)
-        if answer.status == 429:
+        if response.status == 429:
             self._requests.drain()
-            raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {answer.body}")
-        if answer.status == 503:
-            raise StoreUnavailableError(f"{method} {path.split('?')[0]}: {answer.status}")
-        return answer
+            raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {response.body}")
+        if response.status == 503:
+            raise StoreUnavailableError(f"{method} {path.split('?')[0]}: {response.status}")
+        return response
 
 
-def _require_status(answer: ClientResponse, expected: int) -> None:
-    if answer.status != expected:
-        log.error("the key-value store sent unexpected status %s: %s", answer.status, answer.body)
-        raise UnknownOutcomeError(f"status {answer.status}")
+def _require_status(response: ClientResponse, expected: int) -> None:
+    if response.status != expected:
+        log.error("the key-value store sent unexpected status %s: %s", response.status, response.body)
+        raise UnknownOutcomeError(f"status {response.status}")
 
 
-def _decode(answer: ClientResponse, kind: type[T], status: int = 200) -> T:
-    _require_status(answer, status)
+def _decode(response: ClientResponse, kind: type[T], status: int = 200) -> T:
+    _require_status(response, status)
     try:
-        return msgspec.convert(answer.body, kind)
+        return msgspec.convert(response.body, kind)
     except msgspec.ValidationError as error:
         log.error("the key-value store sent a malformed response: %s", error)
         raise UnknownOutcomeError(str(error)) from error
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -137,7 +137,7 @@
         return page
 
     def release(self, page: RecordPage) -> None:
-        """Free an allocated page that surely was not and will not be written."""
+        """Free an allocated page that was not written and never will be."""
         self._allocated.discard(page.key)
         self._free.append(page)
 
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -78,7 +78,7 @@
         self.changed.set()
 
     def requeue(self, writes: Iterable[PendingWrite]) -> None:
-        """Let writes wait again that surely were not and will not be carried out."""
+        """Let writes wait again whose transaction was not executed and never will be."""
         for write in writes:
             newer = self.pending.get(write.key)
             if newer is None:
@@ -107,7 +107,7 @@
         )
 
     def remove(self, write: PendingWrite) -> None:
-        """Drop a waiting write that needs no transaction, or can't have one."""
+        """Remove a waiting write that needs no transaction, or can't have one."""
         del self.pending[write.key]
 
     def start(self, write: PendingWrite) -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -49,10 +49,10 @@
         assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
 
     world = day(script, machines=0, controllers=5)
-    assert not any(key.startswith("d/") for slot in slots_of(world) for key in slot)
+    assert not any(key.startswith("d/") for page in record_keys_by_page(world) for key in page)
 
 
-def slots_of(world: World) -> list[list[str]]:
+def record_keys_by_page(world: World) -> list[list[str]]:
     return [list(json.loads(value["text"])) for key, (value, _, _) in world.store.items.items() if key[:2] == "s/"]
 
 
--- a/tests/world/earlier.py
+++ b/tests/world/earlier.py
@@ -104,15 +104,15 @@
 
 
 def newest(store: dict[str, Any]) -> dict[str, Any]:
-    """The newest version of each record, of the slot with the highest number that has one."""
+    """The newest version of each record, of the page with the highest number that has one."""
     found: dict[str, tuple[int, Any]] = {}
     for key, value in store.items():
         if not key.startswith("s/"):
             continue
-        slot = fields(key, value, {"number": int, "text": str}, {"number", "text"})
-        for name, record in json.loads(slot["text"]).items():
-            if name not in found or found[name][0] < slot["number"]:
-                found[name] = (slot["number"], record)
+        page = fields(key, value, {"number": int, "text": str}, {"number", "text"})
+        for name, record in json.loads(page["text"]).items():
+            if name not in found or found[name][0] < page["number"]:
+                found[name] = (page["number"], record)
     return {name: record for name, (_, record) in found.items() if record is not None}
 
 
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -139,8 +139,8 @@
         return answer
 
     def _fence_stands(self) -> bool:
-        slots = [value["text"] for key, (value, _, _) in self._world.store.items.items() if key.startswith("s/")]
-        return any(f'"{FENCE}"' in text for text in slots)
+        pages = [value["text"] for key, (value, _, _) in self._world.store.items.items() if key.startswith("s/")]
+        return any(f'"{FENCE}"' in text for text in pages)
 
     def _level_written(self, before: int, level: int) -> None:
         self.activations.append(self._world.loop.now)
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -2,7 +2,7 @@
 
     PYTHONPATH=src:. python -m tools.measure_levels [--machines 600] [--value-kb 2]
 
-The same load runs on the first level and on the second. It prints what the transactions carried, the slots
+The same load runs on the first level and on the second. It prints what the transactions carried, the pages
 that stand in the end, and what a new leader's load took.
 """
 
@@ -46,7 +46,7 @@
     def noting(body: Any) -> Any:
         for change in body.get("then", []):
             if change.get("put", "").startswith("s/"):
-                counts["slots written"] += 1
+                counts["pages written"] += 1
                 counts["bytes in them"] += len(change["value"]["text"])
                 for key, record in json.loads(change["value"]["text"]).items():
                     if key[:2] in sizes and record is not None:
@@ -61,7 +61,7 @@
 
     async def script() -> None:
         await submit_jobs(world, level, machines)
-        counts["slots in the end"] = sum(key.startswith("s/") for key in world.store.items)
+        counts["pages in the end"] = sum(key.startswith("s/") for key in world.store.items)
         # The load runs alone: no worker reports meanwhile.
         world.cut_nodes = set(world.nodes)
         world.kill(world.leader.api._node)  # type: ignore[union-attr]
