--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -101,7 +101,7 @@
     day(script, before=begin_old, controllers=2)
 
 
-def test_records_that_larger_values_took_stay_readable_and_can_be_ended() -> None:
+def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
     names = [f"type-{number:04d}-of-some-length" for number in range(99)]
 
     async def script(world: World) -> None:
@@ -132,7 +132,7 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_a_machine_holds_what_its_record_really_takes() -> None:
+def test_machine_is_filled_as_far_as_the_actual_size_of_its_record_allows() -> None:
     """A bound by the longest names and numbers would leave large machines half empty at 2 KiB."""
 
     async def script(world: World) -> None:
@@ -151,7 +151,7 @@
     day(script, machines=0, before=before)
 
 
-def test_machine_types_that_are_more_than_a_value_stand_in_parts() -> None:
+def test_machine_types_larger_than_a_value_are_stored_in_parts() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What stands in the store: an earlier layout is taken over, what can't be read is named."""
+"""Loading the store: an earlier layout is migrated, unreadable records are named, many jobs cause no delay."""
 
 import asyncio
 from typing import Any
@@ -19,7 +19,7 @@
     world.store.items[key] = (value, world.store.revision, None)
 
 
-def test_store_of_the_earlier_layout_is_taken_over_once() -> None:
+def test_store_of_the_earlier_layout_is_migrated_once() -> None:
     async def script(world: World) -> None:
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
         assert await world.poll("run-000002") == "done"
@@ -58,7 +58,7 @@
         ({"number": 1, "text": '{"m/m-000001":{"build":"small"}}'}, "m/m-000001"),
     ],
 )
-def test_what_cannot_be_read_is_named_and_never_taken_for_empty(value: Any, named: str) -> None:
+def test_unreadable_records_are_named_and_never_treated_as_empty(value: Any, named: str) -> None:
     world = World()
     put(world, "s/0000", value)
 
@@ -71,14 +71,14 @@
             assert response.status == 503 and response.retry_after is not None
         assert world.store.items["s/0000"][0] == value
 
-    with errors_logged() as told:
+    with errors_logged() as lines:
         play(main(), world.loop)
-    assert told and all(named in line for line in told)
-    # Nor do the nodes wear the store out with trying.
-    assert len(told) < 30
+    assert lines and all(named in line for line in lines)
+    # Nor do the nodes overload the store with attempts.
+    assert len(lines) < 30
 
 
-def test_thousands_of_finished_jobs_hold_up_no_new_leader() -> None:
+def test_thousands_of_finished_jobs_delay_no_new_leader() -> None:
     """Their ends are kept for ever: a fail-over loads them all, and every job is answered for at once."""
     count = 4000
 
