--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,89 @@
+"""The pages name files and code that exist."""
+
+import ast
+import re
+from functools import cache
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parent.parent
+PACKAGE = ROOT / "src" / "elmthread"
+PAGES = (
+    "architecture.md",
+    "design.md",
+    "glossary.md",
+    "meetings.md",
+    "operations.md",
+    "reachability-design.md",
+    "rollout-design.md",
+)
+QUOTED = re.compile(r"`([^`\n]+)`")
+FILE = re.compile(r"[\w/.-]+\.(py|toml|json|md)")
+FOLDER = re.compile(r"[\w/.-]+/")
+CLASS = re.compile(r"([A-Z][a-z]\w*)(?:\.(\w+))?(?:\(.*\))?")
+CONSTANT = re.compile(r"_?[A-Z][A-Z_]+[A-Z]")
+# Files that operators write, keys of the store, and environment variables.
+NOT_IN_THE_REPOSITORY = {"settings.toml", "LOG_LEVEL", "NODE", "KNOWN-RED.txt", "rollout/", "target/app"}
+
+
+@cache
+def names_of_classes() -> dict[str, set[str]]:
+    """By class, in the sources and tests, the names of its members."""
+    found: dict[str, set[str]] = {}
+    for path in (*PACKAGE.rglob("*.py"), *(ROOT / "tests").rglob("*.py"), *(ROOT / "tools").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ClassDef):
+                found.setdefault(node.name, set()).update(members(node))
+    return found
+
+
+def members(node: ast.ClassDef) -> set[str]:
+    names: set[str] = set()
+    for part in ast.walk(node):
+        if isinstance(part, ast.FunctionDef | ast.AsyncFunctionDef):
+            names.add(part.name)
+        elif isinstance(part, ast.Name) and isinstance(part.ctx, ast.Store):
+            names.add(part.id)
+        elif isinstance(part, ast.Attribute) and isinstance(part.ctx, ast.Store):
+            names.add(part.attr)
+    return names
+
+
+@cache
+def constants() -> set[str]:
+    """Names in capitals that the sources or tests give a value."""
+    found: set[str] = set()
+    for path in (*PACKAGE.rglob("*.py"), *(ROOT / "tests").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store):
+                found.add(node.id)
+    return found
+
+
+def is_known(quoted: str) -> bool:
+    if quoted in NOT_IN_THE_REPOSITORY:
+        return True
+    if FILE.fullmatch(quoted) or FOLDER.fullmatch(quoted):
+        places = (ROOT, PACKAGE, ROOT / "docs", ROOT / "deploy", ROOT / "tests")
+        return any((place / quoted).exists() for place in places)
+    if CONSTANT.fullmatch(quoted):
+        return quoted in constants()
+    named = CLASS.fullmatch(quoted)
+    if named is None:
+        return True
+    owner, member = named.groups()
+    classes = names_of_classes()
+    return owner in classes and (member is None or member in classes[owner])
+
+
+@pytest.mark.parametrize("page", PAGES)
+def test_files_and_names_in_a_page_exist(page: str) -> None:
+    text = (ROOT / "docs" / page).read_text()
+    assert [quoted for quoted in QUOTED.findall(text) if not is_known(quoted)] == []
+
+
+def test_the_architecture_page_names_every_package() -> None:
+    text = (ROOT / "docs" / "architecture.md").read_text()
+    packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
+    assert {package for package in packages if f"`{package}/`" not in text} == set()
