--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -12,8 +12,9 @@
 from elmthread.common.load import OverloadControl, WorkClass
 from elmthread.leadership.election import Election
 from elmthread.net.http import UNSURE, MalformedBodyError, Request, Response, again, decode
-from elmthread.peers.link import Peers, PeerUnreachableError
-from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
+from elmthread.peers.connection import PeerUnreachableError
+from elmthread.peers.messages import CONFIRM_NO_LATER_TERM, GET_PROCESS, ForwardedRequest, ForwardedResponse
+from elmthread.peers.network import PeerNetwork
 from elmthread.rollout.gate import CompatibilityGate
 from elmthread.workers.messages import HEARTBEAT_PATH
 
@@ -30,12 +31,6 @@
 # back, and a node taken out of service would be missing for a while after the trouble ends.
 VACANT = seconds(60)
 
-# Not a user's question: whether nobody here has won since the asker's term began. An earlier
-# version does not know it and confirms nothing.
-NO_LATER_TERM = "vouch"
-# Neither a user's: which process of its node this is. An earlier version refuses the question.
-WHICH_PROCESS = "process"
-
 TOO_MUCH = again(429, seconds(2), "too much to do")
 
 HeartbeatHandler = Callable[[Request], Awaitable[Response]]
@@ -46,7 +41,7 @@
         self,
         node: str,
         election: Election,
-        peers: Peers,
+        peers: PeerNetwork,
         clock: Clock,
         intake: Callable[[], JobService | None],
         heartbeat: HeartbeatHandler,
@@ -85,7 +80,7 @@
             return again(503, SOON, "not admitted")
         leader = self._election.leader
         now = self._clock()
-        if self._intake() is not None or (leader is not None and self._peers.reaches(leader)):
+        if self._intake() is not None or (leader is not None and self._peers.is_connected(leader)):
             self._served_at = now
             self._ever = True
         other = leader is not None and leader != self._node
@@ -124,7 +119,7 @@
         asked = self._clock()
         ask.fencing_token = self._election.highest_seen_token
         try:
-            reply = await self._peers.ask(leader, ask, ASK_TIME[ask.verb])
+            reply = await self._peers.request(leader, ask, ASK_TIME[ask.verb])
         except PeerUnreachableError:
             return self._elsewhere("the leader does not answer")
 
@@ -174,13 +169,13 @@
 
     async def answer(self, ask: ForwardedRequest) -> ForwardedResponse:
         """A question that came over the peer link, for the term that the asker knows."""
-        if ask.verb == NO_LATER_TERM:
+        if ask.verb == CONFIRM_NO_LATER_TERM:
             return ForwardedResponse(
                 ask.number,
                 200 if self._election.has_won_no_later_term(ask.fencing_token) else 503,
                 fencing_token=ask.fencing_token,
             )
-        if ask.verb == WHICH_PROCESS:
+        if ask.verb == GET_PROCESS:
             return ForwardedResponse(ask.number, 200, {"process": self._gate.process}, fencing_token=ask.fencing_token)
         intake = self._intake()
         if ask.verb in KINDS and self._load.rejects(KINDS[ask.verb]):
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -1,267 +1,212 @@
 """One controller: what every node runs, whoever leads."""
 
 import asyncio
-import logging
+from dataclasses import dataclass
 
 import msgspec
 
-from elmthread.api.routes import NO_LATER_TERM, WHICH_PROCESS, RequestRouter
-from elmthread.api.service import JobService
-from elmthread.common.clock import Clock, seconds, steady
+from elmthread.api.routes import RequestRouter
+from elmthread.common.clock import Clock, steady
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.common.load import OverloadControl
 from elmthread.leader import Leader, NodeServices
-from elmthread.leadership.election import Election, Role
+from elmthread.leader_runner import LeaderRunner
+from elmthread.leadership.election import Election, ElectionSettings
+from elmthread.leadership.grace_period import GracePeriodExtension
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.limits import (
-    LEADERS_PART,
-    LEASE,
-    OTHERS_PART,
-    SERVERS_PART,
-    WORKERS_PART,
-    holding_time,
-    users_at_once,
+    FOLLOWER_STORE_SHARE,
+    LEADER_LEASE,
+    grace_period,
+    max_comparisons,
+    max_server_connections,
+    max_waiting_requests,
+    max_worker_connections,
+    misdirected_window,
+    reachability_bounds,
 )
-from elmthread.machines.service import QUIET
-from elmthread.net.http import Caller, Client, ConnectionLimit, Request, Response, Server
-from elmthread.peers.link import Peers, PeerUnreachableError
+from elmthread.net.http import Caller, Client, ConnectionLimit, Server
+from elmthread.peers.connection import PeerAddress
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
-from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.reachability.service import Reachability
-from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError, Membership
+from elmthread.peers.network import PeerNetwork
+from elmthread.peers.requests import PeerRequests
+from elmthread.reachability.candidacy import ReachabilityCandidacy
+from elmthread.reachability.monitor import Reachability, ReachabilitySettings
+from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError
+from elmthread.rollout.membership import Membership
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform, split_address
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
-from elmthread.workers.messages import HEARTBEAT_PATH, names_leader
+from elmthread.workers.messages import HEARTBEAT_PATH
 
-log = logging.getLogger(__name__)
 
-# The state service lets a transaction compare this many keys for each change that it allows.
-GUARDS_FOR_EACH_CHANGE = 4
-# Another node says within this time whether it may have won.
-PEER_ANSWER_TIME = seconds(1)
-# A node that holds asks the others this often.
-CHECK_EVERY = seconds(0.5)
+@dataclass(frozen=True)
+class ControllerEnvironment:
+    """What a controller runs on; tests replace parts of it."""
+
+    clock: Clock = steady
+    # None: the endpoints of the platform.
+    store: Caller | None = None
+    cloud: Caller | None = None
+    peer_network: type[PeerNetwork] = PeerNetwork
+    # The compatibility levels of this program; tests stand in for other versions.
+    supported: SupportedLevels = SUPPORTED
 
 
 class Controller:
-    """All parts of one process, joined."""
+    """All parts of one process; to the other controllers, a `peers.handler.PeerMessageHandler`."""
 
     def __init__(
-        self,
-        platform: Platform,
-        operators: Operators,
-        clock: Clock = steady,
-        state: Caller | None = None,
-        cloud: Caller | None = None,
-        peers: type[Peers] = Peers,
-        supported: SupportedLevels = SUPPORTED,
+        self, platform: Platform, operators: Operators, environment: ControllerEnvironment | None = None
     ) -> None:
-        """`supported` are the compatibility levels of this program; tests stand in for other versions."""
+        """Make all parts; `run` starts them."""
+        environment = environment or ControllerEnvironment()
         self._platform = platform
         self._operators = operators
-        self._clock = clock
-        facts = platform.facts
-        # A follower needs little of the state service's rate; a leader takes its own part.
-        self._store_rps = facts.state.kept().rps
-        self._requests = TokenBucket(self._store_rps * OTHERS_PART, self._store_rps * OTHERS_PART, clock)
-        links = {other.node: split_address(other.address) for other in platform.others}
-        self.peers = peers(
-            links,
-            self._answer,
-            self.hear,
-            self._say,
-            users_at_once(platform),
-        )
+        self._environment = environment
+        self.clock = environment.clock
         self._features = ActiveFeatures()
-        self.reachability = Reachability(
-            platform.node,
-            [other.node for other in platform.others],
-            ReachabilityBounds(LEASE, facts.workers.heartbeat_interval, facts.workers.lease),
-            clock,
-            self._features,
-            facts.workers.lease * QUIET,
-            self.peers,
+        self.peers = self._make_peer_network()
+        self._features.on_change(self.peers.announce)
+        self._peer_requests = PeerRequests(self.peers)
+        self.reachability = self._make_reachability()
+        store_rps = platform.facts.state.kept().rps * FOLLOWER_STORE_SHARE
+        store_requests = TokenBucket(store_rps, store_rps, self.clock)
+        self.store = KeyValueStore(
+            environment.store or Client(platform.endpoints.state), store_requests, self.reachability.store
         )
-        self._state = KeyValueStore(state or Client(platform.endpoints.state), self._requests, self.reachability.store)
-        self._cloud = cloud or Client(platform.endpoints.cloud)
-        members = platform.members
-        gate = CompatibilityGate(
-            Membership(platform.node, members), supported, operators.rollout, self._state, self._refused
+        self.rollout = self._make_rollout()
+        self.load = OverloadControl(self.clock)
+        self.election = self._make_election()
+        self.leader_runner = LeaderRunner(self._make_node_services(), store_requests, self.peers)
+        self.election.add_listener(self.leader_runner)
+        self._grace_period_extension = GracePeriodExtension(
+            self.election, [other.node for other in platform.others], self._peer_requests, self.clock
         )
-        self.rollout = RolloutContext(
+        self.api = self._make_api()
+        self.server = self._make_server()
+
+    # Making the parts
+
+    def _make_peer_network(self) -> PeerNetwork:
+        addresses = [PeerAddress(other.node, *split_address(other.address)) for other in self._platform.others]
+        return self._environment.peer_network(addresses, self, max_waiting_requests(self._platform))
+
+    def _make_reachability(self) -> Reachability:
+        platform = self._platform
+        settings = ReachabilitySettings(
             platform.node,
-            members,
-            supported,
-            operators.rollout,
-            gate,
-            self._features,
-            GUARDS_FOR_EACH_CHANGE * facts.state.kept().txn_ops,
-            self._process_of,
+            [other.node for other in platform.others],
+            reachability_bounds(platform),
+            misdirected_window(platform),
         )
-        self.election = Election(
-            platform.node,
-            self._state,
-            clock,
-            LEASE,
-            holding_time(platform),
-            self._won,
-            self._lost,
-            gate.wait_admitted,
-            self.reachability,
+        return Reachability(settings, self.clock, self._features, self.peers)
+
+    def _make_rollout(self) -> RolloutContext:
+        platform = self._platform
+        membership = Membership(platform.node, platform.members, self._environment.supported, self._operators.rollout)
+        gate = CompatibilityGate(membership, self.store, self._step_down_as_incompatible)
+        return RolloutContext(
+            membership, gate, self._features, max_comparisons(platform), self._peer_requests.get_process
         )
-        self.load = OverloadControl(clock)
-        self._features.on_change(self.peers.tell)
-        self.api = RequestRouter(
-            platform.node,
-            self.election,
-            self.peers,
-            clock,
-            self._intake,
-            self._heartbeat,
-            self.load,
-            gate,
+
+    def _make_election(self) -> Election:
+        settings = ElectionSettings(self._platform.node, LEADER_LEASE, grace_period(self._platform))
+        candidacy = ReachabilityCandidacy(self.rollout.gate, self.reachability)
+        return Election(settings, self.store, self.clock, candidacy)
+
+    def _make_node_services(self) -> NodeServices:
+        return NodeServices(
+            platform=self._platform,
+            operators=self._operators,
+            election=self.election,
+            store=self.store,
+            cloud=self._environment.cloud or Client(self._platform.endpoints.cloud),
+            clock=self.clock,
+            load=self.load,
+            reachability=self.reachability,
+            rollout=self.rollout,
         )
-        most = max(10, int(facts.limits.max_connections * SERVERS_PART))
-        workers = ConnectionLimit(HEARTBEAT_PATH, max(5, int(most * WORKERS_PART)), facts.workers.lease)
-        self.server = Server(self.api.handle, most, clock, workers)
-        self.leader: Leader | None = None
-        self._leading: asyncio.Task[None] | None = None
 
-    def _won(self, fencing_token: int) -> None:
-        self._requests.rate = self._requests.burst = self._store_rps * LEADERS_PART
-        services = NodeServices(
-            self._platform,
-            self._operators,
+    def _make_api(self) -> RequestRouter:
+        return RequestRouter(
+            self._platform.node,
             self.election,
-            self._state,
-            self._cloud,
-            self._clock,
+            self.peers,
+            self.clock,
+            self.leader_runner.job_service,
+            self.leader_runner.heartbeat,
             self.load,
-            self.reachability,
-            self.rollout,
+            self.rollout.gate,
         )
-        self.leader = Leader(services, fencing_token)
-        self.reachability.term = self.leader.reachability
-        self._leading = asyncio.get_running_loop().create_task(self._lead(self.leader))
-        self.peers.tell()
-
-    async def check_for_newer_terms(self) -> None:
-        """While this node holds: as long as all others confirm that they have not won, it may go on.
-
-        In an outage of the state service that is so for as long as it lasts, and no work is lost.
-        Where one of them can't be asked, the time of holding ends as it would without.
-        """
-        while True:
-            await asyncio.sleep(CHECK_EVERY.total_seconds())
-            if self.election.role is not Role.LEASE_UNCERTAIN:
-                continue
-            asked, fencing_token = self._clock(), self.election.fencing_token
-            asks = [self._confirms_no_later_term(other.node, fencing_token) for other in self._platform.others]
-            if all(await asyncio.gather(*asks)):
-                self.election.note_no_later_term(fencing_token, asked)
 
-    async def _process_of(self, node: str) -> str | None:
-        """The process that a node runs; None where its version has no name for it. Raises PeerUnreachableError."""
-        reply = await self.peers.ask(node, ForwardedRequest(0, WHICH_PROCESS, ""), PEER_ANSWER_TIME)
-        return (reply.body or {}).get("process") if reply.status == 200 else None
+    def _make_server(self) -> Server:
+        platform = self._platform
+        workers = ConnectionLimit(HEARTBEAT_PATH, max_worker_connections(platform), platform.facts.workers.lease)
+        return Server(self.api.handle, max_server_connections(platform), self.clock, workers)
 
-    async def _confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
-        try:
-            return (
-                await self.peers.ask(node, ForwardedRequest(0, NO_LATER_TERM, "", fencing_token), PEER_ANSWER_TIME)
-            ).status == 200
-        except PeerUnreachableError:
-            return False
+    # Leadership
 
-    async def _lead(self, leader: Leader) -> None:
-        try:
-            await leader.run()
-        except asyncio.CancelledError:
-            raise
-        except IncompatibleLevelError:
-            # The gate has told why, and has given up leadership.
-            pass
-        except Exception:
-            # A fault in one leader's work: another, with a view built anew, may fare better.
-            log.exception("the leader's work has failed")
-            leader.term.step_down("a fault")
+    @property
+    def leader(self) -> Leader | None:
+        """The leader's part, while this node leads."""
+        return self.leader_runner.leader
 
-    def _refused(self) -> None:
-        """This process can't read what others may write by now."""
-        self.election.step_down("the active level is not known here")
+    def _step_down_as_incompatible(self) -> None:
+        """End this node's term: it can't read what others may write by now."""
+        self.election.step_down(StepDownReason.INCOMPATIBLE_LEVEL)
 
-    def _lost(self) -> None:
-        self._requests.rate = self._requests.burst = self._store_rps * OTHERS_PART
-        if self.leader is not None:
-            self.leader.stop()
-        if self._leading is not None:
-            self._leading.cancel()
-        self.leader = self._leading = self.reachability.term = None
-        self.reachability.leading.clear()
-        self.peers.tell()
+    # Messages of the other controllers
 
-    def _intake(self) -> JobService | None:
-        if self.leader is not None and self.leader.loaded and self.election.holds_lease():
-            return self.leader.job_service
-        return None
+    async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
+        """Return the response to a request of another controller."""
+        return await self.api.answer(request)
 
-    async def _heartbeat(self, request: Request) -> Response:
-        leader = self.leader
-        if leader is None or not leader.loaded:
-            known = self.election.leader
-            other = None if known == self._platform.node else known
-            response = self.reachability.redirect(request, other, self.election.highest_seen_token)
-            if names_leader(response.body) or not await self.reachability.wait_to_lead():
-                return response
-            leader = self.leader
-            if leader is None:
-                return response
-        return await leader.heartbeat_handler.heartbeat(request)
+    def handle_announcement(self, announcement: LeaderAnnouncement) -> None:
+        """Note who leads as far as another controller knows, and what it says of its links."""
+        self.election.observe_term(announcement.fencing_token, announcement.leader)
+        if announcement.level is not msgspec.UNSET:
+            self._observe_level(announcement.level)
+        if announcement.node:
+            self.reachability.receive(announcement)
 
-    def hear(self, lead: LeaderAnnouncement) -> None:
-        """What another node says about who leads and who comes to it."""
-        self.election.observe_term(lead.fencing_token, lead.leader)
-        if lead.level is not msgspec.UNSET:
-            self._hear_level(lead.level)
-        if lead.node:
-            self.reachability.hear(lead)
-
-    def _hear_level(self, level: int) -> None:
+    def _observe_level(self, level: int) -> None:
         try:
             self.rollout.gate.check(level)
         except IncompatibleLevelError:
             return
-        self.rollout.features.learn(level)
-
-    async def _answer(self, ask: ForwardedRequest) -> ForwardedResponse:
-        return await self.api.answer(ask)
+        self._features.learn(level)
 
-    def _say(self) -> LeaderAnnouncement:
+    def make_announcement(self) -> LeaderAnnouncement:
+        """Return who leads as far as this controller knows, and the state of its links."""
         fencing_token = self.election.highest_seen_token
-        machines = len(self.leader.cluster.machines) if self.leader is not None else 0
-        lead = LeaderAnnouncement(
+        misdirected = self.reachability.misdirected.summarize(fencing_token)
+        announcement = LeaderAnnouncement(
             self.election.leader,
             fencing_token,
             self._platform.node,
-            *self.reachability.strays.strays(fencing_token),
-            machines,
+            misdirected.count,
+            misdirected.sample,
+            len(self.leader.cluster.machines) if self.leader is not None else 0,
         )
-        self.reachability.add_to(lead)
-        if self.leader is not None and self.rollout.features.is_active(Feature.LEVEL_IN_ANNOUNCEMENTS):
-            lead.level = self.rollout.features.level
-        return lead
+        self.reachability.add_view_to(announcement)
+        if self.leader is not None and self._features.is_active(Feature.LEVEL_IN_ANNOUNCEMENTS):
+            announcement.level = self._features.level
+        return announcement
+
+    # Running
 
     async def coordinate(self) -> None:
-        """All that this node does to take part: announces itself, stands, and asks about newer terms."""
+        """Take part in the cluster: announce this process, compete for leadership, extend the grace period."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.rollout.gate.run())
             group.create_task(self.election.run())
-            group.create_task(self.check_for_newer_terms())
+            group.create_task(self._grace_period_extension.run())
 
     async def run(self) -> None:
-        """Serves users, workers and the other controllers until it is cancelled."""
+        """Serve users, workers and the other controllers until cancelled."""
         platform = self._platform
         host, port = split_address(platform.listen)
         await self.server.start(host, port)
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -18,10 +18,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.leadership.election import Election
 from elmthread.leadership.term import Term
-from elmthread.limits import (
-    LEADERS_PART,
-    users_at_once,
-)
+from elmthread.limits import LEADER_STORE_SHARE, max_waiting_requests
 from elmthread.machines.client import CloudClient
 from elmthread.machines.service import MachineManager
 from elmthread.net.http import Caller
@@ -30,9 +27,10 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.service import Scheduler, SchedulerSettings
-from elmthread.reachability.census import Census
-from elmthread.reachability.service import Reachability, TermReachability
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.monitor import Reachability
+from elmthread.reachability.term import TermReachability
+from elmthread.reachability.zone_counts import ZoneCounts
+from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
@@ -45,12 +43,19 @@
 
 log = logging.getLogger(__name__)
 
-ROUND = seconds(0.1)
-GATHER = seconds(0.5)
-# Rounds of decisions that overload puts off at most, before one is made all the same.
-MOST_PUT_OFF = 20
-# A round of decisions that takes this long is told of in the log.
-SLOW = seconds(0.3)
+# Rounds gather the changes that come meanwhile.
+MIN_SCHEDULING_INTERVAL = seconds(0.1)
+MAX_SCHEDULING_INTERVAL = seconds(1)
+MIN_AUTOSCALING_INTERVAL = seconds(0.5)
+# Overload delays a round so often at most, before it is made all the same.
+MAX_OVERLOAD_DELAYS = 20
+# A round that takes longer is logged.
+SLOW_ROUND = seconds(0.3)
+# A pause is so many times as long as the round before it: most of the processor is left to everything else.
+PAUSE_PER_ROUND = 3
+# Of the cloud's request rate.
+CLOUD_RATE_SHARE = 0.9
+CLOUD_BURST_S = 1.5
 
 
 @dataclass(frozen=True)
@@ -60,7 +65,7 @@
     platform: Platform
     operators: Operators
     election: Election
-    state: KeyValueStore
+    store: KeyValueStore
     cloud: Caller
     clock: Clock
     load: OverloadControl
@@ -72,7 +77,7 @@
     """All that lives from winning the lease to losing it."""
 
     def __init__(self, node: NodeServices, fencing_token: int) -> None:
-        """Everything that one term has, on a state that is loaded by `run`."""
+        """Make everything that one term has; `run` loads the cluster state."""
         self._node = node
         self.term = Term(node.election, fencing_token)
         self.context = self._make_context()
@@ -96,18 +101,17 @@
         )
         self.scheduler = self._make_scheduler()
         self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
-        self.loaded = False
 
     def _make_context(self) -> TermContext:
         node = self._node
         limits = node.platform.facts.state.kept()
         pages = RecordPages(slot_bytes(limits.value_kb))
-        rate = limits.write_rps * LEADERS_PART
+        rate = limits.write_rps * LEADER_STORE_SHARE
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
         return TermContext(
             term=self.term,
-            store=node.state,
-            writer=RecordWriter(node.state, pages, self.term, write_limits, node.clock),
+            store=node.store,
+            writer=RecordWriter(node.store, pages, self.term, write_limits, node.clock),
             cluster=ClusterState(pages.most, machine_frame),
             events=ClusterEvents(),
             features=node.rollout.features,
@@ -116,18 +120,18 @@
 
     def _make_reachability(self) -> TermReachability:
         node, bounds = self._node, self._node.reachability.bounds
-        census = Census(self.cluster.machines, node.clock, bounds.heartbeat_timeout, node.clock())
-        return TermReachability(node.reachability, ZoneHealth(census, bounds, node.clock), self.context)
+        counts = ZoneCounts(self.cluster.machines, node.clock, bounds.heartbeat_timeout, node.clock())
+        return TermReachability(node.reachability, ZoneHealth(counts, bounds, node.clock), self.context)
 
     def _make_machine_manager(self) -> MachineManager:
         node, cloud = self._node, self._node.platform.facts.cloud
-        calls = TokenBucket(cloud.rps * 0.9, max(1.0, cloud.rps * 1.5), node.clock)
+        calls = TokenBucket(cloud.rps * CLOUD_RATE_SHARE, max(1.0, cloud.rps * CLOUD_BURST_S), node.clock)
         client = CloudClient(node.cloud, calls, cloud.list_lag, self.term.holds_lease)
-        return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zones)
+        return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zone_health)
 
     def _make_job_service(self) -> JobService:
         platform = self._node.platform
-        limits = RequestLimits(users_at_once(platform), platform.facts.workers.cancel)
+        limits = RequestLimits(max_waiting_requests(platform), platform.facts.workers.cancel)
         return JobService(self.context, self._factory, self.catalog, self.leases, limits)
 
     def _make_scheduler(self) -> Scheduler:
@@ -138,67 +142,72 @@
 
     # Running
 
+    @property
+    def loaded(self) -> bool:
+        """Whether the cluster state is loaded, so that users and workers can be served."""
+        return self._node.reachability.leader_ready.is_set()
+
     async def run(self) -> None:
-        """Loads the view, then serves until the term ends. Raises what the load raises."""
+        """Load the cluster state, then serve until the term ends. Raises what the load raises."""
         rollout = TermRollout(self._node.rollout, self.context)
         loader = StateLoader(self.context, self._factory, self.catalog, self._completions, rollout)
         await loader.load()
-        self.loaded = True
-        self._node.reachability.leading.set()
+        self._node.reachability.leader_ready.set()
         self._events.notify_changed()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.writer.run())
             group.create_task(self.machine_manager.run())
-            group.create_task(self._place())
-            group.create_task(self._size())
+            group.create_task(self._schedule())
+            group.create_task(self._autoscale())
             group.create_task(self.reachability.run())
             group.create_task(rollout.run())
 
-    async def _place(self) -> None:
-        """A round after each change, though not too often: rounds gather what came meanwhile."""
+    async def _schedule(self) -> None:
+        """Run a scheduling round after each change, though not too often."""
         while True:
-            try:
-                async with asyncio.timeout(1):
-                    await self._events.changed.wait()
-            except TimeoutError:
-                pass
+            await _wait_for(self._events.changed, MAX_SCHEDULING_INTERVAL)
             self._events.changed.clear()
-            await self._time_to_decide()
+            await self._wait_while_overloaded()
             began = self._node.clock()
             if self.term.holds_lease():
                 self.scheduler.run_round()
-            await asyncio.sleep(self._pause(ROUND, began))
-
-    async def _time_to_decide(self) -> None:
-        """Decisions wait while there is not even time for answers, though not for ever."""
-        for _ in range(MOST_PUT_OFF):
-            if not self._node.load.rejects(WorkClass.DECIDING):
-                return
-            await asyncio.sleep(ROUND.total_seconds())
+            await self._pause(MIN_SCHEDULING_INTERVAL, began)
 
-    def _pause(self, least: timedelta, began: timedelta) -> float:
-        """However much there is to decide, most of the processor is left to everything else."""
-        took = self._node.clock() - began
-        if took > SLOW:
-            log.info("a round of decisions took %.2f s", took.total_seconds())
-        return max(least, took * 3).total_seconds()
-
-    async def _size(self) -> None:
+    async def _autoscale(self) -> None:
+        """Run an autoscaling round at intervals, and soon after machines could not be had."""
         while True:
             self._events.capacity_short.clear()
-            await self._time_to_decide()
+            await self._wait_while_overloaded()
             began = self._node.clock()
             if self.term.holds_lease():
                 self.autoscaler.run_round()
-            await asyncio.sleep(self._pause(GATHER, began))
-            try:
-                async with asyncio.timeout(self._node.operators.check.total_seconds()):
-                    # What comes together is judged together.
-                    await self._events.capacity_short.wait()
-            except TimeoutError:
-                pass
+            await self._pause(MIN_AUTOSCALING_INTERVAL, began)
+            await _wait_for(self._events.capacity_short, self._node.operators.check)
+
+    async def _wait_while_overloaded(self) -> None:
+        """Delay decisions while there is not even time for responses, though not for ever."""
+        for _ in range(MAX_OVERLOAD_DELAYS):
+            if not self._node.load.rejects(WorkClass.DECIDING):
+                return
+            await asyncio.sleep(MIN_SCHEDULING_INTERVAL.total_seconds())
+
+    async def _pause(self, shortest: timedelta, began: timedelta) -> None:
+        """Pause after a round that began then, the longer the longer it took."""
+        took = self._node.clock() - began
+        if took > SLOW_ROUND:
+            log.info("a round of decisions took %.2f s", took.total_seconds())
+        await asyncio.sleep(max(shortest, took * PAUSE_PER_ROUND).total_seconds())
 
     def stop(self) -> None:
-        """Ends what is under way; nothing more is written or asked of the cloud."""
+        """End what is under way; nothing more is written or requested of the cloud."""
         self.writer.stop()
         self.machine_manager.stop()
+
+
+async def _wait_for(event: asyncio.Event, timeout: timedelta) -> None:
+    """Return once the event is set, at the latest after the timeout."""
+    try:
+        async with asyncio.timeout(timeout.total_seconds()):
+            await event.wait()
+    except TimeoutError:
+        pass
--- /dev/null
+++ b/src/elmthread/leader_runner.py
@@ -0,0 +1,84 @@
+"""Runs a leader for each term that this node wins."""
+
+import asyncio
+import logging
+
+from elmthread.api.service import JobService
+from elmthread.leader import Leader, NodeServices
+from elmthread.leadership.step_down import StepDownReason
+from elmthread.limits import FOLLOWER_STORE_SHARE, LEADER_STORE_SHARE
+from elmthread.net.http import Request, Response
+from elmthread.reachability.monitor import PeerConnections
+from elmthread.rollout.gate import IncompatibleLevelError
+from elmthread.store.pacing import TokenBucket
+
+log = logging.getLogger(__name__)
+
+
+class LeaderRunner:
+    """Begins and ends this node's terms; a `leadership.election.LeadershipListener`."""
+
+    def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
+        """`store_requests` paces this node's requests to the key-value store: a leader has a larger share of them."""
+        self.services = services
+        self._store_requests = store_requests
+        self._peers = peers
+        self.leader: Leader | None = None
+        self.task: asyncio.Task[None] | None = None
+
+    def on_elected(self, fencing_token: int) -> None:
+        """Begin the term of that token."""
+        self._set_store_share(LEADER_STORE_SHARE)
+        self.leader = Leader(self.services, fencing_token)
+        self.services.reachability.term = self.leader.reachability
+        self.task = asyncio.get_running_loop().create_task(self._run(self.leader))
+        self._peers.announce()
+
+    def on_lost(self) -> None:
+        """End the present term: nothing more is done under its token."""
+        self._set_store_share(FOLLOWER_STORE_SHARE)
+        if self.leader is not None:
+            self.leader.stop()
+        if self.task is not None:
+            self.task.cancel()
+        reachability = self.services.reachability
+        self.leader = self.task = reachability.term = None
+        reachability.leader_ready.clear()
+        self._peers.announce()
+
+    async def _run(self, leader: Leader) -> None:
+        try:
+            await leader.run()
+        except asyncio.CancelledError:
+            raise
+        except IncompatibleLevelError:
+            # The gate has logged why, and has ended the term.
+            pass
+        except Exception:
+            # Another leader, with a cluster state that is loaded anew, may not meet the fault.
+            log.exception("the leader's work has failed")
+            leader.term.step_down(StepDownReason.FAULT)
+
+    def _set_store_share(self, share: float) -> None:
+        rate = self.services.platform.facts.state.kept().rps * share
+        self._store_requests.rate = self._store_requests.burst = rate
+
+    def job_service(self) -> JobService | None:
+        """Return the leader's job service, while this node leads on a loaded cluster state and a certain lease."""
+        if self.leader is not None and self.leader.loaded and self.services.election.holds_lease():
+            return self.leader.job_service
+        return None
+
+    async def heartbeat(self, request: Request) -> Response:
+        """Return the leader's response to a worker, or a redirection to the leader."""
+        leader = self.leader
+        if leader is None or not leader.loaded:
+            election, reachability = self.services.election, self.services.reachability
+            other = None if election.leader == self.services.platform.node else election.leader
+            redirection = reachability.redirect(request, other, election.highest_seen_token)
+            if redirection.leader is not None or not await reachability.wait_to_lead():
+                return redirection.response()
+            leader = self.leader
+            if leader is None:
+                return redirection.response()
+        return await leader.heartbeat_handler.heartbeat(request)
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -1,9 +1,9 @@
 """The leader's lease: won by one transaction, renewed, and given up in time.
 
-The leader key hangs on a grant of the state service. A grant never ends early, so this
+The leader key is attached to a lease of the key-value store. A lease never expires early, so this
 node may lead until `ttl` after it SENT the last renewal that was answered, less drift.
-After that it may for a bounded while go on answering workers (HOLDING), to keep their
-tasks alive through an outage of the state service. Every new leader waits that while out
+After that it may for a bounded grace period go on answering workers (LEASE_UNCERTAIN), to keep their
+tasks alive through an outage of the store. Every new leader waits for the end of that period
 before it takes a machine that has not reported for empty.
 """
 
@@ -11,15 +11,18 @@
 import logging
 import random
 import secrets
-from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from datetime import timedelta
-from enum import Enum, auto
 from typing import Protocol
 
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
 from elmthread.common.states import step
+from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
+from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
+from elmthread.leadership.role import ROLE_STEPS, Role
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.store import messages
 from elmthread.store.client import (
     ConflictError,
@@ -33,147 +36,119 @@
 
 log = logging.getLogger(__name__)
 
-# Time between a check of the lease and the moment an answer leaves.
-MARGIN = seconds(0.15)
-RETRY = seconds(0.3)
-WATCH = seconds(10)
+# Time between a check of the lease and the moment at which a response leaves.
+RESPONSE_MARGIN = seconds(0.15)
+RETRY_INTERVAL = seconds(0.3)
+WATCH_TIMEOUT = seconds(10)
+# Two nodes that become candidates at once both spend a change of the store.
+MAX_CANDIDACY_JITTER_S = 0.05
+# A lease is renewed so many times while it lasts.
+RENEWALS_PER_LEASE = 5
+RENEWAL_TIMEOUTS_PER_LEASE = 3
+LEADER_PAGE_SIZE = 10
 
 
-class Role(Enum):
-    """What this node is."""
+class LeadershipListener(Protocol):
+    """Who acts on the beginning and the end of this node's terms."""
 
-    FOLLOWER = auto()
-    LEADING = auto()
-    LEASE_UNCERTAIN = auto()
+    def on_elected(self, fencing_token: int) -> None:
+        """Begin the term of that token."""
 
+    def on_lost(self) -> None:
+        """End the present term: nothing more may be done under its token."""
 
-ROLE_STEPS = {
-    Role.FOLLOWER: frozenset({Role.LEADING}),
-    Role.LEADING: frozenset({Role.LEASE_UNCERTAIN, Role.FOLLOWER}),
-    Role.LEASE_UNCERTAIN: frozenset({Role.LEADING, Role.FOLLOWER}),
-}
 
-
-class StandingPolicy(Protocol):
-    """What keeps a node from standing for a while, though leadership is vacant."""
-
-    def wait_before_standing(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
-        """How long to leave leading to others; `fencing_token` is that of the last term that is known."""
-
-    def term_ended(self) -> None:
-        """A term of this node has ended before its process did."""
-
-    def watch_time(self, usual: timedelta) -> timedelta:
-        """How long a follower waits for news before it asks again."""
-
-
-class StandAtOnce:
-    """Nothing keeps the node from standing."""
-
-    def wait_before_standing(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
-        """No wait."""
-        return ZERO
-
-    def term_ended(self) -> None:
-        """Nothing is remembered."""
-
-    def watch_time(self, usual: timedelta) -> timedelta:
-        """The usual time."""
-        return usual
-
-
-class LeaderRecord(msgspec.Struct, rename={"lease_id": "hold"}):
-    """The value of the leader key."""
+@dataclass(frozen=True)
+class ElectionSettings:
+    """The node that takes part, and the times of its terms."""
 
     node: str
-    nonce: str
-    lease_id: int
+    # The duration of the leader's lease.
+    ttl: timedelta
+    # How long workers may be answered on a lease that is no longer certain.
+    grace_period: timedelta
 
 
 class Election:
-    """Stands for leader, keeps the lease and gives it up; one for each process."""
+    """Compete for leadership, keep the lease and give it up; one for each process."""
 
     def __init__(
         self,
-        node: str,
-        client: KeyValueStore,
+        settings: ElectionSettings,
+        store: KeyValueStore,
         clock: Clock,
-        ttl: timedelta,
-        holding: timedelta,
-        won: Callable[[int], None],
-        lost: Callable[[], None],
-        wait_admitted: Callable[[], Awaitable[None]] | None = None,
-        standing: StandingPolicy | None = None,
+        candidacy: CandidacyPolicy | None = None,
     ) -> None:
-        """`wait_admitted` returns once this process may stand at all; `standing` says when it does."""
-        self._standing = standing or StandAtOnce()
-        self._wait_admitted = wait_admitted
-        self._node = node
-        self._client = client
+        """Begin as a follower; `candidacy` says when this node may be a candidate."""
+        self.settings = settings
+        self._node = settings.node
+        self._store = store
         self._clock = clock
-        self.ttl = ttl
-        self.grace_period = holding
-        self._won = won
-        self._lost = lost
+        self._listeners: list[LeadershipListener] = []
+        self._candidacy = candidacy or UnrestrictedCandidacy()
         self.role = Role.FOLLOWER
         self.fencing_token = 0
-        # The newest leadership heard of, by the store, a peer or a worker.
+        # The newest term that the store, another controller or a worker has told of.
         self.highest_seen_token = 0
         self.leader: str | None = None
-        self._sure_until = ZERO
+        self._lease_certain_until = ZERO
         # The last moment at which, as far as the others confirm it, nobody else had won.
         self._no_later_term_at = ZERO
-        # The last term that this very process has found in the store or won, and whether it stands.
-        self._found_fencing_token = 0
-        self._stands = False
+        # The last term that this very process has found in the store or won, and whether it is a candidate now.
+        self._last_stored_token = 0
+        self._is_candidate = False
         # Since when this node has seen that nobody leads.
         self._vacant_since: timedelta | None = None
-        self._given_up = asyncio.Event()
+        self._stepped_down = asyncio.Event()
 
-    def _move(self, new: Role) -> None:
-        self.role = step(self._node, ROLE_STEPS, self.role, new)
+    def add_listener(self, listener: LeadershipListener) -> None:
+        """Call `listener` at the beginning and the end of each later term."""
+        self._listeners.append(listener)
+
+    def _set_role(self, role: Role) -> None:
+        self.role = step(self._node, ROLE_STEPS, self.role, role)
 
     def holds_lease(self) -> bool:
-        """The lease surely holds now: this node may write, start and answer users."""
-        if self.role is Role.LEADING and self._clock() >= self._sure_until:
-            self._move(Role.LEASE_UNCERTAIN)
+        """Return whether the lease certainly holds now: this node may write, start tasks and answer users."""
+        if self.role is Role.LEADING and self._clock() >= self._lease_certain_until:
+            self._set_role(Role.LEASE_UNCERTAIN)
         return self.role is Role.LEADING
 
     def may_answer_workers(self) -> bool:
-        """Whether workers may be answered: the lease surely holds, or the holding time is not over."""
+        """Return whether workers may be answered: the lease certainly holds, or the grace period is not over."""
         if self.holds_lease():
             return True
-        since = max(self._sure_until, self._no_later_term_at)
-        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + at_most(self.grace_period):
-            self.step_down("held for as long as allowed")
+        since = max(self._lease_certain_until, self._no_later_term_at)
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + at_most(self.settings.grace_period):
+            self.step_down(StepDownReason.GRACE_PERIOD_OVER)
         return self.role is Role.LEASE_UNCERTAIN
 
     # Who else may have won
 
     def has_won_no_later_term(self, fencing_token: int) -> bool:
-        """Neither this process, nor an earlier one of this node, has won a later term than that.
+        """Return whether no process of this node can have won a later term than that.
 
-        Of its own wins a process knows. An earlier process won before this one began, and so no
+        A process knows of its own wins. An earlier process won before this one began, and so no
         later term than the one that this process has found in the store, or has won, at any time:
-        the key held the newest term then. One that has found none confirms nothing.
+        the key held the newest term then. A process that has found none confirms nothing.
         """
-        return not self._stands and self._found_fencing_token > 0 and self.highest_seen_token <= fencing_token
+        return not self._is_candidate and self._last_stored_token > 0 and self.highest_seen_token <= fencing_token
 
-    def note_no_later_term(self, fencing_token: int, asked: timedelta) -> None:
-        """All other nodes, asked then, have confirmed that they have won no later term than that.
+    def confirm_no_later_term(self, fencing_token: int, asked_at: timedelta) -> None:
+        """Note that all other nodes, asked then, have confirmed that they have won no later term than that.
 
         So whoever wins does so later than that, and the time that a new leader waits for an
         earlier one, and that a confirmed cancellation leaves, counts from then on.
         """
         if self.fencing_token == fencing_token:
-            self._no_later_term_at = max(self._no_later_term_at, asked)
+            self._no_later_term_at = max(self._no_later_term_at, asked_at)
 
-    def failover_delay(self, lease: timedelta) -> timedelta:
-        """How long after winning a silent machine may still keep what an earlier leader gave it."""
-        return at_least(self.grace_period + lease) + seconds(1)
+    def failover_delay(self, worker_lease: timedelta) -> timedelta:
+        """Return how long after an election a silent machine may still keep what an earlier leader gave it."""
+        return at_least(self.settings.grace_period + worker_lease) + seconds(1)
 
     def observe_term(self, fencing_token: int, leader: str | None) -> None:
-        """A peer or a worker tells of a leadership."""
+        """Note a term that another controller or a worker knows of; a newer one ends this node's own."""
         if fencing_token <= self.highest_seen_token:
             if fencing_token == self.highest_seen_token and leader is not None:
                 self.leader = leader
@@ -181,137 +156,145 @@
         self.highest_seen_token = fencing_token
         self.leader = leader
         if self.role is not Role.FOLLOWER and fencing_token > self.fencing_token:
-            self.step_down("a newer leader is known")
+            self.step_down(StepDownReason.NEWER_TERM)
 
-    def step_down(self, why: str) -> None:
-        """Ends this node's term, if it has one; `why` goes into the log."""
+    def step_down(self, reason: StepDownReason) -> None:
+        """End this node's term, if it has one."""
         if self.role is Role.FOLLOWER:
             return
-        log.info("stepping down: %s", why)
-        self._move(Role.FOLLOWER)
+        log.info("stepping down: %s", reason)
+        self._set_role(Role.FOLLOWER)
         if self.leader == self._node:
             self.leader = None
-        self._given_up.set()
-        self._standing.term_ended()
-        self._lost()
+        self._stepped_down.set()
+        self._candidacy.on_term_ended()
+        for listener in self._listeners:
+            listener.on_lost()
 
     async def run(self) -> None:
-        """Follows and stands for ever."""
+        """Follow the leader, and compete for leadership while there is none, until cancelled."""
         while True:
-            if self._wait_admitted is not None:
-                await self._wait_admitted()
+            await self._candidacy.wait_admitted()
             try:
-                await self._round()
+                await self._follow_or_campaign()
             except StoreError as error:
                 log.debug("election: %s", error)
-                await asyncio.sleep(RETRY.total_seconds())
+                await asyncio.sleep(RETRY_INTERVAL.total_seconds())
 
-    async def _round(self) -> None:
-        page = await self._client.page(LEADER, None, 10)
+    async def _follow_or_campaign(self) -> None:
+        page = await self._store.page(LEADER, None, LEADER_PAGE_SIZE)
         item = next((item for item in page.items if item.key == LEADER), None)
         if item is None:
-            self.leader = None
-            # A short random wait: two nodes that try at once both spend a change.
-            await asyncio.sleep(random.uniform(0.0, 0.05))
-            now = self._clock()
-            if self._vacant_since is None:
-                self._vacant_since = now
-            wait = self._standing.wait_before_standing(now - self._vacant_since, self.highest_seen_token)
-            if wait > ZERO:
-                await asyncio.sleep(min(wait, RETRY).total_seconds())
-                return
-            await self._stand()
+            await self._campaign_if_allowed()
             return
         self._vacant_since = None
-        record = _record(item)
+        record = read_leader_record(item)
         if record.node == self._node:
-            # Of an earlier process of this node: dead, since a node runs one process at a
-            # time. Its lease need not be waited out.
+            # A node runs one process at a time, so that one has ended: its lease need not be waited for.
             log.info("revoking the lease of an earlier process of this node")
-            await self._client.revoke_lease(record.lease_id)
+            await self._store.revoke_lease(record.lease_id)
             return
         self.observe_term(item.mod_revision, record.node)
-        self._found_fencing_token = item.mod_revision
-        revision = page.revision
+        self._last_stored_token = item.mod_revision
+        await self._follow(page.revision)
+
+    async def _follow(self, revision: int) -> None:
+        """Return once the leader key has changed after that revision."""
         while True:
-            news = await self._client.watch(LEADER, revision, self._standing.watch_time(WATCH))
-            if news.news:
+            changes = await self._store.watch(LEADER, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
+            if changes.news:
                 return
-            revision = max(revision, news.revision)
+            revision = max(revision, changes.revision)
+
+    async def _campaign_if_allowed(self) -> None:
+        self.leader = None
+        await asyncio.sleep(random.uniform(0.0, MAX_CANDIDACY_JITTER_S))
+        now = self._clock()
+        if self._vacant_since is None:
+            self._vacant_since = now
+        delay = self._candidacy.candidacy_delay(now - self._vacant_since, self.highest_seen_token)
+        if delay > ZERO:
+            await asyncio.sleep(min(delay, RETRY_INTERVAL).total_seconds())
+            return
+        await self._campaign()
 
-    async def _stand(self) -> None:
-        self._stands = True
+    async def _campaign(self) -> None:
+        self._is_candidate = True
         try:
-            lease_id = await self._win()
+            lease_id = await self._win_term()
         finally:
-            self._stands = False
+            self._is_candidate = False
         if lease_id is not None:
-            await self._keep(lease_id)
+            await self._keep_lease(lease_id)
 
-    async def _win(self) -> int | None:
-        """The grant of a term that was won."""
-        sent = self._clock()
-        lease_id = await self._client.grant_lease(self.ttl)
+    async def _win_term(self) -> int | None:
+        """Write the leader key; return the lease of a term that was won."""
+        sent_at = self._clock()
+        lease_id = await self._store.grant_lease(self.settings.ttl)
         nonce = secrets.token_hex(8)
         value = msgspec.to_builtins(LeaderRecord(self._node, nonce, lease_id))
         try:
-            mod_revision = await self._client.compare_and_swap(
+            mod_revision = await self._store.compare_and_swap(
                 [messages.compare(LEADER, 0)], [messages.put(LEADER, value, lease_id)]
             )
         except ConflictError:
-            await self._client.revoke_lease(lease_id)
+            await self._store.revoke_lease(lease_id)
             return None
         except UnknownOutcomeError:
-            # It may have been applied: if so, the key tells, and the next round revokes it.
-            log.info("standing for leader: outcome unknown")
+            # If it was applied, the next look at the key shows it, and revokes the lease.
+            log.info("the outcome of this node's candidacy is unknown")
             return None
         if mod_revision < self.highest_seen_token:
             return None
-        self._sure_until = sent + at_most(self.ttl) - MARGIN
-        self.fencing_token = self.highest_seen_token = self._found_fencing_token = mod_revision
-        self.leader = self._node
-        self._given_up.clear()
-        self._vacant_since = None
-        self._move(Role.LEADING)
-        log.info("leading with token %s", mod_revision)
-        self._won(mod_revision)
+        self._extend_lease(sent_at)
+        self._begin_term(mod_revision)
         return lease_id
 
-    async def _keep(self, lease_id: int) -> None:
-        """Renews until leadership is given up."""
-        every = self.ttl / 5
+    def _begin_term(self, fencing_token: int) -> None:
+        self.fencing_token = self.highest_seen_token = self._last_stored_token = fencing_token
+        self.leader = self._node
+        self._stepped_down.clear()
+        self._vacant_since = None
+        self._set_role(Role.LEADING)
+        log.info("leading with token %s", fencing_token)
+        for listener in self._listeners:
+            listener.on_elected(fencing_token)
+
+    def _extend_lease(self, sent_at: timedelta) -> None:
+        """Count the lease from when the request that was answered was sent."""
+        until = sent_at + at_most(self.settings.ttl) - RESPONSE_MARGIN
+        self._lease_certain_until = max(self._lease_certain_until, until)
+
+    async def _keep_lease(self, lease_id: int) -> None:
+        """Renew the lease until the term ends, then revoke it."""
         while self.may_answer_workers():
-            pause = every
-            sent = self._clock()
+            pause = self.settings.ttl / RENEWALS_PER_LEASE
+            sent_at = self._clock()
             try:
-                await self._client.renew_lease(lease_id, timeout=self.ttl / 3)
+                await self._store.renew_lease(lease_id, timeout=self.settings.ttl / RENEWAL_TIMEOUTS_PER_LEASE)
             except ExpiredError:
-                self.step_down("the lease has ended")
+                self.step_down(StepDownReason.LEASE_EXPIRED)
                 break
             except (StoreUnavailableError, UnknownOutcomeError) as error:
-                log.debug("renewal: %s", error)
-                pause = RETRY
+                log.debug("the lease was not renewed: %s", error)
+                pause = RETRY_INTERVAL
             else:
                 if self.role is Role.FOLLOWER:
                     break
-                # Answered: the grant has not ended since, so nobody else has led meanwhile.
-                self._sure_until = max(self._sure_until, sent + at_most(self.ttl) - MARGIN)
-                if self.role is Role.LEASE_UNCERTAIN and self._clock() < self._sure_until:
-                    self._move(Role.LEADING)
+                self._on_renewed(sent_at)
             try:
                 async with asyncio.timeout(pause.total_seconds()):
-                    await self._given_up.wait()
+                    await self._stepped_down.wait()
             except TimeoutError:
                 pass
-        self.step_down("no longer answering")
+        self.step_down(StepDownReason.LEASE_NOT_RENEWED)
         try:
-            await self._client.revoke_lease(lease_id)
+            await self._store.revoke_lease(lease_id)
         except (StoreUnavailableError, UnknownOutcomeError):
-            log.debug("the old lease could not be given back")
-
+            log.debug("the lease of the term that has ended could not be revoked")
 
-def _record(item: messages.KeyValue) -> LeaderRecord:
-    try:
-        return msgspec.convert(item.value, LeaderRecord)
-    except msgspec.ValidationError as error:
-        raise UnknownOutcomeError(f"leader key: {error}") from error
+    def _on_renewed(self, sent_at: timedelta) -> None:
+        """Lead on: the lease has not expired since it was granted, so nobody else has led meanwhile."""
+        self._extend_lease(sent_at)
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() < self._lease_certain_until:
+            self._set_role(Role.LEADING)
--- /dev/null
+++ b/src/elmthread/leadership/step_down.py
@@ -0,0 +1,18 @@
+"""Why a leader's term ends before its process does."""
+
+from enum import StrEnum
+
+
+class StepDownReason(StrEnum):
+    """The reasons; the values stand in the log."""
+
+    NEWER_TERM = "a newer term is known"
+    LEASE_EXPIRED = "the lease has expired"
+    GRACE_PERIOD_OVER = "the grace period after an uncertain lease is over"
+    LEASE_NOT_RENEWED = "the lease could not be renewed in time"
+    TRANSACTION_CONFLICT = "a transaction found another leader"
+    INCOMPATIBLE_LEVEL = "the active compatibility level is not supported by this version"
+    FAULT = "the leader's work has failed"
+    HANDED_OVER = "another controller hears from more machines"
+    WORKERS_REACH_ANOTHER = "most machines do not reach this controller and reach another"
+    ISOLATED = "neither machines nor other controllers are reached"
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -1,4 +1,4 @@
-"""The leader's lease: every state with every event, against a plain table."""
+"""The leader's lease: every role with every event, against a plain table."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -9,19 +9,21 @@
 import pytest
 
 from elmthread.common.clock import seconds
-from elmthread.leadership.election import Election, Role
+from elmthread.leadership.election import Election, ElectionSettings
+from elmthread.leadership.role import Role
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.leadership.term import Term
 from elmthread.net.http import Answer, NoResponseError
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from tests.world.loop import SimLoop, play
 
-TTL, HOLDING, TOKEN = seconds(3), seconds(10), 20
+TTL, GRACE_PERIOD, TOKEN = seconds(3), seconds(10), 20
 F, L, H = Role.FOLLOWER, Role.LEADING, Role.LEASE_UNCERTAIN
 
 
 class Renewals:
-    """The state service, as far as a leader that keeps its lease meets it."""
+    """The key-value store, as far as a leader that keeps its lease needs it."""
 
     def __init__(self, loop: SimLoop, answer: int) -> None:
         self.loop, self.answer = loop, answer
@@ -37,34 +39,34 @@
         return Answer(self.answer, {})
 
 
-def made(role: Role, answer: int = 200) -> tuple[SimLoop, Election, Renewals]:
+def make_election(role: Role, answer: int = 200) -> tuple[SimLoop, Election, Renewals]:
     loop = SimLoop()
     asyncio.set_event_loop(loop)
     caller = Renewals(loop, answer)
     client = KeyValueStore(caller, TokenBucket(100, 100, loop.clock))
-    election = Election("a", client, loop.clock, TTL, HOLDING, lambda fencing_token: None, lambda: None)
+    election = Election(ElectionSettings("a", TTL, GRACE_PERIOD), client, loop.clock)
     if role is not F:
         election.fencing_token = election.highest_seen_token = TOKEN
         election.leader = "a"
-        election._sure_until = loop.clock() + TTL
-        election._move(L)
+        election._lease_certain_until = loop.clock() + TTL
+        election._set_role(L)
     if role is H:
         loop.now = 4.0
         assert not election.holds_lease()
     return loop, election, caller
 
 
-# What becomes of each state: time passes within the sure time, past it, past the holding time;
-# an older, the own and a newer leadership are heard of; leadership is given up.
+# The role after each event: time passes while the lease is certain, past that, past the grace period;
+# an older, the own and a newer term are observed; leadership is given up.
 EVENTS: dict[str, tuple[Callable[[SimLoop, Election], object], dict[Role, Role]]] = {
     "asked now": (lambda loop, one: one.may_answer_workers(), {F: F, L: L, H: H}),
-    "past the sure time": (lambda loop, one: _later(loop, one, 5.0), {F: F, L: H, H: H}),
-    "past the holding time": (lambda loop, one: _later(loop, one, 20.0), {F: F, L: F, H: F}),
-    "an older leadership": (lambda loop, one: one.observe_term(TOKEN - 1, "b"), {F: F, L: L, H: H}),
-    "its own leadership": (lambda loop, one: one.observe_term(TOKEN, "a"), {F: F, L: L, H: H}),
-    "a newer leadership": (lambda loop, one: one.observe_term(TOKEN + 1, "b"), {F: F, L: F, H: F}),
+    "past the certain lease": (lambda loop, one: _later(loop, one, 5.0), {F: F, L: H, H: H}),
+    "past the grace period": (lambda loop, one: _later(loop, one, 20.0), {F: F, L: F, H: F}),
+    "an older term": (lambda loop, one: one.observe_term(TOKEN - 1, "b"), {F: F, L: L, H: H}),
+    "its own term": (lambda loop, one: one.observe_term(TOKEN, "a"), {F: F, L: L, H: H}),
+    "a newer term": (lambda loop, one: one.observe_term(TOKEN + 1, "b"), {F: F, L: F, H: F}),
     "a newer token, no name": (lambda loop, one: one.observe_term(TOKEN + 1, None), {F: F, L: F, H: F}),
-    "given up": (lambda loop, one: one.step_down("told to"), {F: F, L: F, H: F}),
+    "stepped down": (lambda loop, one: one.step_down(StepDownReason.FAULT), {F: F, L: F, H: F}),
 }
 
 
@@ -74,16 +76,16 @@
 
 
 @pytest.mark.parametrize(("role", "event"), product(Role, EVENTS))
-def test_every_state_with_every_event(role: Role, event: str) -> None:
-    loop, election, _ = made(role)
+def test_every_role_with_every_event(role: Role, event: str) -> None:
+    loop, election, _ = make_election(role)
     act, after = EVENTS[event]
     act(loop, election)
     assert election.role is after[role]
-    # Whatever happens, it acts as leader in LEADING alone and answers workers in no other but HOLDING.
+    # Whatever happens, it acts as leader in LEADING alone, and answers workers in no other role but LEASE_UNCERTAIN.
     assert election.holds_lease() == (after[role] is L)
     assert election.may_answer_workers() == (after[role] is not F)
     assert Term(election, TOKEN).holds_lease() == (after[role] is L)
-    # An earlier leadership of the same node never speaks for this one.
+    # An earlier term of the same node never speaks for this one.
     assert not Term(election, TOKEN - 1).holds_lease() and not Term(election, TOKEN - 1).may_answer_workers()
     loop.close()
 
@@ -92,29 +94,29 @@
     ("role", "answer", "after"),
     [(L, 200, L), (H, 200, L), (L, 404, F), (H, 404, F), (L, 503, H), (H, 503, H), (L, 0, H), (H, 0, H)],
 )
-def test_every_state_with_every_answer_to_a_renewal(role: Role, answer: int, after: Role) -> None:
-    """200: kept, and sure again; 404: ended; refused or no answer: not sure once the time is over."""
-    loop, election, caller = made(role, answer)
+def test_every_role_with_every_response_to_a_renewal(role: Role, answer: int, after: Role) -> None:
+    """200: renewed, and certain again; 404: expired; refused or no response: uncertain once the time is over."""
+    loop, election, caller = make_election(role, answer)
 
     async def main() -> None:
-        keeping = asyncio.create_task(election._keep(7))
+        keeping = asyncio.create_task(election._keep_lease(7))
         await asyncio.sleep(4)
         election.holds_lease()
         assert election.role is after
         keeping.cancel()
 
     play(main(), loop)
-    # A lease that is over is given back, and only that.
+    # A lease that is over is revoked, and only that.
     assert caller.asked.count("DELETE") == (after is F)
 
 
 @pytest.mark.parametrize("still", [2.0, 4.0, 20.0])
-def test_a_renewal_answered_after_a_standstill_counts_from_before_it_was_sent(still: float) -> None:
-    loop, election, caller = made(L)
+def test_a_renewal_answered_after_a_is_candidatetill_counts_from_before_it_was_sent(still: float) -> None:
+    loop, election, caller = make_election(L)
 
     def main() -> Coroutine[Any, Any, None]:
         async def run() -> None:
-            keeping = asyncio.create_task(election._keep(7))
+            keeping = asyncio.create_task(election._keep_lease(7))
             await asyncio.sleep(0.005)
             # The renewal is under way; its answer is read only after the standstill.
             loop.now += still
@@ -130,31 +132,31 @@
 
 
 def test_a_node_confirms_once_it_has_found_a_term_itself_and_for_no_earlier_than_it_knows_of() -> None:
-    _, one, _ = made(F)
+    _, one, _ = make_election(F)
     assert not one.has_won_no_later_term(TOKEN)
-    # Hearsay may be older than a win of the process before this one.
+    # What others announce may be older than a win of the process before this one.
     one.observe_term(TOKEN, "b")
     assert not one.has_won_no_later_term(TOKEN)
-    one._found_fencing_token = TOKEN - 5
+    one._last_stored_token = TOKEN - 5
     assert (
         one.has_won_no_later_term(TOKEN)
         and one.has_won_no_later_term(TOKEN + 1)
         and not one.has_won_no_later_term(TOKEN - 1)
     )
-    one._stands = True
+    one._is_candidate = True
     assert not one.has_won_no_later_term(TOKEN)
-    one._stands = False
+    one._is_candidate = False
     one.observe_term(TOKEN + 1, "c")
     assert not one.has_won_no_later_term(TOKEN) and one.has_won_no_later_term(TOKEN + 1)
 
 
-def test_holding_counts_from_the_last_moment_at_which_nobody_else_had_won() -> None:
-    loop, one, _ = made(H)
+def test_the_grace_period_counts_from_the_last_moment_at_which_nobody_else_had_won() -> None:
+    loop, one, _ = make_election(H)
     loop.now = 12.0
-    one.note_no_later_term(TOKEN, loop.clock())
-    # Of another term it says nothing, and an older word takes nothing back.
-    one.note_no_later_term(TOKEN + 1, seconds(20))
-    one.note_no_later_term(TOKEN, seconds(1))
+    one.confirm_no_later_term(TOKEN, loop.clock())
+    # A confirmation of another term does not count, and an older one takes nothing back.
+    one.confirm_no_later_term(TOKEN + 1, seconds(20))
+    one.confirm_no_later_term(TOKEN, seconds(1))
     loop.now = 21.9
     assert one.may_answer_workers()
     loop.now = 22.1
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -3,30 +3,63 @@
 from datetime import timedelta
 
 from elmthread.common.clock import at_least, at_most, seconds
+from elmthread.machines.service import QUIET
+from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import Platform
 
-# The lease of leadership.
-LEASE = seconds(2)
-# Telling a user `cancelled` is right only if a machine that nobody reaches is empty within
-# cancel_s: an old leader's last answers and the worker's lease must both fit into it.
+# The duration of the leader's lease.
+LEADER_LEASE = seconds(2)
+# A confirmed cancellation is right only if a machine that nobody reaches is empty within
+# cancel_s: an old leader's last responses and the worker's lease must both fit into it.
 CANCEL_SLACK = seconds(4)
-# Longer than this no leader holds on, whatever the limits allow: a new one has to wait it out.
-MOST_HELD = seconds(60)
-# Parts of the state service's rates: the rest is for renewals and the other nodes.
-LEADERS_PART = 0.85
-# Sockets: what is not for those who call is for calls of our own and for the peers; workers
-# leave some of the rest to users, who must find one whatever the fleet does.
-SERVERS_PART = 0.9
-WORKERS_PART = 0.8
-OTHERS_PART = 0.1
+# However long the limits allow: a new leader has to wait for the end of an earlier one's grace period.
+MAX_GRACE_PERIOD = seconds(60)
+# Shares of the key-value store's rates; the rest is for renewals.
+LEADER_STORE_SHARE = 0.85
+FOLLOWER_STORE_SHARE = 0.1
+# The rest of the connections is for requests of our own and for the other controllers.
+SERVER_CONNECTION_SHARE = 0.9
+# Of the server's connections; the rest is for users, who must find one whatever the workers do.
+WORKER_CONNECTION_SHARE = 0.8
+MIN_CONNECTIONS = 10
+MIN_WORKER_CONNECTIONS = 5
+# The key-value store lets a transaction compare this many keys for each change that it allows.
+COMPARISONS_PER_OPERATION = 4
 
 
-def users_at_once(platform: Platform) -> int:
-    """Requests of users that may wait here: about as many as their sockets, so others get answers."""
-    return max(10, int(platform.facts.limits.max_connections * SERVERS_PART * (1 - WORKERS_PART)))
+def max_server_connections(platform: Platform) -> int:
+    """Return how many connections the HTTP server accepts."""
+    return max(MIN_CONNECTIONS, int(platform.facts.limits.max_connections * SERVER_CONNECTION_SHARE))
 
 
-def holding_time(platform: Platform) -> timedelta:
-    """How long workers may be answered on a lease that is no longer sure."""
+def max_worker_connections(platform: Platform) -> int:
+    """Return how many of the server's connections workers may use."""
+    return max(MIN_WORKER_CONNECTIONS, int(max_server_connections(platform) * WORKER_CONNECTION_SHARE))
+
+
+def max_waiting_requests(platform: Platform) -> int:
+    """Return how many requests of users may wait here: about as many as their connections."""
+    share = SERVER_CONNECTION_SHARE * (1 - WORKER_CONNECTION_SHARE)
+    return max(MIN_CONNECTIONS, int(platform.facts.limits.max_connections * share))
+
+
+def max_comparisons(platform: Platform) -> int:
+    """Return how many keys one transaction may compare."""
+    return COMPARISONS_PER_OPERATION * platform.facts.state.kept().txn_ops
+
+
+def grace_period(platform: Platform) -> timedelta:
+    """Return how long workers may be answered on a lease that is no longer certain."""
     workers = platform.facts.workers
-    return max(seconds(0), min(at_most(workers.cancel) - at_least(workers.lease) - CANCEL_SLACK, MOST_HELD))
+    return max(seconds(0), min(at_most(workers.cancel) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD))
+
+
+def reachability_bounds(platform: Platform) -> ReachabilityBounds:
+    """Return the times by which links are judged."""
+    workers = platform.facts.workers
+    return ReachabilityBounds(LEADER_LEASE, workers.heartbeat_interval, workers.lease)
+
+
+def misdirected_window(platform: Platform) -> timedelta:
+    """Return how long a machine counts that came to a follower because it did not reach the leader."""
+    return platform.facts.workers.lease * QUIET
--- a/src/elmthread/machines/service.py
+++ b/src/elmthread/machines/service.py
@@ -21,7 +21,7 @@
 from elmthread.leadership.context import TermContext
 from elmthread.machines import messages
 from elmthread.machines.client import MOST_DELETED, MOST_LISTED, MOST_RENTED, CloudClient, CloudError, NoCapacityError
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.store.records import (
     RentalRecord,
     machine_key,
--- a/src/elmthread/machines/tests/test_service.py
+++ b/src/elmthread/machines/tests/test_service.py
@@ -15,8 +15,8 @@
 from elmthread.machines.service import MISSING, MachineManager
 from elmthread.net.http import Answer
 from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.reachability.census import Census
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.zone_counts import ZoneCounts
+from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pacing import TokenBucket
 from elmthread.store.writer import WritePriority
@@ -68,7 +68,7 @@
     catalog = MachineTypeCatalog(cluster, context.events)
     catalog.replace([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
     bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(17))
-    zones = ZoneHealth(Census(cluster.machines, clock, seconds(4), clock()), bounds, clock)
+    zones = ZoneHealth(ZoneCounts(cluster.machines, clock, seconds(4), clock()), bounds, clock)
     client = CloudClient(cloud, TokenBucket(rps * 0.9, rps * 1.5, clock), seconds(4), lambda: True)
     one = MachineManager(context, client, catalog, WorkerLeases(seconds(17), seconds(40)), zones)
     return cloud, cluster, one
--- a/src/elmthread/peers/__init__.py
+++ b/src/elmthread/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between controllers."""
+"""Connections between controllers."""
--- /dev/null
+++ b/src/elmthread/peers/connection.py
@@ -0,0 +1,133 @@
+"""This node's outgoing connection to one other controller."""
+
+import asyncio
+import logging
+from dataclasses import dataclass
+from datetime import timedelta
+from enum import Enum, auto
+
+from elmthread.common.clock import seconds
+from elmthread.common.states import step
+from elmthread.peers.framing import RejectedFrames, encode_frame, receive_messages
+from elmthread.peers.handler import PeerMessageHandler
+from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, Message
+
+log = logging.getLogger(__name__)
+
+CONNECT_TIMEOUT = seconds(1)
+RECONNECT_DELAY = seconds(0.5)
+# The other side announces itself each second, so a connection that is idle for longer is dead.
+IDLE_TIMEOUT = seconds(2.8)
+
+
+class PeerUnreachableError(Exception):
+    """The other node did not respond; it may have acted all the same."""
+
+
+class ConnectionState(Enum):
+    """Whether a connection to another node stands."""
+
+    DOWN = auto()
+    CONNECTING = auto()
+    UP = auto()
+
+
+CONNECTION_STEPS = {
+    ConnectionState.DOWN: frozenset({ConnectionState.CONNECTING}),
+    ConnectionState.CONNECTING: frozenset({ConnectionState.UP, ConnectionState.DOWN}),
+    ConnectionState.UP: frozenset({ConnectionState.DOWN}),
+}
+
+
+@dataclass(frozen=True)
+class PeerAddress:
+    """Where a controller listens for the others."""
+
+    node: str
+    host: str
+    port: int
+
+
+class PeerConnection:
+    """Sends this node's requests and announcements to one other node, and receives its responses and announcements."""
+
+    def __init__(
+        self, address: PeerAddress, handler: PeerMessageHandler, rejected: RejectedFrames, max_pending: int
+    ) -> None:
+        """`max_pending` requests may wait for a response."""
+        self.node = address.node
+        self._address = address
+        self._handler = handler
+        self._rejected = rejected
+        self._max_pending = max_pending
+        self._writer: asyncio.StreamWriter | None = None
+        self._pending: dict[int, asyncio.Future[ForwardedResponse]] = {}
+        self._last_number = 0
+        self.state = ConnectionState.DOWN
+
+    def _set_state(self, state: ConnectionState) -> None:
+        self.state = step(f"connection to {self.node}", CONNECTION_STEPS, self.state, state)
+
+    async def run(self) -> None:
+        """Connect, and connect again whenever the connection ends, until cancelled."""
+        while True:
+            self._set_state(ConnectionState.CONNECTING)
+            try:
+                async with asyncio.timeout(CONNECT_TIMEOUT.total_seconds()):
+                    reader, writer = await asyncio.open_connection(self._address.host, self._address.port)
+            except (OSError, TimeoutError):
+                self._set_state(ConnectionState.DOWN)
+            else:
+                await self._use(reader, writer)
+            await asyncio.sleep(RECONNECT_DELAY.total_seconds())
+
+    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Return when the connection has ended; requests without a response fail then."""
+        self._writer = writer
+        self._set_state(ConnectionState.UP)
+        self.announce()
+        try:
+            await receive_messages(reader, self.node, self._receive, IDLE_TIMEOUT, self._rejected)
+        except (OSError, TimeoutError) as error:
+            log.info("connection to %s ended: %s", self.node, error or type(error).__name__)
+        finally:
+            self._writer = None
+            self._set_state(ConnectionState.DOWN)
+            writer.transport.abort()
+            for response in self._pending.values():
+                if not response.done():
+                    response.set_exception(PeerUnreachableError(self.node))
+            self._pending.clear()
+
+    def announce(self, frame: bytes | None = None) -> None:
+        """Announce this node's state; `frame` is that announcement where others receive it too."""
+        if self._writer is not None:
+            self._writer.write(frame or encode_frame(self._handler.make_announcement()))
+
+    def _receive(self, message: Message) -> None:
+        if isinstance(message, ForwardedResponse):
+            response = self._pending.pop(message.number, None)
+            if response is not None and not response.done():
+                response.set_result(message)
+        elif isinstance(message, LeaderAnnouncement):
+            self._handler.handle_announcement(message)
+
+    async def request(self, request: ForwardedRequest, timeout: timedelta) -> ForwardedResponse:
+        """Return the other node's response. Raises PeerUnreachableError."""
+        if self._writer is None:
+            raise PeerUnreachableError(self.node)
+        if len(self._pending) >= self._max_pending:
+            log.info("request to %s refused: %s wait for a response already", self.node, len(self._pending))
+            raise PeerUnreachableError(self.node)
+        self._last_number += 1
+        request.number = self._last_number
+        response: asyncio.Future[ForwardedResponse] = asyncio.get_running_loop().create_future()
+        self._pending[request.number] = response
+        self._writer.write(encode_frame(request))
+        try:
+            async with asyncio.timeout(timeout.total_seconds()):
+                return await response
+        except TimeoutError:
+            raise PeerUnreachableError(self.node) from None
+        finally:
+            self._pending.pop(request.number, None)
--- /dev/null
+++ b/src/elmthread/peers/framing.py
@@ -0,0 +1,79 @@
+"""Frames of the connections between controllers: netstrings, each a message."""
+
+import asyncio
+import logging
+from collections.abc import AsyncGenerator, Callable
+from contextlib import aclosing
+from datetime import timedelta
+
+import msgspec
+import pynetstring
+
+from elmthread.peers.messages import Message, decode, encode
+
+log = logging.getLogger(__name__)
+
+MAX_FRAME_BYTES = 256 * 1024
+READ_BYTES = 64 * 1024
+
+
+class RejectedFrames:
+    """Counts frames that can't be read: one is an accident, many are a fault on the other side."""
+
+    def __init__(self) -> None:
+        """Begin with none."""
+        self.count = 0
+
+    def add(self, sender: str, error: Exception) -> None:
+        """Count one more, and log it."""
+        self.count += 1
+        log.warning("frame from %s rejected (%s so far): %s", sender, self.count, error)
+
+
+def encode_frame(message: Message) -> bytes:
+    """Return the frame of a message."""
+    frame: bytes = pynetstring.encode(encode(message))
+    return frame
+
+
+async def read_frames(
+    reader: asyncio.StreamReader, idle_timeout: timedelta | None = None
+) -> AsyncGenerator[bytes, None]:
+    """Yield the content of each frame until the other side closes the connection.
+
+    Raises TimeoutError where nothing comes for `idle_timeout`, and ParseError on what is no frame or longer than
+    `MAX_FRAME_BYTES`: where the next one begins is not known then.
+    """
+    decoder = pynetstring.Decoder(MAX_FRAME_BYTES)
+    idle_timeout_s = None if idle_timeout is None else idle_timeout.total_seconds()
+    while True:
+        async with asyncio.timeout(idle_timeout_s):
+            data = await reader.read(READ_BYTES)
+        if not data:
+            return
+        for frame in decoder.feed(data):
+            yield frame
+
+
+async def receive_messages(
+    reader: asyncio.StreamReader,
+    sender: str,
+    handle: Callable[[Message], None],
+    idle_timeout: timedelta,
+    rejected: RejectedFrames,
+) -> None:
+    """Hand each message to `handle` until the connection ends or what comes is no frame.
+
+    A frame that is no message is counted and skipped. Raises TimeoutError and OSError.
+    """
+    async with aclosing(read_frames(reader, idle_timeout)) as frames:
+        try:
+            async for frame in frames:
+                try:
+                    message = decode(frame)
+                except msgspec.MsgspecError as error:
+                    rejected.add(sender, error)
+                else:
+                    handle(message)
+        except pynetstring.ParseError as error:
+            rejected.add(sender, error)
--- /dev/null
+++ b/src/elmthread/peers/tests/test_network.py
@@ -0,0 +1,66 @@
+"""Connections between controllers, over real sockets on loopback."""
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+from elmthread.common.clock import seconds
+from elmthread.peers.connection import PeerAddress, PeerUnreachableError
+from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
+from elmthread.peers.network import PeerNetwork
+
+
+def run(main: Coroutine[Any, Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(main, 20))
+
+
+class Handler:
+    """Responds to submissions at once and to other requests after 5 s, and keeps the announcements."""
+
+    def __init__(self) -> None:
+        self.announcements: list[LeaderAnnouncement] = []
+
+    async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
+        if request.verb == "status":
+            await asyncio.sleep(5)
+        return ForwardedResponse(0, 200, {"id": request.job_id}, 1.5)
+
+    def handle_announcement(self, announcement: LeaderAnnouncement) -> None:
+        self.announcements.append(announcement)
+
+    def make_announcement(self) -> LeaderAnnouncement:
+        return LeaderAnnouncement("b", 7)
+
+
+def test_controllers_exchange_messages_and_survive_what_is_none() -> None:
+    async def main() -> None:
+        handler = Handler()
+        probe = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
+        port = probe.sockets[0].getsockname()[1]
+        probe.close()
+        one = PeerNetwork([PeerAddress("b", "127.0.0.1", port)], handler)
+        two = PeerNetwork([], handler)
+        tasks = [asyncio.create_task(two.run("127.0.0.1", port)), asyncio.create_task(one.run("127.0.0.1", 0))]
+        while not one.is_connected("b"):
+            await asyncio.sleep(0.05)
+        _, writer = await asyncio.open_connection("127.0.0.1", port)
+        writer.write(b'5:[1,2],10:{"kind":1},')
+        _, other = await asyncio.open_connection("127.0.0.1", port)
+        other.write(b"300000:" + b"x" * 300_000)
+        await other.drain()
+        reply = await one.request("b", ForwardedRequest(0, "submit", "run-1"), seconds(2))
+        assert reply.status == 200 and reply.body == {"id": "run-1"} and reply.retry_after_s == 1.5
+        try:
+            await one.request("b", ForwardedRequest(0, "status", "run-1"), seconds(0.2))
+            raise AssertionError("a response out of nothing")
+        except PeerUnreachableError:
+            pass
+        await asyncio.sleep(1.2)
+        # The two that were no messages, and what was longer than any frame may be.
+        assert two.rejected.count == 3
+        assert LeaderAnnouncement("b", 7) in handler.announcements
+        for task in tasks:
+            task.cancel()
+        await asyncio.gather(*tasks, return_exceptions=True)
+
+    run(main())
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -16,7 +16,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
-from elmthread.rollout import messages as rollout_messages
+from elmthread.rollout import records as rollout_messages
 from elmthread.rollout.term import TermRollout
 from elmthread.store import messages, records
 from elmthread.store.assignments import read_machine
--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -5,16 +5,16 @@
 from datetime import timedelta
 
 from elmthread.common.clock import ZERO, Clock
-from elmthread.reachability.bounds import JITTER, ReachabilityBounds
+from elmthread.reachability.bounds import BACKOFF_JITTER, ReachabilityBounds
 
 log = logging.getLogger(__name__)
 
 
 class LeadershipBackoff:
-    """The rest after a term, in memory only: a process that is started again rests no more.
+    """The backoff after a term, in memory only: a process that is started again begins without one.
 
-    A node that rests stands only where leadership has been vacant for `least_rest`, and gives way to nobody:
-    leading with a part of the links is better than a change of leader every few seconds.
+    During a backoff a node is a candidate only where there has been no leader for `min_backoff`, and hands leadership
+    over to nobody: leading with a part of the links is better than a change of leader every few seconds.
     """
 
     def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, alone: bool) -> None:
@@ -23,41 +23,45 @@
         self._clock = clock
         self._rng = rng
         self._alone = alone
-        # Rests that have not been forgotten since, and when the last one ends.
-        self._rests = 0
+        # Backoffs that still lengthen the next one, and when the last one ends.
+        self._recent_count = 0
         self._until = ZERO
 
     @property
-    def resting(self) -> bool:
+    def is_active(self) -> bool:
         """Whether leadership is left to others."""
         return not self._alone and self._clock() < self._until
 
-    def rest(self, at_length: bool = False) -> None:
-        """A term has ended for a cut or a fault. `at_length`: nobody is known to be better off, so not soon again."""
+    def begin(self, longest: bool = False) -> None:
+        """Begin a backoff after a term; the `longest` one where nobody is known to be better off."""
         if self._alone:
             return
         now = self._clock()
-        self._forget(now)
-        longest = self._bounds.longest_rest
-        if at_length:
-            self._until = now + longest
+        self._forget_past(now)
+        if longest:
+            self._until = now + self._bounds.max_backoff
         else:
-            wait = min(longest, self._bounds.least_rest * 2**self._rests)
-            if wait < longest:
-                self._rests += 1
-            # The first rest is as long as a vacancy may last: drawn shorter it would be none.
-            drawn = max(wait * self._rng.uniform(1 - JITTER, 1), self._bounds.least_rest)
-            self._until = max(self._until, now + drawn)
-        log.info("leadership is left to others for %.1f s", (self._until - now).total_seconds())
-
-    def wait_before_standing(self, vacant_for: timedelta) -> timedelta:
-        """How long to go on leaving a vacant leadership to others."""
-        if not self.resting:
+            self._until = max(self._until, now + self._next_duration())
+        log.info("leadership is left to other controllers for %.1f s", (self._until - now).total_seconds())
+
+    def candidacy_delay(self, vacant_for: timedelta) -> timedelta:
+        """Return how long to go on leaving a vacant leadership to others."""
+        if not self.is_active:
             return ZERO
-        return max(ZERO, min(self._bounds.least_rest - vacant_for, self._until - self._clock()))
+        return max(ZERO, min(self._bounds.min_backoff - vacant_for, self._until - self._clock()))
+
+    def _next_duration(self) -> timedelta:
+        """Return twice the duration of the last backoff, less a random part."""
+        longest = self._bounds.max_backoff
+        duration = min(longest, self._bounds.min_backoff * 2**self._recent_count)
+        if duration < longest:
+            self._recent_count += 1
+        # Shorter than a vacancy may last, the first backoff would have no effect.
+        jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
+        return max(jittered, self._bounds.min_backoff)
 
-    def _forget(self, now: timedelta) -> None:
-        """One rest is forgotten for each `longest_rest` of quiet after the last one ended."""
+    def _forget_past(self, now: timedelta) -> None:
+        """Forget one backoff for each `max_backoff` that has passed since the last one ended."""
         if now > self._until:
-            quiet = int((now - self._until) / self._bounds.longest_rest)
-            self._rests = max(0, self._rests - quiet)
+            forgotten = int((now - self._until) / self._bounds.max_backoff)
+            self._recent_count = max(0, self._recent_count - forgotten)
--- a/src/elmthread/reachability/links.py
+++ b/src/elmthread/reachability/links.py
@@ -24,47 +24,41 @@
 
 
 class Link:
-    """The link to the state service, to another controller, or to the workers of a zone.
+    """The link to the key-value store, to another controller, or to the workers of a zone.
 
-    Only a round trip confirms it, as of the moment at which its first half was sent. What merely arrives
-    moves `heard_at` alone, and opening a connection moves nothing.
+    Only a round trip confirms it, as of the moment at which its first half was sent. Neither a message that
+    merely arrives nor an opened connection confirms anything.
     """
 
     def __init__(self, name: str, clock: Clock, confirmed_for: timedelta, cut_after: timedelta) -> None:
-        """Doubtful at first: nothing is known. `confirmed_for` and `cut_after` count from the last confirmation."""
+        """Begin as doubtful. `confirmed_for` and `cut_after` count from the last confirmation."""
         self.name = name
         self._clock = clock
         self._confirmed_for = confirmed_for
         self._cut_after = max(cut_after, confirmed_for)
-        self._since = clock()
+        self._created_at = clock()
         self._state = LinkState.DOUBTFUL
         self.confirmed_at: timedelta | None = None
-        self.heard_at: timedelta | None = None
 
     def begin(self) -> timedelta:
-        """The moment at which the first half of a round trip is sent."""
+        """Return the moment at which the first half of a round trip is sent."""
         return self._clock()
 
-    def hear(self) -> None:
-        """Something arrived."""
-        self.heard_at = self._clock()
-
     def confirm(self, began: timedelta) -> None:
-        """A round trip that began then has come to its end."""
-        self.hear()
+        """Note that a round trip that began then has come to its end."""
         if self.confirmed_at is None or began > self.confirmed_at:
             self.confirmed_at = began
 
     @property
     def state(self) -> LinkState:
         """The state now."""
-        age = self._clock() - (self._since if self.confirmed_at is None else self.confirmed_at)
+        age = self._clock() - (self._created_at if self.confirmed_at is None else self.confirmed_at)
         if self.confirmed_at is not None and age <= self._confirmed_for:
-            self._move(LinkState.CONFIRMED)
+            self._set_state(LinkState.CONFIRMED)
         elif age <= self._cut_after:
-            self._move(LinkState.DOUBTFUL)
+            self._set_state(LinkState.DOUBTFUL)
         else:
-            self._move(LinkState.CUT)
+            self._set_state(LinkState.CUT)
         return self._state
 
     @property
@@ -72,5 +66,5 @@
         """How long ago the last confirmed round trip began; None where there was none."""
         return None if self.confirmed_at is None else self._clock() - self.confirmed_at
 
-    def _move(self, new: LinkState) -> None:
-        self._state = step(f"link to {self.name}", LINK_STEPS, self._state, new)
+    def _set_state(self, state: LinkState) -> None:
+        self._state = step(f"link to {self.name}", LINK_STEPS, self._state, state)
--- a/src/elmthread/reachability/tests/test_command.py
+++ b/src/elmthread/reachability/tests/test_command.py
@@ -1,4 +1,4 @@
-"""What an operator is told of the links, and the exit codes."""
+"""What `elmthread links` prints, and its exit codes."""
 
 import asyncio
 import threading
@@ -22,13 +22,13 @@
     LinkStatus(LinkState.CONFIRMED, 0.21),
     {"loom-1": LinkStatus(LinkState.CUT, 9.04), "loom-2": LinkStatus(LinkState.DOUBTFUL)},
     {"east": LinkStatus(LinkState.CONFIRMED, 3.6)},
-    resting=True,
+    in_backoff=True,
 )
-TOLD = LeaderAnnouncement("loom-0", 41, "loom-0", strays=3, links=msgspec.Raw(encode_view(VIEW)))
+ANNOUNCEMENT = LeaderAnnouncement("loom-0", 41, "loom-0", misdirected_count=3, links=msgspec.Raw(encode_view(VIEW)))
 
 
-def test_each_link_is_told_with_its_age() -> None:
-    assert describe("loom-0", TOLD) == [
+def test_each_link_is_printed_with_its_age() -> None:
+    assert describe("loom-0", ANNOUNCEMENT) == [
         "loom-0: leads, token 41",
         "  3 machines came here that do not reach the leader",
         "  state service: confirmed, last confirmed 0.2 s ago",
@@ -37,8 +37,8 @@
         "  workers of east: confirmed, last confirmed 3.6 s ago",
         "  leaves leadership to others for a while",
     ]
-    quiet = describe("loom-1", LeaderAnnouncement("loom-0", 41, "loom-1"))
-    assert quiet[0] == "loom-1: follows loom-0, token 41" and "not active" in quiet[1]
+    without_links = describe("loom-1", LeaderAnnouncement("loom-0", 41, "loom-1"))
+    assert without_links[0] == "loom-1: follows loom-0, token 41" and "not active" in without_links[1]
     broken = describe("loom-1", LeaderAnnouncement(None, 41, "loom-1", links=msgspec.Raw(b'{"number":-1}')))
     assert broken[0] == "loom-1: follows nobody, token 41" and "can't be read" in broken[1]
 
@@ -49,7 +49,7 @@
     loop = asyncio.new_event_loop()
 
     async def announce(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(pynetstring.encode(encode(TOLD)))
+        writer.write(pynetstring.encode(encode(ANNOUNCEMENT)))
         await reader.read()
         writer.close()
 
@@ -64,15 +64,15 @@
     loop.close()
 
 
-def test_a_controller_that_tells_nothing_and_bad_settings_are_named(
+def test_a_controller_that_announces_nothing_and_bad_settings_are_named(
     announcing: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config = tmp_path / "settings.toml"
     text = settings("loom-0", NODES[:2]).replace('peer_listen = "10.0.0.1:8081"', f'peer_listen = "{announcing}"')
     config.write_text(text.replace('address = "10.0.0.1:8081"', 'address = "127.0.0.1:1"'))
     assert cli.main(["links", "--config", str(config)]) == 1
-    told = capsys.readouterr()
-    assert "loom-0: leads, token 41" in told.out and told.err.startswith("loom-1: nothing told: 127.0.0.1:1: ")
+    printed = capsys.readouterr()
+    assert "loom-0: leads, token 41" in printed.out and printed.err.startswith("loom-1: nothing told: 127.0.0.1:1: ")
     config.write_text(text.replace('site = "east"', "site = 5", 1))
     assert cli.main(["links", "--config", str(config)]) == 2
     assert str(config) in capsys.readouterr().err
--- a/src/elmthread/reachability/tests/test_links.py
+++ b/src/elmthread/reachability/tests/test_links.py
@@ -13,10 +13,10 @@
 
 from elmthread.common.clock import ZERO, seconds
 from elmthread.reachability.backoff import LeadershipBackoff
-from elmthread.reachability.bounds import HOUR, JITTER, ReachabilityBounds
-from elmthread.reachability.exchange import ViewExchange
-from elmthread.reachability.links import Link, LinkState
+from elmthread.reachability.bounds import BACKOFF_JITTER, HOUR, ReachabilityBounds
+from elmthread.reachability.links import LinkState
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage, encode_view
+from elmthread.reachability.view_exchange import ViewExchange
 
 # The same examples in every run.
 PLAYED = settings(derandomize=True, database=None, deadline=None)
@@ -38,7 +38,7 @@
 
 
 EVENTS = st.lists(
-    st.tuples(st.sampled_from(["confirm", "hear", "look"]), st.floats(0.0, 6.0), st.floats(0.0, 6.0)), max_size=12
+    st.tuples(st.sampled_from(["confirm", "arrive", "look"]), st.floats(0.0, 6.0), st.floats(0.0, 6.0)), max_size=12
 )
 
 
@@ -47,17 +47,21 @@
 def test_only_a_round_trip_confirms_and_only_for_its_time(events: list[tuple[str, float, float]]) -> None:
     """Against the plain reading: the age of the newest round trip's beginning says it all, whoever looks when."""
     time = Time()
-    link = Link("x", time, seconds(3), seconds(7))
-    newest, known = time.now, False
+    bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(14))
+    receiver, sender = ViewExchange("a", ["x"], bounds, time, 1000), ViewExchange("x", ["a"], bounds, time, 2000)
+    link = receiver.links["x"]
+    newest, known, arrived = time.now, False, 0
     for kind, later, before in events:
         time.pass_by(later)
         if kind == "confirm":
             began = max(seconds(100), time.now - seconds(before))
             link.confirm(began)
             newest, known = (max(newest, began) if known else began), True
-        elif kind == "hear":
-            link.hear()
-            assert link.heard_at == time.now
+        elif kind == "arrive":
+            # It echoes nothing that was sent here.
+            arrived += 1
+            assert receiver.receive("x", announced_by(sender)) is None
+            assert receiver.echoes() == {"x": 2000 + arrived}
         age = time.now - newest
         if known and age <= seconds(3):
             assert link.state is LinkState.CONFIRMED
@@ -72,8 +76,8 @@
     )
 
 
-def said(one: ViewExchange, **changes: Any) -> msgspec.Raw:
-    """A view of a node with a good link to the state service."""
+def announced_by(one: ViewExchange, **changes: Any) -> msgspec.Raw:
+    """The view of a node with a confirmed link to the key-value store."""
     view = LinkViewMessage(one.next_number(), one.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
     return msgspec.Raw(encode_view(msgspec.structs.replace(view, **changes)))
 
@@ -81,13 +85,13 @@
 def test_a_link_is_confirmed_by_an_echo_as_of_the_sending() -> None:
     time = Time()
     a, b = pair(time)
-    assert b.hear("a", said(a)) is None
-    assert b.links["a"].heard_at is not None and b.links["a"].state is LinkState.DOUBTFUL
+    assert b.receive("a", announced_by(a)) is None
+    assert b.echoes() == {"a": 1001} and b.links["a"].state is LinkState.DOUBTFUL
     time.pass_by(1)
     sent = time.now
-    echo = said(b)
+    echo = announced_by(b)
     time.pass_by(1)
-    assert a.hear("b", echo) is not None
+    assert a.receive("b", echo) is not None
     # A's message was sent two seconds ago, and that is as far as the round trip reaches back.
     assert a.links["b"].confirmed_at == sent - seconds(1) and a.view_of("b") is not None
     time.pass_by(2.5)
@@ -100,20 +104,20 @@
     for _ in range(10):
         time.pass_by(1)
         a.next_number()
-        assert a.hear("b", said(b)) is None
-    assert a.links["b"].state is LinkState.CUT and a.links["b"].heard_at == time.now
+        assert a.receive("b", announced_by(b)) is None
+    assert a.links["b"].state is LinkState.CUT and a.echoes() == {"b": 2010}
 
 
-def test_a_view_that_was_held_up_is_dropped_by_our_own_clock() -> None:
+def test_a_view_that_was_held_up_is_rejected_by_our_own_clock() -> None:
     time = Time()
     a, b = pair(time)
-    b.hear("a", said(a))
-    held = said(b)
-    time.pass_by(BOUNDS.view_age.total_seconds() + 0.1)
-    assert a.hear("b", held) is None and a.dropped == 1 and a.view_of("b") is None
+    b.receive("a", announced_by(a))
+    held = announced_by(b)
+    time.pass_by(BOUNDS.max_view_age.total_seconds() + 0.1)
+    assert a.receive("b", held) is None and a.rejected_count == 1 and a.view_of("b") is None
     # An earlier process of ours sent what this one echoes.
     again = ViewExchange("a", ["b", "c"], BOUNDS, time, 500_000)
-    assert again.hear("b", held) is None and again.links["b"].state is not LinkState.CONFIRMED
+    assert again.receive("b", held) is None and again.links["b"].state is not LinkState.CONFIRMED
 
 
 @pytest.mark.parametrize(
@@ -129,48 +133,52 @@
         ("b", {"number": "nine"}),
         ("b", {"store": {"state": "splendid"}}),
     ],
-    ids=["unknown", "never", "negative", "endless", "itself", "heir of itself", "not sent", "text", "no state"],
+    ids=["unknown", "never", "negative", "endless", "itself", "its own successor", "not sent", "text", "no state"],
 )
-def test_what_is_malformed_contradictory_or_of_an_unknown_node_is_dropped(sender: str, changes: dict[str, Any]) -> None:
+def test_a_view_that_is_malformed_contradictory_or_of_an_unknown_node_is_rejected(
+    sender: str, changes: dict[str, Any]
+) -> None:
     time = Time()
     a, b = pair(time)
-    b.hear("a", said(a))
-    good = json.loads(bytes(said(b)))
+    b.receive("a", announced_by(a))
+    good = json.loads(bytes(announced_by(b)))
     built = msgspec.Raw(msgspec.json.encode(good | msgspec.to_builtins(changes)))
-    assert a.hear(sender, built) is None
-    assert a.dropped == 1 and a.view_of("b") is None
-    assert a.hear("b", said(b)) is not None
+    assert a.receive(sender, built) is None
+    assert a.rejected_count == 1 and a.view_of("b") is None
+    assert a.receive("b", announced_by(b)) is not None
 
 
-def test_rests_grow_while_cuts_return_and_are_forgotten_in_quiet() -> None:
+def test_backoffs_grow_while_cuts_return_and_are_forgotten_without_cuts() -> None:
     time = Time()
     backoff = LeadershipBackoff(BOUNDS, time, random.Random(1), alone=False)
-    assert not backoff.resting and backoff.wait_before_standing(ZERO) == ZERO
-    rests = []
+    assert not backoff.is_active and backoff.candidacy_delay(ZERO) == ZERO
+    durations = []
     for _ in range(8):
-        backoff.rest()
+        backoff.begin()
         began = time.now
-        # A vacancy ends what a rest leaves to others.
-        assert backoff.wait_before_standing(BOUNDS.least_rest) == ZERO
-        assert ZERO < backoff.wait_before_standing(ZERO) <= BOUNDS.least_rest
-        while backoff.resting:
+        # A vacancy ends what a backoff leaves to others.
+        assert backoff.candidacy_delay(BOUNDS.min_backoff) == ZERO
+        assert ZERO < backoff.candidacy_delay(ZERO) <= BOUNDS.min_backoff
+        while backoff.is_active:
             time.pass_by(0.5)
-        rests.append(time.now - began)
-    assert rests[0] <= BOUNDS.least_rest + seconds(0.5) and rests[-1] > BOUNDS.longest_rest * (1 - JITTER)
-    assert max(rests) <= BOUNDS.longest_rest + seconds(0.5) and rests[3] > rests[0]
-    time.pass_by(10 * BOUNDS.longest_rest.total_seconds())
-    backoff.rest()
-    assert backoff._until - time.now == BOUNDS.least_rest
+        durations.append(time.now - began)
+    assert durations[0] <= BOUNDS.min_backoff + seconds(0.5) and durations[-1] > BOUNDS.max_backoff * (
+        1 - BACKOFF_JITTER
+    )
+    assert max(durations) <= BOUNDS.max_backoff + seconds(0.5) and durations[3] > durations[0]
+    time.pass_by(10 * BOUNDS.max_backoff.total_seconds())
+    backoff.begin()
+    assert backoff._until - time.now == BOUNDS.min_backoff
     # Nobody is there to leave leadership to.
     alone = LeadershipBackoff(BOUNDS, time, random.Random(1), alone=True)
-    alone.rest(at_length=True)
-    assert not alone.resting
+    alone.begin(longest=True)
+    assert not alone.is_active
 
 
 @settings(PLAYED)
 @given(st.integers(0, 1000), st.sampled_from([0.1, 0.5, 3.0, 30.0, 100.0]))
 def test_terms_that_cuts_end_are_no_more_than_the_bound_in_any_hour(seed: int, longest_pause: float) -> None:
-    """Three nodes, each of whose terms is ended at once; the next begins as soon as the rests allow it."""
+    """Three nodes, each of whose terms is ended at once; the next begins as soon as the backoffs allow it."""
     time = Time()
     nodes = [LeadershipBackoff(BOUNDS, time, random.Random(seed + n), alone=False) for n in range(3)]
     began: list[timedelta] = []
@@ -178,10 +186,10 @@
     rng = random.Random(seed)
     for _ in range(2000):
         time.pass_by(rng.uniform(0.0, longest_pause))
-        waits = [one.wait_before_standing(time.now - vacant_since) for one in nodes]
+        waits = [one.candidacy_delay(time.now - vacant_since) for one in nodes]
         if min(waits) == ZERO:
-            nodes[waits.index(ZERO)].rest()
+            nodes[waits.index(ZERO)].begin()
             began.append(time.now)
             vacant_since = time.now
     for number, first in enumerate(began):
-        assert bisect_left(began, first + HOUR) - number <= BOUNDS.most_terms_an_hour(3)
+        assert bisect_left(began, first + HOUR) - number <= BOUNDS.max_terms_per_hour(3)
--- /dev/null
+++ b/src/elmthread/reachability/tests/test_misdirected.py
@@ -0,0 +1,90 @@
+"""How misdirected heartbeats are redirected, counted and announced."""
+
+import itertools
+
+import cbor2
+
+from elmthread.common.clock import seconds
+from elmthread.net.http import Request
+from elmthread.peers.messages import LeaderAnnouncement
+from elmthread.reachability.decisions import majority_elsewhere
+from elmthread.reachability.misdirected import MisdirectedHeartbeat, MisdirectedHeartbeats
+
+
+def announcement(
+    node: str, count: int, sample: list[MisdirectedHeartbeat], machine_count: int = 0
+) -> LeaderAnnouncement:
+    """What a node announces in the term of token 9."""
+    return LeaderAnnouncement("a", 9, node, count, sample, machine_count)
+
+
+def summary(misdirected: MisdirectedHeartbeats, fencing_token: int) -> tuple[int, list[MisdirectedHeartbeat]]:
+    summarized = misdirected.summarize(fencing_token)
+    return summarized.count, summarized.sample
+
+
+def test_only_most_machines_silent_here_and_heard_elsewhere_are_a_reason() -> None:
+    assert majority_elsewhere(600, 400, 250)
+    # Dead or cut off from all: another leader would hear no more of them.
+    assert not majority_elsewhere(600, 600, 0)
+    # A zone with its controller is cut off: the rest is heard here.
+    assert not majority_elsewhere(600, 150, 150)
+    assert not majority_elsewhere(0, 0, 0)
+    # Reports arrive here, answers don't arrive there.
+    assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
+
+
+def test_machines_that_miss_the_leader_are_counted_once_and_for_a_while() -> None:
+    now = [seconds(0)]
+    count = itertools.count(1)
+    misdirected = MisdirectedHeartbeats(lambda: now[0], seconds(7))
+    misdirected.observe(announcement("a", 0, [], machine_count=10))
+
+    def comes(machine: str, fencing_token: int, leader: str | None = "a") -> object:
+        body = {"loom": machine, "baton": fencing_token, "shift": 1, "tally": next(count)}
+        return misdirected.redirect(Request("POST", "/", {}, cbor2.dumps(body)), leader, 9).response().body
+
+    # One that has not seen this leadership is sent to it; of those that have, and come all the
+    # same, one alone is sent back, and many go on to the next node.
+    assert comes("m-1", 5) == {"foreman": "a"} and comes("m-1", 0) == {"foreman": "a"}
+    assert summary(misdirected, 9) == (0, [])
+    assert comes("m-1", 9) == {"foreman": "a"} and comes("m-1", 9) == {"foreman": "a"}
+    assert comes("m-2", 9) == {} and comes("m-1", 9) == {} and comes("m-2", 9) == {}
+    assert comes("m-3", 9, None) == {}
+    assert misdirected.redirect(Request("POST", "/", {}, b"\xff"), "a", 9).response().body == {"foreman": "a"}
+    assert summary(misdirected, 9) == (2, [("m-1", 1, 6), ("m-2", 1, 7)])
+    # Of an earlier leadership it says nothing.
+    assert summary(misdirected, 10) == (0, [])
+    now[0] = seconds(8)
+    assert summary(misdirected, 9) == (0, [])
+
+
+def test_one_alone_is_sent_back_however_small_the_fleet() -> None:
+    """Sent round all nodes for one lost answer, it would reach its leader after its lease."""
+    misdirected = MisdirectedHeartbeats(lambda: seconds(0), seconds(7))
+    misdirected.observe(announcement("a", 0, [], machine_count=6))
+
+    def comes(machine: str) -> object:
+        body = {"loom": machine, "baton": 9, "shift": 1, "tally": 1}
+        return misdirected.redirect(Request("POST", "/", {}, cbor2.dumps(body)), "a", 9).response().body
+
+    assert comes("m-1") == {"foreman": "a"} and comes("m-1") == {"foreman": "a"} and comes("m-2") == {}
+
+
+def test_what_another_node_announces_counts_as_far_as_it_is_newer() -> None:
+    now = [seconds(0)]
+    misdirected = MisdirectedHeartbeats(lambda: now[0], seconds(7))
+    sample = [MisdirectedHeartbeat(f"m-{number}", 1, number) for number in range(4)]
+    misdirected.observe(announcement("b", 40, sample))
+    misdirected.observe(announcement("c", 10, sample))
+    misdirected.observe(announcement("d", 70, []))
+    estimates = {node: misdirected.estimate_at(node, 9, lambda heartbeat: True) for node in "abcd"}
+    assert (
+        estimates == {"a": 0, "b": 40, "c": 10, "d": 0}
+        and misdirected.estimate_at("b", 10, lambda heartbeat: True) == 0
+    )
+    # Late copies of what the leader has had are no sign that machines reach another node.
+    assert misdirected.estimate_at("b", 9, lambda heartbeat: heartbeat.sequence > 2) == 10
+    assert misdirected.estimate_at("b", 9, lambda heartbeat: False) == 0
+    now[0] = seconds(8)
+    assert misdirected.estimate_at("b", 9, lambda heartbeat: True) == 0
--- a/src/elmthread/reachability/exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -20,18 +20,18 @@
 log = logging.getLogger(__name__)
 
 # Messages of ours whose sending is remembered; an echo of an older one is too old to confirm anything.
-MOST_SENT = 64
+MAX_REMEMBERED_SENDINGS = 64
 
 
-class HeardView(msgspec.Struct, frozen=True):
-    """A view that counts, and the latest moment by our clock at which it may have been made before."""
+class ReceivedView(msgspec.Struct, frozen=True):
+    """A view that counts, and the latest moment by our clock after which it was certainly made."""
 
     view: LinkViewMessage
     made_after: timedelta
 
 
 class ViewExchange:
-    """Numbers what is said, and keeps the newest view of each other node."""
+    """Numbers this node's messages, and keeps the newest view of each other node."""
 
     def __init__(
         self, node: str, others: Iterable[str], bounds: ReachabilityBounds, clock: Clock, first_number: int
@@ -41,64 +41,64 @@
         self._bounds = bounds
         self._clock = clock
         self.links: Mapping[str, Link] = {
-            other: Link(other, clock, bounds.peer_confirmed, bounds.cut_after) for other in others
+            other: Link(other, clock, bounds.peer_confirmed_for, bounds.cut_after) for other in others
         }
         self._number = first_number
-        self._sent: deque[tuple[int, timedelta]] = deque(maxlen=MOST_SENT)
-        self._views: dict[str, HeardView] = {}
-        self._newest: dict[str, int] = {}
-        self.dropped = 0
+        self._sent: deque[tuple[int, timedelta]] = deque(maxlen=MAX_REMEMBERED_SENDINGS)
+        self._views: dict[str, ReceivedView] = {}
+        self._newest_numbers: dict[str, int] = {}
+        self.rejected_count = 0
 
     def next_number(self) -> int:
-        """The number of a message that is sent now."""
+        """Return the number of a message that is sent now."""
         self._number += 1
         self._sent.append((self._number, self._clock()))
         return self._number
 
     def echoes(self) -> dict[str, int]:
-        """The newest message of each node that was heard."""
-        return dict(self._newest)
+        """Return the number of the newest message that was received from each node."""
+        return dict(self._newest_numbers)
 
-    def hear(self, sender: str, raw: msgspec.Raw) -> LinkViewMessage | None:
-        """Takes in a view; None where it is dropped, or too old for anything that it says to count."""
+    def receive(self, sender: str, raw: msgspec.Raw) -> LinkViewMessage | None:
+        """Return the view; None where it is rejected, or too old for anything that it says to count."""
         link = self.links.get(sender)
         if link is None:
-            self._drop(sender, "unknown node")
+            self._reject(sender, "unknown node")
             return None
-        link.hear()
         try:
             view = read_view(raw, sender, self._node, self._number)
         except InvalidViewError as error:
-            self._drop(sender, str(error))
+            self._reject(sender, str(error))
             return None
         # Echoed whatever its age: after a cut the first messages of both sides echo what is too old, and
         # without an echo of these neither side would ever say anything newer.
-        self._newest[sender] = view.number
+        self._newest_numbers[sender] = view.number
         sent_at = self._sent_at(view.echoes.get(self._node))
         if sent_at is None:
             return None
         known = self._views.get(sender)
-        if self._clock() - sent_at > self._bounds.view_age:
-            self._drop(sender, "too old")
+        if self._clock() - sent_at > self._bounds.max_view_age:
+            self._reject(sender, "too old")
             return None
         if known is not None and sent_at < known.made_after:
             # Two connections lead to each node, and a newer view has come over the other one.
             return None
         link.confirm(sent_at)
-        self._views[sender] = HeardView(view, sent_at)
+        self._views[sender] = ReceivedView(view, sent_at)
         return view
 
     def view_of(self, node: str) -> LinkViewMessage | None:
-        """The newest view of a node, while it counts."""
-        heard = self._views.get(node)
-        if heard is None or self._clock() - heard.made_after > self._bounds.view_age:
+        """Return the newest view of a node, while it counts."""
+        received = self._views.get(node)
+        if received is None or self._clock() - received.made_after > self._bounds.max_view_age:
             return None
-        return heard.view
+        return received.view
 
     def _sent_at(self, number: int | None) -> timedelta | None:
         return next((at for sent, at in self._sent if sent == number), None)
 
-    def _drop(self, sender: str, why: str) -> None:
-        self.dropped += 1
-        if self.dropped & (self.dropped - 1) == 0:
-            log.warning("view of %s dropped (%s so far): %s", sender, self.dropped, why)
+    def _reject(self, sender: str, reason: str) -> None:
+        self.rejected_count += 1
+        # Logged at every power of two only.
+        if self.rejected_count & (self.rejected_count - 1) == 0:
+            log.warning("view of %s rejected (%s so far): %s", sender, self.rejected_count, reason)
--- a/src/elmthread/reachability/census.py
+++ b/src/elmthread/reachability/zone_counts.py
@@ -8,8 +8,8 @@
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO, Clock, seconds
 
-# Counts this old are good enough for all who judge by them.
-LIFETIME = seconds(0.4)
+# Counts this old are recent enough for all who judge by them.
+MAX_AGE = seconds(0.4)
 
 
 class ZoneCount(msgspec.Struct):
@@ -19,36 +19,36 @@
     expected: int = 0
     # Of these, silent for so long that they get nothing new.
     silent: int = 0
-    # Of these, that have reported in time on a connection on which our answer had arrived.
+    # Of these, that have reported in time on a connection on which our response had arrived.
     confirmed: int = 0
 
 
-class Census:
-    """Counts by zone."""
+class ZoneCounts:
+    """The machines of a term, counted by zone."""
 
     def __init__(
-        self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, began: timedelta
+        self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, term_began: timedelta
     ) -> None:
-        """`began` is when this term did: until then no machine could report to it."""
+        """`term_began`: until then no machine could report to it."""
         self._machines = machines
         self._clock = clock
         self._heartbeat_timeout = heartbeat_timeout
-        self._began = began
-        self._taken_at: timedelta | None = None
+        self._term_began = term_began
+        self._counted_at: timedelta | None = None
         self._zones: dict[str, ZoneCount] = {}
 
-    def zones(self) -> Mapping[str, ZoneCount]:
-        """Each zone's count, not older than `LIFETIME`."""
+    def by_zone(self) -> Mapping[str, ZoneCount]:
+        """Return the count of each zone, not older than `MAX_AGE`."""
         now = self._clock()
-        if self._taken_at is None or now - self._taken_at > LIFETIME:
+        if self._counted_at is None or now - self._counted_at > MAX_AGE:
             self._zones = self._count(self._machines.values(), now)
-            self._taken_at = now
+            self._counted_at = now
         return self._zones
 
     def total(self) -> ZoneCount:
-        """All zones together."""
+        """Return the counts of all zones together."""
         total = ZoneCount()
-        for count in self.zones().values():
+        for count in self.by_zone().values():
             total.expected += count.expected
             total.silent += count.silent
             total.confirmed += count.confirmed
@@ -64,7 +64,7 @@
             if count is None:
                 count = zones[machine.zone] = ZoneCount()
             count.expected += 1
-            count.silent += machine.is_silent(now, self._began)
+            count.silent += machine.is_silent(now, self._term_began)
             if machine.state is MachineState.UP and machine.receives_responses:
                 count.confirmed += (machine.last_heartbeat_at or ZERO) >= in_time
         return zones
--- a/src/elmthread/reachability/zones.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -5,9 +5,9 @@
 
 from elmthread.common.clock import Clock
 from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.reachability.census import Census, ZoneCount
 from elmthread.reachability.links import Link, LinkState
 from elmthread.reachability.messages import LinkStatus, status_of
+from elmthread.reachability.zone_counts import ZoneCount, ZoneCounts
 
 log = logging.getLogger(__name__)
 
@@ -22,34 +22,34 @@
 class ZoneHealth:
     """Counts the machines of each zone and keeps the link to its workers, for one term."""
 
-    def __init__(self, census: Census, bounds: ReachabilityBounds, clock: Clock) -> None:
-        """`census` counts the machines of the term's cluster."""
-        self.census = census
+    def __init__(self, counts: ZoneCounts, bounds: ReachabilityBounds, clock: Clock) -> None:
+        """`counts` are those of the term's machines."""
+        self.counts = counts
         self._bounds = bounds
         self._clock = clock
         self._links: dict[str, Link] = {}
-        # Zones that seem to be cut off, and whether hardly any machine is silent, as of the last look.
+        # Zones that seem to be unreachable, and whether hardly any machine is silent, as of the last look.
         self.unreachable: frozenset[str] = frozenset()
         self.silence_is_rare = True
 
     def find_unreachable(self) -> bool:
         """Judge which zones seem to be cut off; return whether that has changed."""
-        total = self.census.total()
+        total = self.counts.total()
         self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
         unreachable = frozenset(
             zone
-            for zone, count in self.census.zones().items()
+            for zone, count in self.counts.by_zone().items()
             if count.silent >= MIN_MACHINES_TO_JUDGE and count.silent > UNREACHABLE_SHARE * count.expected
         )
         if unreachable == self.unreachable:
             return False
-        log.info("zones that seem to be cut off: %s", ", ".join(sorted(unreachable)) or "none")
+        log.info("zones that seem to be unreachable: %s", ", ".join(sorted(unreachable)) or "none")
         self.unreachable = unreachable
         return True
 
     def is_in_doubt(self, zone: str) -> bool:
         """Return whether the silence of a zone's machines may be a fault of this node's own link to them."""
-        count = self.census.zones().get(zone)
+        count = self.counts.by_zone().get(zone)
         if count is None or count.expected < MIN_MACHINES_TO_JUDGE or count.silent * 2 <= count.expected:
             return False
         link = self._links.get(zone)
@@ -59,12 +59,12 @@
         """Confirm the link to each zone of which most machines are heard."""
         # The oldest heartbeat by which a machine counts as heard came then, and our response went out before it.
         began = self._clock() - self._bounds.heartbeat_timeout
-        for zone, count in self.census.zones().items():
+        for zone, count in self.counts.by_zone().items():
             link = self._links.get(zone)
             if link is None:
                 name = f"the workers of {zone}"
                 link = self._links[zone] = Link(
-                    name, self._clock, self._bounds.workers_confirmed, self._bounds.cut_after
+                    name, self._clock, self._bounds.workers_confirmed_for, self._bounds.cut_after
                 )
             if _mostly_heard(count):
                 link.confirm(began)
--- a/src/elmthread/rollout/decide.py
+++ b/src/elmthread/rollout/activation.py
@@ -29,18 +29,18 @@
     detail: str = ""
 
     def __str__(self) -> str:
-        """For the log and for operators."""
+        """Return the text for the log and for operators."""
         return f"{self.node} {self.kind.value}{f' ({self.detail})' if self.detail else ''}"
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """The level stays; names every node that keeps it. Nobody: there is nothing to raise it to."""
+    """The level stays, because of these nodes; without any there is no higher level."""
 
     obstacles: tuple[Obstacle, ...] = ()
 
 
 class Activate(msgspec.Struct, frozen=True):
-    """The level may be raised, if the view's stamps still stand when the transaction is carried out."""
+    """The level may be raised, if the view's revisions still stand when the transaction is carried out."""
 
     level: int
     level_mod_revision: int
@@ -48,30 +48,30 @@
 
 
 def plan_activation(view: RolloutView, members: frozenset[str], supported: SupportedLevels) -> Activate | Wait:
-    """Raises the level to the highest that every member can read and write and that nobody holds back."""
+    """Return the highest level that every member can read and write and that nobody holds back, or who keeps it."""
     readable: dict[str, Announcement] = {}
-    unfit: list[Obstacle] = []
+    obstacles: list[Obstacle] = []
     for node in sorted(members):
         found = view.announcements.get(node)
-        obstacle = _unfit(node, found, view.level, members)
+        obstacle = _announcement_obstacle(node, found, view.level, members)
         if obstacle is not None:
-            unfit.append(obstacle)
+            obstacles.append(obstacle)
         elif isinstance(found, Announcement):
             readable[node] = found
-    if unfit:
-        return Wait((*unfit, *_limits(readable, view.level + 1)))
-    target = min([supported.highest, *map(_highest, readable.values())])
+    if obstacles:
+        return Wait((*obstacles, *_level_obstacles(readable, view.level + 1)))
+    target = min([supported.highest, *map(_highest_allowed, readable.values())])
     if target > view.level:
         return Activate(target, view.level_mod_revision, tuple(readable.items()))
     if view.level >= supported.highest:
         return Wait()
-    return Wait(tuple(_limits(readable, view.level + 1)))
+    return Wait(tuple(_level_obstacles(readable, view.level + 1)))
 
 
-def _unfit(
+def _announcement_obstacle(
     node: str, found: Announcement | UnreadableAnnouncement | None, level: int, members: frozenset[str]
 ) -> Obstacle | None:
-    """What is wrong with a node's announcement, whatever the level is to be."""
+    """Return what is wrong with a node's announcement, whatever the level is to be."""
     if found is None:
         return Obstacle(node, ObstacleKind.NOT_ANNOUNCED)
     if isinstance(found, UnreadableAnnouncement):
@@ -84,15 +84,15 @@
     return None
 
 
-def _highest(announcement: Announcement) -> int:
-    """The highest level that a node allows."""
+def _highest_allowed(announcement: Announcement) -> int:
+    """Return the highest level that a node allows."""
     if announcement.hold_at is None:
         return announcement.levels.highest
     return min(announcement.levels.highest, announcement.hold_at)
 
 
-def _limits(readable: dict[str, Announcement], wanted: int) -> Iterator[Obstacle]:
-    """Nodes that do not allow the wanted level."""
+def _level_obstacles(readable: dict[str, Announcement], wanted: int) -> Iterator[Obstacle]:
+    """Yield an obstacle for each node that does not allow the wanted level."""
     for node, found in readable.items():
         if found.levels.highest < wanted:
             detail = f"levels {found.levels.lowest} to {found.levels.highest}"
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -7,9 +7,8 @@
 from elmthread.common.clock import steady
 from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.net.http import Client
-from elmthread.rollout.decide import Activate, plan_activation
-from elmthread.rollout.messages import UnreadableLevelError, read_view
-from elmthread.rollout.store import RolloutRecords, read_records
+from elmthread.rollout.activation import Activate, plan_activation
+from elmthread.rollout.records import UnreadableLevelError, read_records, read_view
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.settings.platform import Platform
 from elmthread.settings.rollout import RolloutSettings
@@ -17,22 +16,18 @@
 from elmthread.store.pacing import TokenBucket
 
 OK, FAILED = 0, 1
-REQUESTS_PER_SECOND = 10.0
+MAX_STORE_RPS = 10.0
 
 
 def run(platform: Platform, settings: RolloutSettings) -> int:
-    """Prints the state of the rollout."""
-    client = KeyValueStore(
-        Client(platform.endpoints.state), TokenBucket(REQUESTS_PER_SECOND, REQUESTS_PER_SECOND, steady)
-    )
-    members = platform.members
+    """Print the state of the rollout; return 1 where it can't be read."""
+    client = KeyValueStore(Client(platform.endpoints.state), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
     try:
-        records: RolloutRecords = asyncio.run(read_records(client))
-        view = read_view(records.items)
+        view = read_view(asyncio.run(read_records(client)).items)
     except (StoreError, UnreadableLevelError) as error:
         print(f"elmthread: {platform.endpoints.state}: {error}", file=sys.stderr)
         return FAILED
-    for line in describe(view, members, SUPPORTED, settings, time.time()):
+    for line in describe(view, platform.members, SUPPORTED, settings, time.time()):
         print(line)
     return OK
 
@@ -40,21 +35,21 @@
 def describe(
     view: RolloutView, members: frozenset[str], supported: SupportedLevels, settings: RolloutSettings, now: float
 ) -> list[str]:
-    """The state of the rollout, line by line."""
+    """Return the state of the rollout, line by line."""
     lines = [f"active level: {view.level}"]
     for feature, description in REGISTRY.items():
         state = "active" if description.level <= view.level else "off"
         lines.append(f"  {feature.name} (level {description.level}): {state}; {description.what}")
     lines += [_describe_node(node, view.announcements.get(node), now) for node in sorted(members)]
-    strangers = sorted(view.announcements.keys() - members)
-    if strangers:
-        lines.append(f"announced, but not in these settings: {', '.join(strangers)}")
+    unknown_nodes = sorted(view.announcements.keys() - members)
+    if unknown_nodes:
+        lines.append(f"announced, but not in these settings: {', '.join(unknown_nodes)}")
     plan = plan_activation(view, members, supported)
     if isinstance(plan, Activate):
         latest = max(found.announced_at for found in view.announcements.values() if isinstance(found, Announcement))
-        left = max(0.0, latest + settings.soak_s - now)
+        remaining_s = max(0.0, latest + settings.soak_s - now)
         lines.append(
-            f"level {plan.level} may be activated, in about {left:.0f} s or {settings.soak_s:.0f} s "
+            f"level {plan.level} may be activated, in about {remaining_s:.0f} s or {settings.soak_s:.0f} s "
             "after the last change of leader, whichever is later"
         )
     elif plan.obstacles:
@@ -70,5 +65,5 @@
     if isinstance(found, UnreadableAnnouncement):
         return f"{node}: unreadable announcement: {found.reason}"
     held = "" if found.hold_at is None else f", holds at {found.hold_at}"
-    age = max(0.0, now - found.announced_at)
-    return f"{node}: levels {found.levels.lowest} to {found.levels.highest}{held}, announced {age:.0f} s ago"
+    age_s = max(0.0, now - found.announced_at)
+    return f"{node}: levels {found.levels.lowest} to {found.levels.highest}{held}, announced {age_s:.0f} s ago"
--- a/src/elmthread/rollout/messages.py
+++ b/src/elmthread/rollout/records.py
@@ -1,30 +1,32 @@
-"""The rollout's records in the state service.
+"""The rollout's records in the key-value store.
 
 `rollout/nodes/NODE` is a controller's announcement and the only record besides the leader key that a
 follower writes. `rollout/level` is the active level, written by the leader. Versions that know no levels
-read neither prefix. The fence stands among the slots' records under a key that those versions do read,
+read neither prefix. The fence stands among the records of the pages under a key that those versions do read,
 in a form that they refuse.
 """
 
 from collections.abc import Iterable
-from typing import Annotated, Any
+from typing import Annotated, Any, TypeVar
 
 import msgspec
 
 from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
+from elmthread.store.client import KeyValueStore, read_all
 from elmthread.store.messages import KeyValue
 
 PREFIX = "rollout/"
 LEVEL_KEY = f"{PREFIX}level"
 NODES_PREFIX = f"{PREFIX}nodes/"
 FENCE_KEY = "t/compatibility"
+PAGE_SIZE = 200
 
 Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=LAST_LEVEL)]
 
 
 class AnnouncementRecord(msgspec.Struct, omit_defaults=True):
-    """The levels of one controller's present process, and whom it takes for members."""
+    """The levels of one controller's present process, and the members in its settings."""
 
     lowest: Level
     highest: Level
@@ -36,7 +38,7 @@
 
 
 class LevelRecord(msgspec.Struct, rename={"fencing_token": "token"}):
-    """The active level, and the leader's token under which it was raised."""
+    """The active level, and the fencing token under which it was raised."""
 
     level: Level
     fencing_token: int
@@ -48,38 +50,46 @@
     level: Level
 
 
+LevelOrFence = TypeVar("LevelOrFence", LevelRecord, FenceRecord)
+
+
+class RolloutRecords(msgspec.Struct, frozen=True):
+    """All records under the rollout's prefix, and a revision from which a watch sees what changes."""
+
+    items: list[KeyValue]
+    revision: int
+
+
 class UnreadableLevelError(Exception):
     """The record of the active level, or the fence, is malformed: nothing may be concluded from it."""
 
 
 def node_key(node: str) -> str:
-    """Where a controller announces its levels."""
+    """Return the key under which a controller announces its levels."""
     return f"{NODES_PREFIX}{node}"
 
 
-def read_level(value: Any) -> LevelRecord:
-    """Raises UnreadableLevelError."""
+def read_level(key: str, value: Any, form: type[LevelOrFence]) -> LevelOrFence:
+    """Return the record of a level that stands under the key. Raises UnreadableLevelError."""
     try:
-        return msgspec.convert(value, LevelRecord)
+        return msgspec.convert(value, form)
     except msgspec.ValidationError as error:
-        raise UnreadableLevelError(f"{LEVEL_KEY}: {error}") from error
+        raise UnreadableLevelError(f"{key}: {error}") from error
 
 
-def read_fence(value: Any) -> FenceRecord:
-    """Raises UnreadableLevelError."""
-    try:
-        return msgspec.convert(value, FenceRecord)
-    except msgspec.ValidationError as error:
-        raise UnreadableLevelError(f"{FENCE_KEY}: {error}") from error
+async def read_records(store: KeyValueStore) -> RolloutRecords:
+    """Read all records under the rollout's prefix, page by page. Raises StoreError."""
+    items, revision = await read_all(store.page, PREFIX, PAGE_SIZE)
+    return RolloutRecords(items, revision)
 
 
 def read_view(items: Iterable[KeyValue]) -> RolloutView:
-    """The rollout's state from all records under its prefix. Raises UnreadableLevelError."""
+    """Return the rollout's state from all records under its prefix. Raises UnreadableLevelError."""
     level, level_mod_revision = FIRST_LEVEL, 0
     announcements: dict[str, Announcement | UnreadableAnnouncement] = {}
     for item in items:
         if item.key == LEVEL_KEY:
-            level, level_mod_revision = read_level(item.value).level, item.mod_revision
+            level, level_mod_revision = read_level(LEVEL_KEY, item.value, LevelRecord).level, item.mod_revision
         elif item.key.startswith(NODES_PREFIX):
             announcements[item.key.removeprefix(NODES_PREFIX)] = _read_announcement(item)
     return RolloutView(level, level_mod_revision, announcements)
--- a/src/elmthread/rollout/tests/test_decide.py
+++ b/src/elmthread/rollout/tests/test_activation.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SupportedLevels
-from elmthread.rollout.decide import Activate, ObstacleKind, Wait, plan_activation
+from elmthread.rollout.activation import Activate, ObstacleKind, Wait, plan_activation
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 
 NODES = ["a", "b", "c"]
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""A process that hears of a level it can't read while its announcement is on its way."""
+"""A process that is told of a level it can't read while its announcement is on its way."""
 
 import asyncio
 from typing import Any
@@ -6,7 +6,8 @@
 import pytest
 
 from elmthread.common.features import SupportedLevels
-from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError, Membership
+from elmthread.rollout.gate import CompatibilityGate, GateState, IncompatibleLevelError
+from elmthread.rollout.membership import Membership
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.messages import Page
 
@@ -27,9 +28,7 @@
 
     async def main() -> None:
         gate = CompatibilityGate(
-            Membership("a", frozenset({"a"})),
-            SupportedLevels(1, 1),
-            RolloutSettings(enabled=True),
+            Membership("a", frozenset({"a"}), SupportedLevels(1, 1), RolloutSettings(enabled=True)),
             SlowStore(),  # type: ignore[arg-type]
             lambda: refusals.append("refused"),
         )
@@ -38,7 +37,7 @@
         with pytest.raises(IncompatibleLevelError):
             gate.check(2)
         await asyncio.sleep(0.1)
-        # It once was a change of state that the table does not allow, which ended the process.
+        # A change of state that the table does not allow would have ended the process.
         assert gate.state is GateState.REFUSED and not gate.admitted and not running.done()
         running.cancel()
 
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -1,4 +1,4 @@
-"""What the state service says of the rollout, as plain values for decisions."""
+"""What the key-value store says of the rollout, as plain values for decisions."""
 
 from collections.abc import Mapping
 
@@ -20,14 +20,14 @@
 
 
 class UnreadableAnnouncement(msgspec.Struct, frozen=True):
-    """A record under a node's key that is no announcement."""
+    """A record under a node's key that is no valid announcement."""
 
     mod_revision: int
     reason: str
 
 
 class RolloutView(msgspec.Struct, frozen=True):
-    """The active level and all announcements, with the stamps by which a transaction compares them."""
+    """The active level and all announcements, with the revisions by which a transaction compares them."""
 
     level: int
     level_mod_revision: int
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -58,9 +58,6 @@
     def begin(self) -> timedelta:
         """A request is sent now."""
 
-    def hear(self) -> None:
-        """An answer came that proves no execution."""
-
     def confirm(self, began: timedelta) -> None:
         """A request that began then was executed."""
 
@@ -146,11 +143,9 @@
             answer = await self._caller.call(method, path, body, timeout=timeout)
         except NoResponseError as error:
             raise UnknownOutcomeError(str(error)) from error
-        if self._link is not None and began is not None:
-            if answer.status in (429, 503):
-                self._link.hear()
-            else:
-                self._link.confirm(began)
+        # A rejection proves no execution, and so no round trip to the store itself.
+        if self._link is not None and began is not None and answer.status not in (429, 503):
+            self._link.confirm(began)
         if answer.status == 429:
             self._requests.drain()
             raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {answer.body}")
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -96,8 +96,8 @@
     def fencing_token(self) -> int:
         """The revision of the leader key, which each transaction compares."""
 
-    def step_down(self, why: str) -> None:
-        """End the term, if it is still the present one."""
+    def end_after_conflict(self) -> None:
+        """End the term, if it is still the present one: a transaction found another leader."""
 
 
 @dataclass(frozen=True)
@@ -310,7 +310,7 @@
                 found = None if LEADER in lost.failed else await self._stamp_of(filled[0])
                 if found is None:
                     log.info("leadership lost: %s", lost.failed)
-                    self._term.step_down("a transaction found another leader")
+                    self._term.end_after_conflict()
                     return
                 self._done(filled, batch, found)
                 return
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -103,8 +103,3 @@
 
 def elsewhere(leader: str | None) -> dict[str, Any]:
     return {} if leader is None else {"foreman": leader}
-
-
-def names_leader(body: Any) -> bool:
-    """Whether an answer sends the worker to a certain controller."""
-    return isinstance(body, dict) and "foreman" in body
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from elmthread.leadership.election import Role
+from elmthread.leadership.role import Role
 from tests.test_world import day, restore
 from tests.world.world import World, job, start
 
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -17,10 +17,11 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SUPPORTED, SupportedLevels
-from elmthread.leadership.election import Election, Role
+from elmthread.leadership.election import Election
+from elmthread.leadership.role import Role
 from elmthread.reachability.backoff import LeadershipBackoff
-from elmthread.reachability.bounds import JITTER
-from elmthread.reachability.service import Reachability
+from elmthread.reachability.bounds import BACKOFF_JITTER
+from elmthread.reachability.succession import Succession
 from elmthread.settings.rollout import RolloutSettings
 from tests.test_world import HISTORIES, day
 from tests.world.history import History
@@ -44,7 +45,7 @@
     while world.loop.now < end:
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
-            total = leader.leader.reachability.zones.census.total()
+            total = leader.leader.reachability.zone_health.counts.total()
             if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
@@ -70,10 +71,10 @@
         await asyncio.sleep(8)
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
-        await until_led(world, bounds.longest_without_leader.total_seconds() + FIND_LEADER_S)
+        await until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
         states = await world.until_over(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
-        assert len(history.terms) <= bounds.most_terms_an_hour(len(world.nodes))
+        assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
     world = day(played, seed=seed, before=before, machines=8)
     assert histories[0].acts > 0
@@ -165,7 +166,7 @@
         await world.play_faults([cut("leader", "workers", length=600.0, on_s=on_s, off_s=off_s)])
         # Whoever leads is cut off each time. Once the rests have grown, a node gives way but once in each.
         assert world.leader is not None
-        rest = world.leader.reachability.bounds.longest_rest.total_seconds() * (1 - JITTER)
+        rest = world.leader.reachability.bounds.max_backoff.total_seconds() * (1 - BACKOFF_JITTER)
         late = [at for at, _, _ in history.terms if at > 300]
         assert len(late) <= len(NODES) * (300 / rest + 1), late
         assert set((await world.until_over(await users, 300)).values()) <= {"done", "cancelled"}
@@ -265,15 +266,15 @@
 async def kill_named(world: World, history: History) -> None:
     """The node that is named ends before it stands."""
     assert world.leader is not None
-    leader = world.leader.reachability
-    name_successor = leader.name_successor
+    succession = world.leader.reachability.succession
+    name_successor = succession.name_successor
 
     def named(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         world.kill(node)
         world.loop.call_later(0.3, start, world, node)
 
-    leader.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = named  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
@@ -281,15 +282,15 @@
 async def cut_named(world: World, history: History) -> None:
     """The node that is named loses the store as it is named."""
     assert world.leader is not None
-    leader = world.leader.reachability
-    name_successor = leader.name_successor
+    succession = world.leader.reachability.succession
+    name_successor = succession.name_successor
     cuts: list[asyncio.Task[None]] = []
 
     def named(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         cuts.append(world.loop.create_task(world.play_faults([cut(node, "store")])))
 
-    leader.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = named  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     await asyncio.gather(*cuts)
     assert cuts and len(history.terms) >= 2
@@ -297,7 +298,7 @@
 
 async def name_not_heard(world: World, history: History) -> None:
     """The others never hear who was named."""
-    with mock.patch.object(Reachability, "_hear_successor", lambda self, node, fencing_token: None):
+    with mock.patch.object(Succession, "observe_successor", lambda self, node, fencing_token: None):
         await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
@@ -401,7 +402,7 @@
     guards: dict[str, tuple[Any, str, Any, Script, str]] = {
         "sure lease": (Election, "holds_lease", always_sure, no_store, "without a sure lease"),
         "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
-        "vacancy ends a rest": (LeadershipBackoff, "wait_before_standing", whole_rest, alone, "no leader hears most"),
+        "vacancy ends a rest": (LeadershipBackoff, "candidacy_delay", whole_rest, alone, "no leader hears most"),
     }
     owner, name, without, script, told = guards[guard]
     cut_day(script)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -287,7 +287,7 @@
         assert leader is not None and leader.leader is not None
         # What waits to be written has not waited for long.
         backlog = [change.since.total_seconds() for change in leader.leader.writer._waiting.values()]
-        now = leader._clock().total_seconds()
+        now = leader.clock().total_seconds()
         assert not backlog or now - min(backlog) < 8
         assert len(sizes(world)) < 250
         world.kill(leader.api._node)
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -18,7 +18,7 @@
 from elmthread.common.features import FIRST_LEVEL, SUPPORTED
 from elmthread.peers import messages as peers
 from elmthread.reachability.messages import read_view
-from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
+from elmthread.rollout.records import FENCE_KEY, AnnouncementRecord, FenceRecord, LevelRecord, read_level
 from elmthread.store.assignments import read_machine
 from elmthread.store.done_marks import MOST_MARKS, done_tasks, read_done
 from tests.test_world import day
@@ -83,7 +83,7 @@
     elif form == "machine":
         read_machine(value, SUPPORTED)
     elif form == "fence":
-        read_fence(value)
+        read_level(FENCE_KEY, value, FenceRecord)
     elif form == "link view":
         read_view(msgspec.Raw(msgspec.json.encode(value)), "loom-0", "loom-1", value["echoes"].get("loom-1", 0))
     else:
@@ -154,7 +154,7 @@
                     check(level, form, value)
                     sent.add((level, form))
                 for one in world.controllers.values():
-                    frame = json.loads(peers.encode(one._say()))
+                    frame = json.loads(peers.encode(one.make_announcement()))
                     # The leader may know of a level that it has raised a moment ago.
                     check(level, "message lead", frame)
                     if "links" in frame:
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -14,7 +14,7 @@
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature
 from elmthread.rollout import gate as gate_module
 from elmthread.rollout import term as term_module
-from elmthread.rollout.decide import Activate, Wait, plan_activation
+from elmthread.rollout.activation import Activate, Wait, plan_activation
 from elmthread.rollout.gate import CompatibilityGate, GateState
 from elmthread.rollout.term import TermRollout
 from elmthread.rollout.view import Announcement, RolloutView
@@ -657,21 +657,21 @@
 
 def learn_at_once(rollout: TermRollout) -> None:
     """New forms do not wait for the fence, which is not put up."""
-    rollout._context.features.learn(rollout._level)
+    rollout._rollout.features.learn(rollout._level)
 
 
 FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
     "a majority is enough": (lambda: mock.patch.object(term_module, "plan_activation", by_majority), upgrade_most),
     "the activation does not compare the announcements": (
-        lambda: mock.patch.object(term_module, "store", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(term_module, "store_messages", GuardsLeftOut("/nodes/")),
         roll_back_as_the_level_rises,
     ),
     "an announcement does not compare the level": (
-        lambda: mock.patch.object(gate_module, "store", GuardsLeftOut("rollout/level")),
+        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("rollout/level")),
         raise_the_level_as_a_process_announces_itself,
     ),
     "an announcement does not compare the one before it": (
-        lambda: mock.patch.object(gate_module, "store", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("/nodes/")),
         announce_late,
     ),
     "new forms do not wait for the level": (
@@ -679,7 +679,7 @@
         mark_tasks_done_before_the_upgrade,
     ),
     "new forms do not wait for the fence": (
-        lambda: mock.patch.object(TermRollout, "_put_up_fence", learn_at_once),
+        lambda: mock.patch.object(TermRollout, "_write_fence", learn_at_once),
         mark_tasks_done,
     ),
     "processes are not asked which they are": (
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.store.log import SLOTS, RecordPages
 from tests.test_world import day
 from tests.world.faults import errors_logged
@@ -28,7 +29,7 @@
         await asyncio.sleep(8)
         put(world, "j/run-000002", {"state": "cancelled", "tasks": 4})
         assert world.leader is not None
-        world.leader.election.step_down("told to")
+        world.leader.election.step_down(StepDownReason.FAULT)
         await asyncio.sleep(8)
         assert await world.poll("run-000002") == "done"
         slots = [(k, v, mod_revision) for k, (v, mod_revision, _) in world.store.items.items() if k.startswith(SLOTS)]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -8,6 +8,7 @@
 
 from elmthread.cluster.machine import Machine
 from elmthread.common.clock import seconds
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.peers.messages import ForwardedRequest
 from tests.test_world import day, restore, set_apart
 from tests.world.world import World, job, start
@@ -212,7 +213,7 @@
         assert await world.withdraw(ids[0]) == "cancelled"
         assert await world.withdraw(ids[0]) == "cancelled"
         assert world.leader is not None
-        world.leader.election.step_down("told to")
+        world.leader.election.step_down(StepDownReason.FAULT)
         await asyncio.sleep(5)
         assert (await world.ask("POST", "/submissions", job(0, pieces=30))).body["status"] == "cancelled"
         states = await world.until_over(ids, 300)
@@ -589,14 +590,14 @@
         other = next(one for one in world.controllers.values() if one is not leader)
         name = other.api._node
         assert (await world.ask("GET", "/submissions/run-000001", node=name)).status == 200
-        ask = other.peers.ask
+        ask = other.peers.request
 
         async def overtaken(*args: Any) -> Any:
             reply = await ask(*args)
             other.election.observe_term(asked.fencing_token + 5, leader.api._node)
             return reply
 
-        other.peers.ask = overtaken  # type: ignore[method-assign,assignment]
+        other.peers.request = overtaken  # type: ignore[method-assign,assignment]
         assert (await world.ask("GET", "/submissions/run-000001", node=name)).status == 503
 
     day(script)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -9,6 +9,7 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
+from elmthread.leadership.step_down import StepDownReason
 from tests.world.balancer import Balancer
 from tests.world.faults import errors_logged
 from tests.world.loop import play
@@ -333,7 +334,7 @@
         await world.withdraw(rng.choice(ids), 3.0)
     elif kind == "step_down" and world.leader is not None:
         # Often the same node wins again while its answers to workers are still being made.
-        world.leader.election.step_down("told to")
+        world.leader.election.step_down(StepDownReason.FAULT)
     elif kind == "deaf" and world.workers:
         name = rng.choice(list(world.workers))
         world.deaf.add(name)
@@ -397,7 +398,7 @@
             ids.append(spec["name_id"])
         for _ in range(60):
             if world.leader is not None:
-                world.leader.election.step_down("told to")
+                world.leader.election.step_down(StepDownReason.FAULT)
             await asyncio.sleep(world.rng.uniform(0.3, 3.0))
         assert set((await world.until_over(ids, 300)).values()) == {"done"}
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -5,17 +5,18 @@
 """
 
 from collections.abc import Callable
+from dataclasses import replace
 from datetime import timedelta
 from typing import Any
 
 from elmthread.controller import Controller
-from elmthread.limits import LEASE
+from elmthread.limits import LEADER_LEASE
 from elmthread.net.http import Answer, Request, Response
 from elmthread.workers.messages import HEARTBEAT_PATH
 from tests.world.services import Port
 from tests.world.world import World
 
-TTL = LEASE.total_seconds()
+TTL = LEADER_LEASE.total_seconds()
 
 
 class RecordingPort(Port):
@@ -46,6 +47,21 @@
         return answer
 
 
+class TermRecorder:
+    """Notes each term that a node begins."""
+
+    def __init__(self, history: "History", node: str) -> None:
+        self._history, self._node = history, node
+
+    def on_elected(self, fencing_token: int) -> None:
+        """The lease stands from when it was requested."""
+        self._history.terms.append((self._history.world.loop.now, self._node, fencing_token))
+        self._history.renewed(self._node, self._history.granted[self._node])
+
+    def on_lost(self) -> None:
+        """Nothing is noted: the lease may stand for longer."""
+
+
 class History:
     """Terms, and everything done without a right to it."""
 
@@ -74,16 +90,11 @@
         election = controller.election
         # What an earlier process had is no right of this one.
         self._sure_until.pop(node, None)
-        won, answer = election._won, controller.api.answer
+        answer = controller.api.answer
         state, cloud = self.world.ports[node]
-        controller._state._caller = RecordingPort(state, node, self)
-        cloud_port = RecordingPort(cloud, node, self)
-        controller._cloud = cloud_port
-
-        def begun(fencing_token: int) -> None:
-            self.terms.append((self.world.loop.now, node, fencing_token))
-            self.renewed(node, self.granted[node])
-            won(fencing_token)
+        controller.store._caller = RecordingPort(state, node, self)
+        runner = controller.leader_runner
+        runner.services = replace(runner.services, cloud=RecordingPort(cloud, node, self))
 
         async def answered(ask: Any) -> Any:
             reply = await answer(ask)
@@ -91,7 +102,8 @@
                 self.act(node, f"{ask.verb} of {ask.job_id} answered")
             return reply
 
-        election._won = begun
+        # Before the leader acts on it.
+        election._listeners.insert(0, TermRecorder(self, node))
         controller.api.answer = answered  # type: ignore[method-assign]
 
     def _answered(self, node: str, request: Request, response: Response) -> None:
@@ -100,7 +112,7 @@
             return
         if request.path == HEARTBEAT_PATH:
             self._commanded(node, controller, response.body)
-        elif request.path.startswith("/submissions") and controller._intake() is not None:
+        elif request.path.startswith("/submissions") and controller.leader_runner.job_service() is not None:
             self.act(node, f"{request.path} answered")
 
     def _commanded(self, node: str, controller: Controller, body: Any) -> None:
@@ -110,6 +122,6 @@
         election, now = controller.election, self.world.loop.now
         # The node's own record of when the others confirmed that they had won nothing later.
         confirmed = (self.world.loop.clock(self.world.drift[node]) - election._no_later_term_at).total_seconds()
-        until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.grace_period.total_seconds()
+        until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.settings.grace_period.total_seconds()
         if now > until + 1e-6:
             self.broken.append(f"{now:.2f} {node}: a worker is answered past the holding time")
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -7,6 +7,7 @@
 
 import cbor2
 
+from elmthread.leadership.step_down import StepDownReason
 from elmthread.net.http import Request
 from tests.world.world import ZONES, World, job
 
@@ -137,7 +138,7 @@
             world.loop.call_later(5, world.store.outage, False)
         if world.leader is not None:
             if world.rng.random() < 0.5:
-                world.leader.election.step_down("told to")
+                world.leader.election.step_down(StepDownReason.FAULT)
             else:
                 await leader_ends(stage)
         await asyncio.sleep(world.rng.uniform(0.3, 12))
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -7,6 +7,7 @@
 from elmthread.common.clock import Clock
 from elmthread.common.features import ActiveFeatures
 from elmthread.leadership.context import TermContext
+from elmthread.leadership.step_down import StepDownReason
 
 
 class SureTerm:
@@ -15,13 +16,16 @@
     def __init__(self, fencing_token: int = 1) -> None:
         self.fencing_token = fencing_token
         self.sure = True
-        self.step_down_reasons: list[str] = []
+        self.step_down_reasons: list[StepDownReason] = []
 
     def holds_lease(self) -> bool:
         return self.sure
 
-    def step_down(self, why: str) -> None:
-        self.step_down_reasons.append(why)
+    def step_down(self, reason: StepDownReason) -> None:
+        self.step_down_reasons.append(reason)
+
+    def end_after_conflict(self) -> None:
+        self.step_down(StepDownReason.TRANSACTION_CONFLICT)
 
 
 def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from elmthread.common import logs
-from elmthread.controller import Controller
+from elmthread.controller import Controller, ControllerEnvironment
 from elmthread.settings import operators, platform
 from tests.world.rollouts import BEFORE
 
@@ -22,7 +22,9 @@
     parser.add_argument("--operators", type=Path)
     options = parser.parse_args()
     logs.set_up()
-    controller = Controller(platform.load(options.config), operators.load(options.operators), supported=BEFORE)
+    controller = Controller(
+        platform.load(options.config), operators.load(options.operators), ControllerEnvironment(supported=BEFORE)
+    )
     asyncio.run(controller.run())
 
 
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -13,10 +13,10 @@
 import cbor2
 
 from elmthread.common.features import SUPPORTED, SupportedLevels
-from elmthread.controller import Controller
+from elmthread.controller import Controller, ControllerEnvironment
 from elmthread.net.http import UNSURE, Request, Response
-from elmthread.peers.link import Peers
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse
+from elmthread.peers.network import PeerNetwork
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.links import STORE, WORKERS, Fault, LinkFaults, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
@@ -235,23 +235,21 @@
 
     def start(self, node: str) -> Controller:
         world = self
-        peers: type[Peers] = self.code(node, "peers.link").Peers
-        link = self.code(node, "peers.link")
-        # The version in production has another name for it.
-        not_reached: type[Exception] = getattr(link, "PeerUnreachableError", None) or link.NotReached
+        network: type[PeerNetwork] = self.code(node, "peers.network").PeerNetwork
+        not_reached: type[Exception] = self.code(node, "peers.connection").PeerUnreachableError
 
-        class Links(peers):  # type: ignore[valid-type, misc]
+        class Links(network):  # type: ignore[valid-type, misc]
             """Peer links without sockets."""
 
-            def reaches(self, other: str) -> bool:
+            def is_connected(self, other: str) -> bool:
                 passes = world.link_faults.passes
                 return world.reach(node, other) and passes(node, other) and passes(other, node)
 
-            async def ask(self, other: str, ask: ForwardedRequest, timeout: timedelta) -> ForwardedResponse:
+            async def request(self, other: str, request: ForwardedRequest, timeout: timedelta) -> ForwardedResponse:
                 await asyncio.sleep(0.002 + world.link_faults.delay(node, other))
                 if not world.reach(node, other) or not world.link_faults.passes(node, other):
                     raise not_reached(other)
-                heard = world.carried(ask, other)
+                heard = world.carried(request, other)
                 try:
                     async with asyncio.timeout(timeout.total_seconds()):
                         reply = await world.within(other, world.controllers[other].api.answer(heard))
@@ -263,16 +261,16 @@
                 answer: ForwardedResponse = world.carried(reply, node)
                 return answer
 
-            def tell(self) -> None:
-                lead = self._say()
+            def announce(self) -> None:
+                lead = self._handler.make_announcement()
                 for other in world.nodes:
                     if other != node and world.reach(node, other) and world.link_faults.passes(node, other):
-                        hear = world.controllers[other].hear
+                        receive = world.controllers[other].handle_announcement
                         heard = world.carried(lead, other)
                         late = 0.003 + world.link_faults.delay(node, other)
-                        world.loop.call_later(late, hear, heard, context=world.contexts[other])
+                        world.loop.call_later(late, receive, heard, context=world.contexts[other])
                         if world.link_faults.has("duplicate", node, other):
-                            world.loop.call_later(late + 1.0, hear, heard, context=world.contexts[other])
+                            world.loop.call_later(late + 1.0, receive, heard, context=world.contexts[other])
 
         context = self.contexts[node] = contextvars.copy_context()
         context.run(NODE.set, node)
@@ -281,15 +279,12 @@
         limits = None if node in self.old and self.earlier is None else self.limits
         operators = self.code(node, "settings.operators")
         present = self.earlier is None or node not in self.old
-        of_this_version = {"supported": self.levels.get(node, SUPPORTED)} if present else {}
         controller: Controller = self.code(node, "controller").Controller(
             self.code(node, "settings.platform").parse(settings(node, self.nodes, limits, self.cancel)),
             operators.Operators(operators.Raw(**({"rollout": self.rollout} if present else {}))),
-            lambda: self.loop.clock(self.drift[node]),
-            state,
-            cloud,
-            Links,
-            **of_this_version,
+            ControllerEnvironment(
+                lambda: self.loop.clock(self.drift[node]), state, cloud, Links, self.levels.get(node, SUPPORTED)
+            ),
         )
         self.controllers[node] = controller
         self._apply_to_store(node)
@@ -328,7 +323,7 @@
             # An earlier version has its election alone.
             group.create_task(getattr(controller, "coordinate", controller.election.run)())
             while True:
-                controller.peers.tell()
+                controller.peers.announce()
                 await asyncio.sleep(1)
 
     def kill(self, node: str) -> None:
@@ -343,8 +338,8 @@
                 if inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
                     work.close()
         self.tasks.pop(node).cancel()
-        if controller._leading is not None:
-            controller._leading.cancel()
+        if controller.leader_runner.task is not None:
+            controller.leader_runner.task.cancel()
 
     async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
         """Runs a part of a node's work where it stands still with the node."""
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -19,7 +19,7 @@
 
 from elmthread.net.http import Request, Response
 from elmthread.peers.messages import LeaderAnnouncement
-from elmthread.reachability.command import ANNOUNCED_WITHIN, ask, describe
+from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, describe, read_announcement
 from tests.world.earlier import newest
 from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.world import ZONES
@@ -113,7 +113,7 @@
         """Prints each change of what a controller says of its links, and who leads."""
         while True:
             for node in NODES:
-                found = await ask(self.peers[node], ANNOUNCED_WITHIN)
+                found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
                 if not isinstance(found, LeaderAnnouncement):
                     continue
                 # Without the ages, which change all the time.
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from elmthread.common.features import SUPPORTED
-from elmthread.leadership.election import LeaderRecord
+from elmthread.leadership.leader_record import LeaderRecord
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
-from elmthread.rollout.messages import AnnouncementRecord, FenceRecord, LevelRecord
+from elmthread.rollout.records import AnnouncementRecord, FenceRecord, LevelRecord
 from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
 from elmthread.store.done_marks import DoneBitmapRecord, DoneRecord
 from elmthread.store.log import PageRecord
