--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -154,6 +154,11 @@
         """The leader's part, while this node leads."""
         return self.leader_runner.leader
 
+    @property
+    def leader_task(self) -> asyncio.Task[None] | None:
+        """The task in which the leader works, while this node leads."""
+        return self.leader_runner.task
+
     def _step_down_as_incompatible(self) -> None:
         """End this node's term: it can't read what others may write by now."""
         self.election.step_down(StepDownReason.INCOMPATIBLE_LEVEL)
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -81,4 +81,4 @@
             leader = self.leader
             if leader is None:
                 return redirection.response()
-        return await leader.heartbeat_handler.heartbeat(request)
+        return await leader.heartbeat_handler.handle(request)
--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -7,6 +7,7 @@
 from enum import Enum, auto
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.states import step
 from elmthread.peers.framing import RejectedFrames, encode_frame, receive_messages
 from elmthread.peers.handler import PeerMessageHandler
@@ -20,7 +21,7 @@
 IDLE_TIMEOUT = seconds(2.8)
 
 
-class PeerUnreachableError(Exception):
+class PeerUnreachableError(ElmthreadError):
     """The other node did not respond; it may have acted all the same."""
 
 
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -9,6 +9,7 @@
 import pynetstring
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.peers.framing import read_frames
 from elmthread.peers.messages import LeaderAnnouncement, decode
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage
@@ -19,7 +20,7 @@
 ANNOUNCEMENT_TIMEOUT = seconds(2.5)
 
 
-class NoAnnouncementError(Exception):
+class NoAnnouncementError(ElmthreadError):
     """A controller could not be reached, or did not announce itself in time."""
 
 
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -5,6 +5,7 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
 from elmthread.reachability.links import Link, LinkState
 
 # The first message number of a process is drawn below this, so that messages of an earlier process are told apart.
@@ -43,7 +44,7 @@
     successor_fencing_token: Count = 0
 
 
-class InvalidViewError(Exception):
+class InvalidViewError(ElmthreadError):
     """A view that can't be read, or that contradicts itself or what this node knows."""
 
 
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -15,7 +15,7 @@
 from elmthread.common.clock import Clock
 from elmthread.net.http import MalformedBodyError, Request, Response, decode
 from elmthread.peers.messages import LeaderAnnouncement
-from elmthread.workers.messages import Sender, elsewhere
+from elmthread.workers.messages import Sender, redirect_body
 
 # How many machines are named, the last that came.
 MAX_SAMPLE = 16
@@ -42,7 +42,7 @@
 
     def response(self) -> Response:
         """Return the response to the worker."""
-        return Response(421, elsewhere(self.leader))
+        return Response(421, redirect_body(self.leader))
 
 
 class MisdirectedSummary(msgspec.Struct, frozen=True):
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -17,6 +17,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import SupportedLevels
 from elmthread.common.states import step
 from elmthread.rollout import records
@@ -47,7 +48,7 @@
 }
 
 
-class IncompatibleLevelError(Exception):
+class IncompatibleLevelError(ElmthreadError):
     """The active level is not one that this process can read and write."""
 
     def __init__(self, level: int, supported: SupportedLevels) -> None:
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.client import KeyValueStore, read_all
@@ -60,7 +61,7 @@
     revision: int
 
 
-class UnreadableLevelError(Exception):
+class UnreadableLevelError(ElmthreadError):
     """The record of the active level, or the fence, is malformed: nothing may be concluded from it."""
 
 
