--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -11,7 +11,13 @@
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.common.load import OverloadControl, WorkClass
 from elmthread.leadership.election import Election
-from elmthread.net.http import UNSURE, MalformedBodyError, Request, Response, again, decode
+from elmthread.net.http_messages import (
+    MalformedBodyError,
+    Request,
+    Response,
+    decode_body,
+    retry_later,
+)
 from elmthread.peers.connection import PeerUnreachableError
 from elmthread.peers.messages import CONFIRM_NO_LATER_TERM, GET_PROCESS, ForwardedRequest, ForwardedResponse
 from elmthread.peers.network import PeerNetwork
@@ -31,7 +37,7 @@
 # back, and a node taken out of service would be missing for a while after the trouble ends.
 VACANT = seconds(60)
 
-TOO_MUCH = again(429, seconds(2), "too much to do")
+TOO_MUCH = retry_later(429, seconds(2), "too much to do")
 
 HeartbeatHandler = Callable[[Request], Awaitable[Response]]
 
@@ -77,7 +83,7 @@
 
     def _ready(self) -> Response:
         if not self._gate.admitted:
-            return again(503, SOON, "not admitted")
+            return retry_later(503, SOON, "not admitted")
         leader = self._election.leader
         now = self._clock()
         if self._intake() is not None or (leader is not None and self._peers.is_connected(leader)):
@@ -86,11 +92,11 @@
         other = leader is not None and leader != self._node
         if self._ever and now - self._served_at < (CUT_OFF if other else VACANT):
             return Response(200, {"ready": True})
-        return again(503, SOON, "no leader")
+        return retry_later(503, SOON, "no leader")
 
     async def _submit(self, request: Request) -> Response:
         try:
-            body = decode(request.body)
+            body = decode_body(request.body)
             job_id = job_id_of(body)
         except (MalformedBodyError, InvalidSubmissionError) as error:
             return Response(400, {"error": str(error)})
@@ -130,7 +136,7 @@
             )
 
         after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
-        return Response(reply.status, reply.body, after, sure=None if reply.status == 503 else fresh)
+        return Response(reply.status, reply.body, after, precondition=None if reply.status == 503 else fresh)
 
     def _elsewhere(self, why: str) -> Response:
         """The user is to ask again; of a node that is not ready, on a connection to another node.
@@ -138,7 +144,7 @@
         The load balancer sends new connections elsewhere by then, but leaves open ones where they
         are for seconds more, on which the user would ask here again and again.
         """
-        response = again(503, SOON, why)
+        response = retry_later(503, SOON, why)
         response.close = self._ready().status != 200
         return response
 
@@ -146,10 +152,10 @@
         """Answers as the leader, with a view that is complete and a lease that surely holds."""
         intake = self._intake()
         if intake is None or not self._election.holds_lease():
-            return again(503, SOON, "not leading")
+            return retry_later(503, SOON, "not leading")
         response = await self._from(intake, ask)
         if response.status != 503:
-            response.sure = intake.sure
+            response.precondition = intake.sure
         return response
 
     async def _from(self, intake: JobService, ask: ForwardedRequest) -> Response:
@@ -181,11 +187,9 @@
         if ask.verb in KINDS and self._load.rejects(KINDS[ask.verb]):
             response = TOO_MUCH
         elif intake is None or ask.fencing_token != intake.fencing_token:
-            response = again(503, SOON, "not leading")
+            response = retry_later(503, SOON, "not leading")
         else:
-            response = await self._here(ask)
-            if response.sure is not None and not response.sure():
-                response = UNSURE
+            response = (await self._here(ask)).checked()
         after = None if response.retry_after is None else response.retry_after.total_seconds()
         return ForwardedResponse(ask.number, response.status, response.body, after, ask.fencing_token)
 
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_service.py
@@ -8,14 +8,14 @@
 from elmthread.api.messages import read_submission
 from elmthread.api.service import DURABLE_TIME, JobService, RequestLimits
 from elmthread.cluster.catalog import MachineTypeCatalog
-from elmthread.cluster.job import Job, JobState
+from elmthread.cluster.job import Job, JobPolicy, JobState
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import seconds
-from elmthread.net.http import Response
+from elmthread.net.http_messages import Response
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.machine_type import MachineType
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.specs import job as wire
 from tests.world.term import SureTerm, term_context
@@ -47,7 +47,7 @@
     """Takes all jobs but those of one team."""
 
     def new(self, spec: JobSpec, since: timedelta) -> Job:
-        return Job(spec, datetime.now(UTC), since, seconds(60), 1.5, False, 64)
+        return Job(spec, datetime.now(UTC), since, JobPolicy(seconds(60), 1.5, False), 64)
 
     def can_run(self, spec: JobSpec, types: object) -> str | None:
         return "unknown team" if spec.team == "green" else None
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -25,7 +25,9 @@
     misdirected_window,
     reachability_bounds,
 )
-from elmthread.net.http import Caller, Client, ConnectionLimit, Server
+from elmthread.net.connections import ConnectionLimit
+from elmthread.net.http_client import HttpCaller, HttpClient
+from elmthread.net.http_server import HttpServer
 from elmthread.peers.connection import PeerAddress
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.peers.network import PeerNetwork
@@ -48,8 +50,8 @@
 
     clock: Clock = steady
     # None: the endpoints of the platform.
-    store: Caller | None = None
-    cloud: Caller | None = None
+    store: HttpCaller | None = None
+    cloud: HttpCaller | None = None
     peer_network: type[PeerNetwork] = PeerNetwork
     # The compatibility levels of this program; tests stand in for other versions.
     supported: SupportedLevels = SUPPORTED
@@ -75,7 +77,7 @@
         store_rps = platform.facts.state.kept().rps * FOLLOWER_STORE_SHARE
         store_requests = TokenBucket(store_rps, store_rps, self.clock)
         self.store = KeyValueStore(
-            environment.store or Client(platform.endpoints.state), store_requests, self.reachability.store
+            environment.store or HttpClient(platform.endpoints.state), store_requests, self.reachability.store
         )
         self.rollout = self._make_rollout()
         self.load = OverloadControl(self.clock)
@@ -123,7 +125,7 @@
             operators=self._operators,
             election=self.election,
             store=self.store,
-            cloud=self._environment.cloud or Client(self._platform.endpoints.cloud),
+            cloud=self._environment.cloud or HttpClient(self._platform.endpoints.cloud),
             clock=self.clock,
             load=self.load,
             reachability=self.reachability,
@@ -142,10 +144,10 @@
             self.rollout.gate,
         )
 
-    def _make_server(self) -> Server:
+    def _make_server(self) -> HttpServer:
         platform = self._platform
         workers = ConnectionLimit(HEARTBEAT_PATH, max_worker_connections(platform), platform.facts.workers.lease)
-        return Server(self.api.handle, max_server_connections(platform), self.clock, workers)
+        return HttpServer(self.api.handle, max_server_connections(platform), self.clock, workers)
 
     # Leadership
 
@@ -217,6 +219,6 @@
         await self.server.start(host, port)
         async with asyncio.TaskGroup() as group:
             group.create_task(self.load.run())
-            group.create_task(self.server.sweep())
+            group.create_task(self.server.close_expired())
             group.create_task(self.peers.run(*split_address(platform.peer_listen)))
             group.create_task(self.coordinate())
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -7,7 +7,7 @@
 
 from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
-from elmthread.autoscaling.service import Autoscaler
+from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.leases import WorkerLeases
@@ -20,11 +20,12 @@
 from elmthread.leadership.term import Term
 from elmthread.limits import LEADER_STORE_SHARE, max_waiting_requests
 from elmthread.machines.client import CloudClient
-from elmthread.machines.service import MachineManager
-from elmthread.net.http import Caller
+from elmthread.machines.manager import MachineManager
+from elmthread.net.http_client import HttpCaller
 from elmthread.persistence.assignments import Assignments
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
+from elmthread.persistence.records import empty_machine_record_bytes
 from elmthread.placement.attempts import AttemptCounter
 from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.reachability.monitor import Reachability
@@ -34,11 +35,11 @@
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
-from elmthread.store.assignments import machine_frame
 from elmthread.store.client import KeyValueStore
-from elmthread.store.log import RecordPages, slot_bytes
 from elmthread.store.pacing import TokenBucket
-from elmthread.store.writer import RecordWriter, WriteLimits
+from elmthread.store.page_batch import WriteLimits
+from elmthread.store.pages import RecordPages, page_capacity
+from elmthread.store.writer import RecordWriter
 from elmthread.workers.heartbeats import HeartbeatHandler
 from elmthread.workers.reconciliation import HeartbeatReconciler
 
@@ -67,7 +68,7 @@
     operators: Operators
     election: Election
     store: KeyValueStore
-    cloud: Caller
+    cloud: HttpCaller
     clock: Clock
     load: OverloadControl
     reachability: Reachability
@@ -107,14 +108,14 @@
     def _make_context(self) -> TermContext:
         node = self._node
         limits = node.platform.facts.state.kept()
-        pages = RecordPages(slot_bytes(limits.value_kb))
+        pages = RecordPages(page_capacity(limits.value_kb))
         rate = limits.write_rps * LEADER_STORE_SHARE
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
         return TermContext(
             term=self.term,
             store=node.store,
             writer=RecordWriter(node.store, pages, self.term, write_limits, node.clock),
-            cluster=ClusterState(pages.most, machine_frame),
+            cluster=ClusterState(pages.capacity, empty_machine_record_bytes),
             events=ClusterEvents(),
             features=node.rollout.features,
             clock=node.clock,
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -182,7 +182,7 @@
                 await asyncio.sleep(RETRY_INTERVAL.total_seconds())
 
     async def _follow_or_campaign(self) -> None:
-        page = await self._store.page(LEADER, None, LEADER_PAGE_SIZE)
+        page = await self._store.read_page(LEADER, None, LEADER_PAGE_SIZE)
         item = next((item for item in page.items if item.key == LEADER), None)
         if item is None:
             await self._campaign_if_allowed()
@@ -202,7 +202,7 @@
         """Return once the leader key has changed after that revision."""
         while True:
             changes = await self._store.watch(LEADER, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
-            if changes.news:
+            if changes.events:
                 return
             revision = max(revision, changes.revision)
 
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from elmthread.common.clock import at_least, at_most, seconds
-from elmthread.machines.service import QUIET
+from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import Platform
 
@@ -62,4 +62,4 @@
 
 def misdirected_window(platform: Platform) -> timedelta:
     """Return how long a machine counts that came to a follower because it did not reach the leader."""
-    return platform.facts.workers.lease * QUIET
+    return platform.facts.workers.lease * HEARTBEAT_OVERDUE_LEASES
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from elmthread.common.clock import Clock
-from elmthread.net.http import MalformedBodyError, Request, Response, decode
+from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.workers.messages import Sender, redirect_body
 
@@ -149,6 +149,6 @@
 
 def _sender_of(request: Request) -> Sender | None:
     try:
-        return msgspec.convert(decode(request.body), Sender)
+        return msgspec.convert(decode_body(request.body), Sender)
     except (MalformedBodyError, msgspec.ValidationError):
         return None
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -14,7 +14,7 @@
 
 from elmthread.common.clock import Clock
 from elmthread.common.features import ActiveFeatures, Feature
-from elmthread.net.http import Request
+from elmthread.net.http_messages import Request
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import ReachabilityBounds
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -6,7 +6,7 @@
 
 from elmthread.common.clock import steady
 from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
-from elmthread.net.http import Client
+from elmthread.net.http_client import HttpClient
 from elmthread.rollout.activation import Activate, plan_activation
 from elmthread.rollout.records import UnreadableLevelError, read_records, read_view
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
@@ -21,7 +21,7 @@
 
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Print the state of the rollout; return 1 where it can't be read."""
-    client = KeyValueStore(Client(platform.endpoints.state), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
+    client = KeyValueStore(HttpClient(platform.endpoints.state), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
     try:
         view = read_view(asyncio.run(read_records(client)).items)
     except (StoreError, UnreadableLevelError) as error:
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -14,13 +14,14 @@
 from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
-from elmthread.store.client import KeyValueStore, read_all
+from elmthread.store.client import KeyValueStore, PrefixRecords, read_prefix
 from elmthread.store.messages import KeyValue
+from elmthread.store.records import COMPATIBILITY_FENCE, ROLLOUT
 
-PREFIX = "rollout/"
+PREFIX = ROLLOUT
 LEVEL_KEY = f"{PREFIX}level"
 NODES_PREFIX = f"{PREFIX}nodes/"
-FENCE_KEY = "t/compatibility"
+FENCE_KEY = COMPATIBILITY_FENCE
 PAGE_SIZE = 200
 
 Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=LAST_LEVEL)]
@@ -54,13 +55,6 @@
 LevelOrFence = TypeVar("LevelOrFence", LevelRecord, FenceRecord)
 
 
-class RolloutRecords(msgspec.Struct, frozen=True):
-    """All records under the rollout's prefix, and a revision from which a watch sees what changes."""
-
-    items: list[KeyValue]
-    revision: int
-
-
 class UnreadableLevelError(ElmthreadError):
     """The record of the active level, or the fence, is malformed: nothing may be concluded from it."""
 
@@ -78,10 +72,9 @@
         raise UnreadableLevelError(f"{key}: {error}") from error
 
 
-async def read_records(store: KeyValueStore) -> RolloutRecords:
+async def read_records(store: KeyValueStore) -> PrefixRecords:
     """Read all records under the rollout's prefix, page by page. Raises StoreError."""
-    items, revision = await read_all(store.page, PREFIX, PAGE_SIZE)
-    return RolloutRecords(items, revision)
+    return await read_prefix(store.read_page, PREFIX, PAGE_SIZE)
 
 
 def read_view(items: Iterable[KeyValue]) -> RolloutView:
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -26,7 +26,7 @@
 from elmthread.store import messages as store_messages
 from elmthread.store.client import ConflictError, StoreError
 from elmthread.store.records import LEADER
-from elmthread.store.writer import WritePriority
+from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -10,10 +10,7 @@
 from elmthread.rollout.gate import GateState
 from elmthread.settings.rollout import RolloutSettings
 from tests.world import earlier
-from tests.world.faulty_rollouts import (
-    announce_late,
-    roll_back_unannounced,
-)
+from tests.world.faulty_rollouts import announce_late, roll_back_unannounced
 from tests.world.loop import play
 from tests.world.rollouts import (
     BEFORE,
