--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -4,7 +4,7 @@
 node may lead until `ttl` after it SENT the last renewal that was answered, less drift.
 After that it may for a bounded grace period go on answering workers (LEASE_UNCERTAIN), to keep their
 tasks alive through an outage of the store. Every new leader waits for the end of that period
-before it takes a machine that has not reported for empty.
+before it treats a machine that has not reported as empty.
 """
 
 import asyncio
@@ -88,7 +88,7 @@
         self._candidacy = candidacy or UnrestrictedCandidacy()
         self.role = Role.FOLLOWER
         self.fencing_token = 0
-        # The newest term that the store, another controller or a worker has told of.
+        # The newest term that the store, another controller or a worker has reported.
         self.highest_seen_token = 0
         self.leader: str | None = None
         self._lease_certain_until = ZERO
--- a/src/elmthread/leadership/step_down.py
+++ b/src/elmthread/leadership/step_down.py
@@ -13,6 +13,6 @@
     TRANSACTION_CONFLICT = "a transaction found another leader"
     INCOMPATIBLE_LEVEL = "the active compatibility level is not supported by this version"
     FAULT = "the leader's work has failed"
-    HANDED_OVER = "another controller hears from more machines"
+    HANDED_OVER = "more machines reach another controller"
     WORKERS_REACH_ANOTHER = "most machines do not reach this controller and reach another"
     ISOLATED = "neither machines nor other controllers are reached"
--- a/src/elmthread/leadership/term.py
+++ b/src/elmthread/leadership/term.py
@@ -8,8 +8,8 @@
     """One leadership of this node.
 
     A node can lose its leadership and win it again while one of its responses is still being
-    made. What was begun under the old token must not be finished under the new one: it rests on the
-    cluster state of the old one. So the leader's services ask their term, never the election.
+    made. What was begun under the old token must not be finished under the new one: it is based on
+    the cluster state of the old one. So the leader's services ask their term, never the election.
     """
 
     def __init__(self, election: Election, fencing_token: int) -> None:
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -25,8 +25,8 @@
 class Renewals:
     """The key-value store, as far as a leader that keeps its lease needs it."""
 
-    def __init__(self, loop: SimLoop, answer: int) -> None:
-        self.loop, self.answer = loop, answer
+    def __init__(self, loop: SimLoop, status: int) -> None:
+        self.loop, self.status = loop, status
         self.asked: list[str] = []
 
     async def call(
@@ -40,15 +40,15 @@
     ) -> ClientResponse:
         self.asked.append(method)
         await asyncio.sleep(0.01)
-        if not self.answer:
+        if not self.status:
             raise NoResponseError("cut")
-        return ClientResponse(self.answer, {})
+        return ClientResponse(self.status, {})
 
 
-def make_election(role: Role, answer: int = 200) -> tuple[SimLoop, Election, Renewals]:
+def make_election(role: Role, status: int = 200) -> tuple[SimLoop, Election, Renewals]:
     loop = SimLoop()
     asyncio.set_event_loop(loop)
-    caller = Renewals(loop, answer)
+    caller = Renewals(loop, status)
     client = KeyValueStore(caller, TokenBucket(100, 100, loop.clock))
     election = Election(ElectionSettings("a", TTL, GRACE_PERIOD), client, loop.clock)
     if role is not F:
@@ -97,12 +97,12 @@
 
 
 @pytest.mark.parametrize(
-    ("role", "answer", "after"),
+    ("role", "status", "after"),
     [(L, 200, L), (H, 200, L), (L, 404, F), (H, 404, F), (L, 503, H), (H, 503, H), (L, 0, H), (H, 0, H)],
 )
-def test_every_role_with_every_response_to_a_renewal(role: Role, answer: int, after: Role) -> None:
+def test_every_role_with_every_response_to_a_renewal(role: Role, status: int, after: Role) -> None:
     """200: renewed, and certain again; 404: expired; refused or no response: uncertain once the time is over."""
-    loop, election, caller = make_election(role, answer)
+    loop, election, caller = make_election(role, status)
 
     async def main() -> None:
         keeping = asyncio.create_task(election._keep_lease(7))
@@ -124,7 +124,7 @@
         async def run() -> None:
             keeping = asyncio.create_task(election._keep_lease(7))
             await asyncio.sleep(0.005)
-            # The renewal is under way; its answer is read only after the standstill.
+            # The renewal is under way; its response is read only after the standstill.
             loop.now += still
             asked = len(caller.asked)
             await asyncio.sleep(0.01)
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -39,7 +39,7 @@
         return max(backoff_delay, reachability.succession.remaining(successor))
 
     def _isolation_delay(self, vacant_for: timedelta) -> timedelta:
-        """Return how long a node that confirms no other controller and hears no workers leaves candidacy to others.
+        """Return how long a node that confirms no other controller, and that no worker reaches, is no candidate.
 
         A leader without peers can name no successor. A node reached by the workers that have lost it does not wait.
         """
--- a/src/elmthread/reachability/decisions.py
+++ b/src/elmthread/reachability/decisions.py
@@ -9,7 +9,7 @@
 from elmthread.reachability.links import LinkState
 from elmthread.reachability.zone_health import MIN_MACHINES_TO_JUDGE
 
-# Another node is clearly better off if it hears more machines than the leader by this part of all, and by this many.
+# Another node is clearly better off if it is reached by more machines, by this part of all and by this many.
 BETTER_MARGIN_SHARE = 0.02
 MIN_BETTER_MARGIN = 1
 
@@ -21,7 +21,7 @@
     holds_lease: bool
     # Leadership was given up so lately that it is not given up again.
     in_backoff: bool
-    # Machines that ought to report; of these silent, and of these heard and seen to receive responses.
+    # Machines that ought to report; of these silent, and of these in time and seen to receive responses.
     expected: int
     silent: int
     confirmed: int
@@ -77,7 +77,7 @@
     misdirected = max((peer.misdirected for peer in peers if peer.store is None), default=0)
     if misdirected and majority_elsewhere(own.expected, own.silent, misdirected):
         return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
-    if peers and not any(peer.link is LinkState.CONFIRMED for peer in peers) and _hears_nobody(own):
+    if peers and not any(peer.link is LinkState.CONFIRMED for peer in peers) and _no_machine_reports(own):
         return StepDown(StepDownReason.ISOLATED)
     return KeepLeading()
 
@@ -90,16 +90,16 @@
     return misdirected * 2 > (silent if silent * 2 > expected else expected)
 
 
-def _hears_nobody(own: OwnView) -> bool:
-    """Return whether no machine is heard, though most ought to be.
+def _no_machine_reports(own: OwnView) -> bool:
+    """Return whether no machine reports, though most ought to.
 
-    Where a few are, others may be on their way: workers try the nodes in turn, and wait at each that is cut off.
+    Where a few do, others may be on their way: workers try the nodes in turn, and wait at each that is cut off.
     """
     return own.expected >= MIN_MACHINES_TO_JUDGE and own.silent * 2 > own.expected and own.confirmed == 0
 
 
 def _successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
-    """Return the node that hears most machines, confirms the store, and is clearly better off than the leader."""
+    """Return the node that most machines reach, that confirms the store, and is clearly better off than the leader."""
     better = [
         peer
         for peer in peers
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -8,7 +8,7 @@
 from elmthread.common.errors import ElmthreadError
 from elmthread.reachability.links import Link, LinkState
 
-# The first message number of a process is drawn below this, so that messages of an earlier process are told apart.
+# The first message number of a process is drawn below this, so that messages of an earlier process can be recognized.
 MAX_FIRST_NUMBER = 1 << 48
 # A longer age is a fault of the sender.
 MAX_AGE_S = 30 * 86400.0
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -58,7 +58,7 @@
     node: str
     others: list[str]
     bounds: ReachabilityBounds
-    # Machines that came here longer ago because they did not reach the leader don't count.
+    # Machines that came here because they did not reach the leader don't count if that is longer ago.
     misdirected_window: timedelta
 
 
--- a/src/elmthread/reachability/term.py
+++ b/src/elmthread/reachability/term.py
@@ -22,7 +22,7 @@
     """The leader's view of its workers, and whether it goes on leading."""
 
     def __init__(self, reachability: Reachability, zone_health: ZoneHealth, context: TermContext) -> None:
-        """`zone_health` judges the zones by the machines that this leader hears."""
+        """Use `zone_health` to judge the zones by the machines that reach this leader."""
         self._reachability = reachability
         self.zone_health = zone_health
         self._term = context.term
@@ -78,7 +78,7 @@
 
     def _act_on(self, decision: Decision) -> None:
         if isinstance(decision, HandOver):
-            log.info("handing leadership over to %s, which hears from more machines", decision.successor)
+            log.info("handing leadership over to %s, which more machines reach", decision.successor)
             self._reachability.succession.name_successor(decision.successor, self._term.fencing_token)
             self._reachability.peers.announce()
             self._term.step_down(StepDownReason.HANDED_OVER)
--- a/src/elmthread/reachability/tests/test_decisions.py
+++ b/src/elmthread/reachability/tests/test_decisions.py
@@ -25,18 +25,7 @@
         return LeaseUncertain()
     if own.in_backoff:
         return KeepLeading()
-    best: PeerView | None = None
-    for peer in sorted(peers, key=lambda one: one.node):
-        able = peer.link is CONFIRMED and peer.store is CONFIRMED
-        # More than a fiftieth of all machines, and more than one, above what is confirmed here.
-        clearly = peer.misdirected - own.confirmed > 1 and (peer.misdirected - own.confirmed) * 50 > own.expected
-        if own.expected < 4:
-            of = own.silent if own.silent * 2 > own.expected else own.expected
-            clearly = peer.misdirected > 0 and peer.misdirected * 2 > of
-        if not (able and clearly):
-            continue
-        if best is None or (best.in_backoff, -best.misdirected) > (peer.in_backoff, -peer.misdirected):
-            best = peer
+    best = model_successor(own, peers)
     if best is not None:
         return HandOver(best.node)
     most_silent = own.silent > own.expected - own.silent
@@ -52,6 +41,32 @@
     return KeepLeading()
 
 
+def model_successor(own: OwnView, peers: list[PeerView]) -> PeerView | None:
+    best: PeerView | None = None
+    for peer in sorted(peers, key=lambda one: one.node):
+        able = peer.link is CONFIRMED and peer.store is CONFIRMED
+        if not (able and model_better_off(own, peer)):
+            continue
+        if best is None or (best.in_backoff, -best.misdirected) > (peer.in_backoff, -peer.misdirected):
+            best = peer
+    return best
+
+
+def model_better_off(own: OwnView, peer: PeerView) -> bool:
+    if own.expected < 4:
+        of = own.silent if own.silent * 2 > own.expected else own.expected
+        return peer.misdirected > 0 and peer.misdirected * 2 > of
+    # More than a fiftieth of all machines, and more than one, above what is confirmed here.
+    more = peer.misdirected - own.confirmed
+    return more > 1 and more * 50 > own.expected
+
+
+def own_view(holds_lease: bool, in_backoff: bool, expected: int, silent: int, confirmed: int) -> OwnView:
+    """Silent and confirmed machines are different ones of those expected."""
+    silent = min(silent, expected)
+    return OwnView(holds_lease, in_backoff, expected, silent, min(confirmed, expected - silent))
+
+
 # The same examples in every run.
 PLAYED = settings(derandomize=True, database=None, deadline=None)
 COUNTS = st.integers(0, 40)
@@ -70,13 +85,12 @@
 )
 
 
+OWN_VIEWS = st.builds(own_view, st.booleans(), st.booleans(), COUNTS, COUNTS, COUNTS)
+
+
 @settings(PLAYED)
-@given(st.booleans(), st.booleans(), COUNTS, COUNTS, COUNTS, PEERS)
-def test_decisions_are_those_of_the_plain_model(
-    holds_lease: bool, in_backoff: bool, expected: int, silent: int, confirmed: int, peers: list[PeerView]
-) -> None:
-    silent = min(silent, expected)
-    own = OwnView(holds_lease, in_backoff, expected, silent, min(confirmed, expected - silent))
+@given(OWN_VIEWS, PEERS)
+def test_decisions_are_those_of_the_plain_model(own: OwnView, peers: list[PeerView]) -> None:
     assert decide(own, peers) == model(own, peers)
 
 
--- a/src/elmthread/reachability/view_exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -36,7 +36,7 @@
     def __init__(
         self, node: str, others: Iterable[str], bounds: ReachabilityBounds, clock: Clock, first_number: int
     ) -> None:
-        """`first_number` is drawn at random, so that messages of an earlier process are told apart."""
+        """Begin with `first_number`, drawn at random, so that messages of an earlier process can be recognized."""
         self._node = node
         self._bounds = bounds
         self._clock = clock
--- a/src/elmthread/reachability/zone_counts.py
+++ b/src/elmthread/reachability/zone_counts.py
@@ -1,4 +1,4 @@
-"""How many machines of each zone the leader hears: one pass over all machines for everybody who asks."""
+"""How many machines of each zone report to the leader: one pass over all machines for everybody who asks."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -29,7 +29,7 @@
     def __init__(
         self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, term_began: timedelta
     ) -> None:
-        """`term_began`: until then no machine could report to it."""
+        """Count `machines`; until `term_began` none of them could report to this leader."""
         self._machines = machines
         self._clock = clock
         self._heartbeat_timeout = heartbeat_timeout
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -1,4 +1,4 @@
-"""The health of each zone: which of them are out of sight, and which silence may be this node's own fault."""
+"""The health of each zone: which are unreachable, and which silence may be a fault of this node's own link."""
 
 import logging
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 # Silence of fewer machines than this says nothing about their zone or about this node.
 MIN_MACHINES_TO_JUDGE = 4
-# A zone in which more than this part of the machines is silent seems to be cut off.
+# A zone in which more than this part of the machines is silent seems to be unreachable.
 UNREACHABLE_SHARE = 0.8
 # Below this part of all machines silence is rare, so a machine that is silent has failed by itself.
 RARE_SILENCE_SHARE = 0.1
@@ -23,17 +23,17 @@
     """Counts the machines of each zone and keeps the link to its workers, for one term."""
 
     def __init__(self, counts: ZoneCounts, bounds: ReachabilityBounds, clock: Clock) -> None:
-        """`counts` are those of the term's machines."""
+        """Use the counts of the term's machines."""
         self.counts = counts
         self._bounds = bounds
         self._clock = clock
         self._links: dict[str, Link] = {}
-        # Zones that seem to be unreachable, and whether hardly any machine is silent, as of the last look.
+        # Zones that seem to be unreachable, and whether hardly any machine is silent, as of the last judgement.
         self.unreachable: frozenset[str] = frozenset()
         self.silence_is_rare = True
 
     def find_unreachable(self) -> bool:
-        """Judge which zones seem to be cut off; return whether that has changed."""
+        """Judge which zones seem to be unreachable; return whether that has changed."""
         total = self.counts.total()
         self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
         unreachable = frozenset(
@@ -56,8 +56,8 @@
         return link is None or link.state is not LinkState.CONFIRMED
 
     def confirm_links(self) -> None:
-        """Confirm the link to each zone of which most machines are heard."""
-        # The oldest heartbeat by which a machine counts as heard came then, and our response went out before it.
+        """Confirm the link to each zone of which most machines report."""
+        # The oldest heartbeat by which a machine counts as reporting came then, and our response was sent before it.
         began = self._clock() - self._bounds.heartbeat_timeout
         for zone, count in self.counts.by_zone().items():
             link = self._links.get(zone)
@@ -66,7 +66,7 @@
                 link = self._links[zone] = Link(
                     name, self._clock, self._bounds.workers_confirmed_for, self._bounds.cut_after
                 )
-            if _mostly_heard(count):
+            if _most_report(count):
                 link.confirm(began)
 
     def statuses(self) -> Mapping[str, LinkStatus]:
@@ -74,5 +74,5 @@
         return {zone: status_of(link) for zone, link in sorted(self._links.items())}
 
 
-def _mostly_heard(count: ZoneCount) -> bool:
+def _most_report(count: ZoneCount) -> bool:
     return count.confirmed * 2 >= count.expected > 0
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -33,7 +33,7 @@
     lowest: Level
     highest: Level
     members: list[str]
-    # Tells this process's record from an earlier one with the same content.
+    # Distinguishes this process's record from an earlier one with the same content.
     process: str
     announced_at: float
     hold_at: Level | None = None
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -58,7 +58,7 @@
     """Reads and raises the level under one fencing token."""
 
     def __init__(self, rollout: RolloutContext, context: TermContext) -> None:
-        """Take the level for the first one until `load`."""
+        """Assume the first level until `load`."""
         self._rollout = rollout
         self._store = context.store
         self._writer = context.writer
@@ -110,7 +110,7 @@
         view = records.read_view(stored.items)
         if view.level > self._level:
             # An earlier transaction of this term, to which no response came.
-            self._activated(view.level)
+            self._on_activated(view.level)
             return
         plan = plan_activation(view, self._rollout.membership.members, self._rollout.supported)
         pause = WATCH_TIMEOUT
@@ -156,7 +156,7 @@
             self._planned = None
             await asyncio.sleep(RETRY_INTERVAL.total_seconds())
             return
-        self._activated(plan.level)
+        self._on_activated(plan.level)
 
     async def _other_processes(self, plan: Activate) -> tuple[Obstacle, ...]:
         """Return an obstacle for each node that responds, but not as the process that announced itself.
@@ -177,7 +177,7 @@
                 found.append(Obstacle(node, ObstacleKind.OTHER_PROCESS))
         return tuple(found)
 
-    def _activated(self, level: int) -> None:
+    def _on_activated(self, level: int) -> None:
         self._level = level
         log.info("compatibility level %s is active", level)
         self._write_fence()
--- a/src/elmthread/rollout/tests/test_activation.py
+++ b/src/elmthread/rollout/tests/test_activation.py
@@ -53,12 +53,12 @@
     expected = reference(view, MEMBERS, highest)
     if isinstance(plan, Activate):
         assert plan.level == expected > level
-        # All that the decision rests on is compared by the transaction.
+        # All that the decision is based on is compared by the transaction.
         assert plan.level_mod_revision == 7
         assert dict(plan.announcements) == view.announcements
     else:
         assert expected == level
-        # Whoever waits is told for whom, but for the newest version that has nothing more to raise.
+        # A wait names its obstacles, but for the newest version, which has no higher level.
         assert plan.obstacles or level >= highest
 
 
--- a/src/elmthread/rollout/tests/test_command.py
+++ b/src/elmthread/rollout/tests/test_command.py
@@ -1,4 +1,4 @@
-"""What an operator is told of a rollout, and the exit codes."""
+"""What `elmthread rollout status` prints, and its exit codes."""
 
 import socket
 from pathlib import Path
@@ -21,13 +21,13 @@
     return Announcement(SupportedLevels(1, highest), MEMBERS, 5, "process", at, hold_at)
 
 
-def told(view: RolloutView) -> str:
+def described(view: RolloutView) -> str:
     return "\n".join(describe(view, MEMBERS, UPGRADED, SETTINGS, now=1000.0))
 
 
-def test_each_node_and_what_is_waited_for_is_told() -> None:
+def test_each_node_and_what_is_waited_for_is_printed() -> None:
     found = {"loom-0": announced(hold_at=1), "loom-1": announced(1), "loom-9": announced()}
-    text = told(RolloutView(1, 0, found))
+    text = described(RolloutView(1, 0, found))
     assert text.startswith("active level: 1\n") and "DONE_BITMAPS (level 2): off" in text
     assert "loom-0: levels 1 to 2, holds at 1, announced 100 s ago" in text
     assert "loom-2: nothing announced" in text
@@ -37,13 +37,13 @@
     assert "level 2 waits: loom-2 has never announced itself" in text
 
 
-def test_the_soak_time_that_is_left_and_the_end_are_told() -> None:
+def test_the_soak_time_that_is_left_and_the_end_are_printed() -> None:
     everyone = {"loom-0": announced(), "loom-1": announced(at=950.0), "loom-2": announced()}
-    assert "level 2 may be activated, in about 550 s" in told(RolloutView(1, 0, everyone))
-    ended = told(RolloutView(2, 9, everyone))
+    assert "level 2 may be activated, in about 550 s" in described(RolloutView(1, 0, everyone))
+    ended = described(RolloutView(2, 9, everyone))
     assert "DONE_BITMAPS (level 2): active" in ended and ended.endswith("this version knows no higher level")
     unreadable = RolloutView(1, 0, {"loom-1": UnreadableAnnouncement(4, "no members")})
-    assert "loom-1: unreadable announcement: no members" in told(unreadable)
+    assert "loom-1: unreadable announcement: no members" in described(unreadable)
 
 
 def test_a_store_out_of_reach_and_bad_settings_end_with_one_line(
@@ -66,5 +66,5 @@
     ):
         own.write_text(f"[rollout]\n{text}\n")
         assert cli.main([*status, "--operators", str(own)]) == 2
-        told_of = capsys.readouterr().err
-        assert named in told_of and told_of.count("\n") == 1
+        printed = capsys.readouterr().err
+        assert named in printed and printed.count("\n") == 1
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""A process that is told of a level it can't read while its announcement is on its way."""
+"""A process that receives a level it can't read while its announcement is being written."""
 
 import asyncio
 from typing import Any
