--- a/src/elmthread/reachability/__init__.py
+++ b/src/elmthread/reachability/__init__.py
@@ -1,1 +1,1 @@
-"""What a controller can confirm of its links, and what a leader that reaches only a part of the system does."""
+"""Which links a controller can confirm, and what a leader does that reaches only a part of the system."""
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -6,6 +6,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
+from elmthread.peers.network import ANNOUNCEMENT_INTERVAL
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT
 
 # Workers send a heartbeat every `heartbeat_interval`, give or take a quarter.
@@ -16,8 +17,7 @@
 NEXT_CONTROLLER_DELAY = seconds(1)
 # For a heartbeat's way and for the node's own work before it is read.
 HEARTBEAT_SLACK = seconds(0.5)
-# Three announcements in a row are not all lost by accident.
-ANNOUNCEMENT_INTERVAL = seconds(1)
+# So many announcements in a row are not lost by accident.
 MISSED_ANNOUNCEMENTS = 3
 # The longest backoff after a term, in leases of workers.
 MAX_BACKOFF_LEASES = 8
--- /dev/null
+++ b/src/elmthread/reachability/tests/test_backoff.py
@@ -0,0 +1,60 @@
+"""How long leadership is left to others after a term that a cut ended."""
+
+import random
+from bisect import bisect_left
+from datetime import timedelta
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from elmthread.common.clock import ZERO, seconds
+from elmthread.reachability.backoff import LeadershipBackoff
+from elmthread.reachability.bounds import BACKOFF_JITTER, HOUR
+from elmthread.reachability.tests.stand_ins import BOUNDS, SAME_EXAMPLES, ManualClock
+
+
+def test_backoffs_grow_while_cuts_return_and_are_forgotten_without_cuts() -> None:
+    clock = ManualClock()
+    backoff = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=False)
+    assert not backoff.is_active and backoff.candidacy_delay(ZERO) == ZERO
+    durations = []
+    for _ in range(8):
+        backoff.begin()
+        began = clock.now
+        # A vacancy ends what a backoff leaves to others.
+        assert backoff.candidacy_delay(BOUNDS.min_backoff) == ZERO
+        assert ZERO < backoff.candidacy_delay(ZERO) <= BOUNDS.min_backoff
+        while backoff.is_active:
+            clock.advance(0.5)
+        durations.append(clock.now - began)
+    assert durations[0] <= BOUNDS.min_backoff + seconds(0.5) and durations[-1] > BOUNDS.max_backoff * (
+        1 - BACKOFF_JITTER
+    )
+    assert max(durations) <= BOUNDS.max_backoff + seconds(0.5) and durations[3] > durations[0]
+    clock.advance(10 * BOUNDS.max_backoff.total_seconds())
+    backoff.begin()
+    assert backoff._until - clock.now == BOUNDS.min_backoff
+    # Nobody is there to leave leadership to.
+    alone = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=True)
+    alone.begin(longest=True)
+    assert not alone.is_active
+
+
+@settings(SAME_EXAMPLES)
+@given(st.integers(0, 1000), st.sampled_from([0.1, 0.5, 3.0, 30.0, 100.0]))
+def test_terms_that_cuts_end_are_no_more_than_the_bound_in_any_hour(seed: int, longest_pause: float) -> None:
+    """Three nodes, each of whose terms is ended at once; the next begins as soon as the backoffs allow it."""
+    clock = ManualClock()
+    nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), alone=False) for n in range(3)]
+    began: list[timedelta] = []
+    vacant_since = clock.now
+    rng = random.Random(seed)
+    for _ in range(2000):
+        clock.advance(rng.uniform(0.0, longest_pause))
+        waits = [one.candidacy_delay(clock.now - vacant_since) for one in nodes]
+        if min(waits) == ZERO:
+            nodes[waits.index(ZERO)].begin()
+            began.append(clock.now)
+            vacant_since = clock.now
+    for number, first in enumerate(began):
+        assert bisect_left(began, first + HOUR) - number <= BOUNDS.max_terms_per_hour(3)
--- a/src/elmthread/reachability/tests/test_decisions.py
+++ b/src/elmthread/reachability/tests/test_decisions.py
@@ -13,8 +13,10 @@
     PeerView,
     StepDown,
     decide,
+    majority_elsewhere,
 )
 from elmthread.reachability.links import LinkState
+from elmthread.reachability.tests.stand_ins import SAME_EXAMPLES
 
 CONFIRMED, DOUBTFUL = LinkState.CONFIRMED, LinkState.DOUBTFUL
 
@@ -67,8 +69,6 @@
     return OwnView(holds_lease, in_backoff, expected, silent, min(confirmed, expected - silent))
 
 
-# The same examples in every run.
-PLAYED = settings(derandomize=True, database=None, deadline=None)
 COUNTS = st.integers(0, 40)
 STATES = st.sampled_from(LinkState)
 PEERS = st.lists(
@@ -88,12 +88,23 @@
 OWN_VIEWS = st.builds(own_view, st.booleans(), st.booleans(), COUNTS, COUNTS, COUNTS)
 
 
-@settings(PLAYED)
+@settings(SAME_EXAMPLES)
 @given(OWN_VIEWS, PEERS)
 def test_decisions_are_those_of_the_plain_model(own: OwnView, peers: list[PeerView]) -> None:
     assert decide(own, peers) == model(own, peers)
 
 
+def test_only_most_machines_silent_here_that_reach_another_node_are_a_reason() -> None:
+    assert majority_elsewhere(600, 400, 250)
+    # Dead or cut off from all: they would reach no other leader either.
+    assert not majority_elsewhere(600, 600, 0)
+    # A zone with its controller is cut off: the others report here.
+    assert not majority_elsewhere(600, 150, 150)
+    assert not majority_elsewhere(0, 0, 0)
+    # Heartbeats arrive here, responses don't arrive there.
+    assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
+
+
 def test_of_two_that_see_different_halves_the_one_that_leads_stays() -> None:
     half = OwnView(holds_lease=True, in_backoff=False, expected=100, silent=50, confirmed=50)
     assert decide(half, [PeerView("b", CONFIRMED, 50, CONFIRMED)]) == KeepLeading()
--- a/src/elmthread/reachability/tests/test_misdirected.py
+++ b/src/elmthread/reachability/tests/test_misdirected.py
@@ -7,7 +7,6 @@
 from elmthread.common.clock import seconds
 from elmthread.net.http_messages import Request
 from elmthread.peers.messages import LeaderAnnouncement
-from elmthread.reachability.decisions import majority_elsewhere
 from elmthread.reachability.misdirected import MisdirectedHeartbeat, MisdirectedHeartbeats
 
 
@@ -23,17 +22,6 @@
     return summarized.count, summarized.sample
 
 
-def test_only_most_machines_silent_here_and_heard_elsewhere_are_a_reason() -> None:
-    assert majority_elsewhere(600, 400, 250)
-    # Dead or cut off from all: another leader would hear no more of them.
-    assert not majority_elsewhere(600, 600, 0)
-    # A zone with its controller is cut off: the rest is heard here.
-    assert not majority_elsewhere(600, 150, 150)
-    assert not majority_elsewhere(0, 0, 0)
-    # Reports arrive here, answers don't arrive there.
-    assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
-
-
 def test_machines_that_miss_the_leader_are_counted_once_and_for_a_while() -> None:
     now = [seconds(0)]
     count = itertools.count(1)
