--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from elmthread.common.clock import seconds
-from elmthread.common.states import step
+from elmthread.common.states import transition
 
 if TYPE_CHECKING:
     from elmthread.cluster.allocation import Allocation
@@ -43,6 +43,10 @@
     zone: str
     spot: bool
 
+    def __str__(self) -> str:
+        """Return the kind as log lines name it."""
+        return f"{self.machine_type} in {self.zone}{' (spot)' if self.spot else ''}"
+
 
 @dataclass(slots=True, eq=False, repr=False)
 class Machine:
@@ -124,7 +128,7 @@
 
     def transition_to(self, new: MachineState) -> None:
         """Change the state. Raises TransitionError for a change that MACHINE_STEPS does not allow."""
-        self.state = step(self.name, MACHINE_STEPS, self.state, new)
+        self.state = transition(self.name, MACHINE_STEPS, self.state, new)
 
     @property
     def is_schedulable(self) -> bool:
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -5,10 +5,11 @@
 
 import msgspec
 
+from elmthread.api.node import ApiNode
 from elmthread.api.routes import RequestRouter
 from elmthread.common.clock import Clock, steady
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
-from elmthread.common.load import OverloadControl
+from elmthread.common.overload import OverloadControl
 from elmthread.leader import Leader, NodeServices
 from elmthread.leader_runner import LeaderRunner
 from elmthread.leadership.election import Election, ElectionSettings
@@ -38,7 +39,7 @@
 from elmthread.rollout.membership import Membership
 from elmthread.rollout.term import RolloutContext
 from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Platform, split_address
+from elmthread.settings.platform import Platform, parse_address
 from elmthread.store.client import KeyValueStore
 from elmthread.store.pacing import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH
@@ -65,6 +66,7 @@
     ) -> None:
         """Make all parts; `run` starts them."""
         environment = environment or ControllerEnvironment()
+        self.node = platform.node
         self._platform = platform
         self._operators = operators
         self._environment = environment
@@ -74,10 +76,10 @@
         self._features.on_change(self.peers.announce)
         self._peer_requests = PeerRequests(self.peers)
         self.reachability = self._make_reachability()
-        store_rps = platform.facts.state.kept().rps * FOLLOWER_STORE_SHARE
+        store_rps = platform.cluster.store.strictest().rps * FOLLOWER_STORE_SHARE
         store_requests = TokenBucket(store_rps, store_rps, self.clock)
         self.store = KeyValueStore(
-            environment.store or HttpClient(platform.endpoints.state), store_requests, self.reachability.store
+            environment.store or HttpClient(platform.endpoints.store), store_requests, self.reachability.store
         )
         self.rollout = self._make_rollout()
         self.load = OverloadControl(self.clock)
@@ -85,7 +87,7 @@
         self.leader_runner = LeaderRunner(self._make_node_services(), store_requests, self.peers)
         self.election.add_listener(self.leader_runner)
         self._grace_period_extension = GracePeriodExtension(
-            self.election, [other.node for other in platform.others], self._peer_requests, self.clock
+            self.election, [peer.node for peer in platform.peers], self._peer_requests, self.clock
         )
         self.api = self._make_api()
         self.server = self._make_server()
@@ -93,14 +95,14 @@
     # Making the parts
 
     def _make_peer_network(self) -> PeerNetwork:
-        addresses = [PeerAddress(other.node, *split_address(other.address)) for other in self._platform.others]
+        addresses = [PeerAddress(peer.node, *parse_address(peer.address)) for peer in self._platform.peers]
         return self._environment.peer_network(addresses, self, max_waiting_requests(self._platform))
 
     def _make_reachability(self) -> Reachability:
         platform = self._platform
         settings = ReachabilitySettings(
             platform.node,
-            [other.node for other in platform.others],
+            [peer.node for peer in platform.peers],
             reachability_bounds(platform),
             misdirected_window(platform),
         )
@@ -133,20 +135,20 @@
         )
 
     def _make_api(self) -> RequestRouter:
-        return RequestRouter(
-            self._platform.node,
-            self.election,
-            self.peers,
-            self.clock,
-            self.leader_runner.job_service,
-            self.leader_runner.heartbeat,
-            self.load,
-            self.rollout.gate,
+        node = ApiNode(
+            name=self.node,
+            election=self.election,
+            peers=self.peers,
+            gate=self.rollout.gate,
+            load=self.load,
+            clock=self.clock,
+            leading_service=self.leader_runner.leading_service,
         )
+        return RequestRouter(node, self.leader_runner.heartbeat)
 
     def _make_server(self) -> HttpServer:
         platform = self._platform
-        workers = ConnectionLimit(HEARTBEAT_PATH, max_worker_connections(platform), platform.facts.workers.lease)
+        workers = ConnectionLimit(HEARTBEAT_PATH, max_worker_connections(platform), platform.cluster.workers.lease)
         return HttpServer(self.api.handle, max_server_connections(platform), self.clock, workers)
 
     # Leadership
@@ -184,7 +186,7 @@
             self.rollout.gate.check(level)
         except IncompatibleLevelError:
             return
-        self._features.learn(level)
+        self._features.raise_level(level)
 
     def make_announcement(self) -> LeaderAnnouncement:
         """Return who leads as far as this controller knows, and the state of its links."""
@@ -215,10 +217,10 @@
     async def run(self) -> None:
         """Serve users, workers and the other controllers until cancelled."""
         platform = self._platform
-        host, port = split_address(platform.listen)
+        host, port = parse_address(platform.listen)
         await self.server.start(host, port)
         async with asyncio.TaskGroup() as group:
             group.create_task(self.load.run())
             group.create_task(self.server.close_expired())
-            group.create_task(self.peers.run(*split_address(platform.peer_listen)))
+            group.create_task(self.peers.run(*parse_address(platform.peer_listen)))
             group.create_task(self.coordinate())
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,16 +5,17 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.api.jobs import JobFactory
 from elmthread.api.service import JobService, RequestLimits
+from elmthread.api.validation import JobValidator
 from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.events import ClusterEvents
+from elmthread.cluster.job_factory import JobFactory
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import Clock, seconds
-from elmthread.common.load import OverloadControl, WorkClass
+from elmthread.common.overload import OverloadControl, WorkClass
 from elmthread.leadership.context import TermContext
 from elmthread.leadership.election import Election
 from elmthread.leadership.term import Term
@@ -88,12 +89,12 @@
         self._events = self.context.events
         self.reachability = self._make_reachability()
         self.leases = WorkerLeases(
-            node.platform.facts.workers.lease,
-            node.clock() + node.election.failover_delay(node.platform.facts.workers.lease),
+            node.platform.cluster.workers.lease,
+            node.clock() + node.election.failover_delay(node.platform.cluster.workers.lease),
         )
         self.catalog = MachineTypeCatalog(self.cluster, self._events)
         self.run_times = RunTimeModel()
-        self._factory = JobFactory(node.platform.facts, node.operators, node.rollout.features)
+        self._factory = JobFactory(node.platform.cluster, node.operators, node.rollout.features)
         self._completions = CompletionRecorder(self.context)
         self._assignments = Assignments(self.context)
         self.machine_manager = self._make_machine_manager()
@@ -107,7 +108,7 @@
 
     def _make_context(self) -> TermContext:
         node = self._node
-        limits = node.platform.facts.state.kept()
+        limits = node.platform.cluster.store.strictest()
         pages = RecordPages(page_capacity(limits.value_kb))
         rate = limits.write_rps * LEADER_STORE_SHARE
         write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
@@ -127,19 +128,20 @@
         return TermReachability(node.reachability, ZoneHealth(counts, bounds, node.clock), self.context)
 
     def _make_machine_manager(self) -> MachineManager:
-        node, cloud = self._node, self._node.platform.facts.cloud
+        node, cloud = self._node, self._node.platform.cluster.cloud
         calls = TokenBucket(cloud.rps * CLOUD_RATE_SHARE, max(1.0, cloud.rps * CLOUD_BURST_S), node.clock)
         client = CloudClient(node.cloud, calls, cloud.list_lag, self.term.holds_lease)
         return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zone_health)
 
     def _make_job_service(self) -> JobService:
         platform = self._node.platform
-        limits = RequestLimits(max_waiting_requests(platform), platform.facts.workers.cancel)
-        return JobService(self.context, self._factory, self.catalog, self.leases, limits)
+        limits = RequestLimits(max_waiting_requests(platform), platform.cluster.workers.cancellation_time)
+        validator = JobValidator(platform.cluster, self._factory, self.catalog)
+        return JobService(self.context, self._factory, validator, self.leases, limits)
 
     def _make_scheduler(self) -> Scheduler:
-        facts = self._node.platform.facts
-        settings = SchedulerSettings({team.name: team for team in facts.teams}, facts.workers.heartbeat_interval)
+        cluster = self._node.platform.cluster
+        settings = SchedulerSettings({team.name: team for team in cluster.teams}, cluster.workers.heartbeat_interval)
         attempts = AttemptCounter(self.term.fencing_token)
         return Scheduler(self.context, settings, attempts, self._assignments, self.run_times)
 
@@ -190,7 +192,7 @@
     async def _wait_while_overloaded(self) -> None:
         """Delay decisions while there is not even time for responses, though not for ever."""
         for _ in range(MAX_OVERLOAD_DELAYS):
-            if not self._node.load.rejects(WorkClass.DECIDING):
+            if not self._node.load.rejects(WorkClass.SCHEDULING_ROUND):
                 return
             await asyncio.sleep(MIN_SCHEDULING_INTERVAL.total_seconds())
 
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -60,10 +60,10 @@
             leader.term.step_down(StepDownReason.FAULT)
 
     def _set_store_share(self, share: float) -> None:
-        rate = self.services.platform.facts.state.kept().rps * share
+        rate = self.services.platform.cluster.store.strictest().rps * share
         self._store_requests.rate = self._store_requests.burst = rate
 
-    def job_service(self) -> JobService | None:
+    def leading_service(self) -> JobService | None:
         """Return the leader's job service, while this node leads on a loaded cluster state and a certain lease."""
         if self.leader is not None and self.leader.loaded and self.services.election.holds_lease():
             return self.leader.job_service
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
 from elmthread.leadership.role import ROLE_STEPS, Role
@@ -106,7 +106,7 @@
         self._listeners.append(listener)
 
     def _set_role(self, role: Role) -> None:
-        self.role = step(self._node, ROLE_STEPS, self.role, role)
+        self.role = transition(self._node, ROLE_STEPS, self.role, role)
 
     def holds_lease(self) -> bool:
         """Return whether the lease certainly holds now: this node may write, start tasks and answer users."""
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -29,7 +29,7 @@
 
 def max_server_connections(platform: Platform) -> int:
     """Return how many connections the HTTP server accepts."""
-    return max(MIN_CONNECTIONS, int(platform.facts.limits.max_connections * SERVER_CONNECTION_SHARE))
+    return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * SERVER_CONNECTION_SHARE))
 
 
 def max_worker_connections(platform: Platform) -> int:
@@ -40,26 +40,28 @@
 def max_waiting_requests(platform: Platform) -> int:
     """Return how many requests of users may wait here: about as many as their connections."""
     share = SERVER_CONNECTION_SHARE * (1 - WORKER_CONNECTION_SHARE)
-    return max(MIN_CONNECTIONS, int(platform.facts.limits.max_connections * share))
+    return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * share))
 
 
 def max_comparisons(platform: Platform) -> int:
     """Return how many keys one transaction may compare."""
-    return COMPARISONS_PER_OPERATION * platform.facts.state.kept().txn_ops
+    return COMPARISONS_PER_OPERATION * platform.cluster.store.strictest().txn_ops
 
 
 def grace_period(platform: Platform) -> timedelta:
     """Return how long workers may be answered on a lease that is no longer certain."""
-    workers = platform.facts.workers
-    return max(seconds(0), min(at_most(workers.cancel) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD))
+    workers = platform.cluster.workers
+    return max(
+        seconds(0), min(at_most(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD)
+    )
 
 
 def reachability_bounds(platform: Platform) -> ReachabilityBounds:
     """Return the times by which links are judged."""
-    workers = platform.facts.workers
+    workers = platform.cluster.workers
     return ReachabilityBounds(LEADER_LEASE, workers.heartbeat_interval, workers.lease)
 
 
 def misdirected_window(platform: Platform) -> timedelta:
     """Return how long a machine counts that came to a follower because it did not reach the leader."""
-    return platform.facts.workers.lease * HEARTBEAT_OVERDUE_LEASES
+    return platform.cluster.workers.lease * HEARTBEAT_OVERDUE_LEASES
--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -8,7 +8,7 @@
 
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.peers.framing import RejectedFrames, encode_frame, receive_messages
 from elmthread.peers.handler import PeerMessageHandler
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, Message
@@ -67,7 +67,7 @@
         self.state = ConnectionState.DOWN
 
     def _set_state(self, state: ConnectionState) -> None:
-        self.state = step(f"connection to {self.node}", CONNECTION_STEPS, self.state, state)
+        self.state = transition(f"connection to {self.node}", CONNECTION_STEPS, self.state, state)
 
     async def run(self) -> None:
         """Connect, and connect again whenever the connection ends, until cancelled."""
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -1,15 +1,22 @@
 """Messages between controllers: netstrings, each a JSON object with a `kind`."""
 
 from collections.abc import Sequence
+from enum import StrEnum
 from typing import Any
 
 import msgspec
 
-# Verbs of forwarded requests that are not users'. An earlier version refuses a verb that it does not know.
-# Whether no process of the node has won a later term than that of the token.
-CONFIRM_NO_LATER_TERM = "vouch"
-# Which process of its node answers.
-GET_PROCESS = "process"
+
+class RequestVerb(StrEnum):
+    """What one controller asks of another; the values are the words of the wire."""
+
+    SUBMIT = "submit"
+    STATUS = "status"
+    CANCEL = "withdraw"
+    # Whether no process of that node has won a later term than that of the token. An earlier version confirms nothing.
+    CONFIRM_NO_LATER_TERM = "vouch"
+    # Which process of its node this is. An earlier version refuses the request.
+    WHICH_PROCESS = "process"
 
 
 class LeaderAnnouncement(
--- a/src/elmthread/peers/requests.py
+++ b/src/elmthread/peers/requests.py
@@ -2,7 +2,7 @@
 
 from elmthread.common.clock import seconds
 from elmthread.peers.connection import PeerUnreachableError
-from elmthread.peers.messages import CONFIRM_NO_LATER_TERM, GET_PROCESS, ForwardedRequest
+from elmthread.peers.messages import ForwardedRequest, RequestVerb
 from elmthread.peers.network import PeerNetwork
 
 RESPONSE_TIMEOUT = seconds(1)
@@ -20,12 +20,14 @@
 
         Raises PeerUnreachableError.
         """
-        response = await self._network.request(node, ForwardedRequest(0, GET_PROCESS, ""), RESPONSE_TIMEOUT)
+        response = await self._network.request(
+            node, ForwardedRequest(0, RequestVerb.WHICH_PROCESS, ""), RESPONSE_TIMEOUT
+        )
         return (response.body or {}).get("process") if response.status == 200 else None
 
     async def confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
         """Return whether a node confirms that it has won no later term than that of the token."""
-        request = ForwardedRequest(0, CONFIRM_NO_LATER_TERM, "", fencing_token)
+        request = ForwardedRequest(0, RequestVerb.CONFIRM_NO_LATER_TERM, "", fencing_token)
         try:
             response = await self._network.request(node, request, RESPONSE_TIMEOUT)
         except PeerUnreachableError:
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -13,7 +13,7 @@
 from elmthread.peers.framing import read_frames
 from elmthread.peers.messages import LeaderAnnouncement, decode
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage
-from elmthread.settings.platform import Platform, split_address
+from elmthread.settings.platform import Platform, parse_address
 
 OK, FAILED = 0, 1
 # Controllers announce themselves each second.
@@ -26,7 +26,7 @@
 
 def run(platform: Platform, timeout: timedelta = ANNOUNCEMENT_TIMEOUT) -> int:
     """Print each controller's links; return 1 where one of them announces nothing."""
-    addresses = {platform.node: platform.peer_listen} | {other.node: other.address for other in platform.others}
+    addresses = {platform.node: platform.peer_listen} | {peer.node: peer.address for peer in platform.peers}
     announcements = asyncio.run(_read_all(addresses, timeout))
     for node in sorted(announcements):
         found = announcements[node]
@@ -74,7 +74,7 @@
     """Return what the controller that listens there for others announces next."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
-            reader, writer = await asyncio.open_connection(*split_address(address))
+            reader, writer = await asyncio.open_connection(*parse_address(address))
             try:
                 return await _next_announcement(reader)
             finally:
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -21,11 +21,11 @@
 
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Print the state of the rollout; return 1 where it can't be read."""
-    client = KeyValueStore(HttpClient(platform.endpoints.state), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
+    client = KeyValueStore(HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
     try:
         view = read_view(asyncio.run(read_records(client)).items)
     except (StoreError, UnreadableLevelError) as error:
-        print(f"elmthread: {platform.endpoints.state}: {error}", file=sys.stderr)
+        print(f"elmthread: {platform.endpoints.store}: {error}", file=sys.stderr)
         return FAILED
     for line in describe(view, platform.members, SUPPORTED, settings, time.time()):
         print(line)
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -19,7 +19,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.common.features import SupportedLevels
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.rollout import records
 from elmthread.rollout.membership import Membership
 from elmthread.rollout.view import Announcement, RolloutView
@@ -81,7 +81,7 @@
             self._admission.set()
 
     def _set_state(self, state: GateState) -> None:
-        self.state = step(f"gate of {self._membership.node}", GATE_STEPS, self.state, state)
+        self.state = transition(f"gate of {self._membership.node}", GATE_STEPS, self.state, state)
 
     @property
     def admitted(self) -> bool:
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -89,7 +89,7 @@
         self._level = max(records.read_view(items).level, self._fence)
         self._rollout.gate.check(self._level)
         # Forms up to the fence's level may be in the store, and may be written.
-        self._rollout.features.learn(self._fence)
+        self._rollout.features.raise_level(self._fence)
 
     async def run(self) -> None:
         """Write the fence where it is missing, then raise the level as soon as it may be raised."""
@@ -189,7 +189,7 @@
 
     def _on_fence_durable(self, level: int) -> None:
         self._fence = level
-        self._rollout.features.learn(level)
+        self._rollout.features.raise_level(level)
 
     def _log_obstacles(self, obstacles: tuple[Obstacle, ...]) -> None:
         if obstacles == self._logged_obstacles:
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -1,10 +1,11 @@
 """Reconciliation of what a heartbeat lists with the allocations of its machine."""
 
 import logging
-from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 
+import msgspec
+
 from elmthread.cluster import health
 from elmthread.cluster.allocation import OBSERVED_STATES, Allocation, AllocationState, StopMode
 from elmthread.cluster.job import Job
@@ -13,15 +14,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
-from elmthread.workers.messages import (
-    START_REFUSALS,
-    ExitReason,
-    Heartbeat,
-    StopCommand,
-    TaskId,
-    TaskState,
-    TaskStatus,
-)
+from elmthread.workers.messages import START_REFUSALS, ExitReason, Heartbeat, StopCommand, TaskId, TaskState, TaskStatus
 
 log = logging.getLogger(__name__)
 
@@ -34,8 +27,7 @@
 MUST_BE_LISTED = OBSERVED_STATES | {AllocationState.UNCONFIRMED}
 
 
-@dataclass(slots=True)
-class Reconciliation:
+class Reconciliation(msgspec.Struct):
     """What follows for the response from one heartbeat."""
 
     # Exited tasks, which the worker is to remove once their completions are durable.
@@ -149,7 +141,7 @@
         self._completions.record(job, number, partial(_completion_is_durable, machine, attempt))
 
     def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
-        """Take what an exit says about the health of the machine and about the job's run time."""
+        """Record what an exit says about the health of the machine and about the job's run time."""
         job = allocation.job
         completed = task.exit_reason == ExitReason.COMPLETED
         if job.is_service and (completed or health.has_run_steadily(allocation, now)):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -44,15 +44,15 @@
         assert sum(world.rules.starts.values()) >= 15
         assert await served(world, "run-000001", 15) < 15
         assert await world.poll("run-000001") == "running"
-        world.kill(world.leader.api._node)  # type: ignore[union-attr]
+        world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(10)
         assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
 
     world = day(script, machines=0, controllers=5)
-    assert not any(key.startswith("d/") for slot in slots_of(world) for key in slot)
+    assert not any(key.startswith("d/") for page in record_keys_by_page(world) for key in page)
 
 
-def slots_of(world: World) -> list[list[str]]:
+def record_keys_by_page(world: World) -> list[list[str]]:
     return [list(json.loads(value["text"])) for key, (value, _, _) in world.store.items.items() if key[:2] == "s/"]
 
 
@@ -131,7 +131,7 @@
         for turn in range(4):
             leader = world.leader
             assert leader is not None
-            node = leader.api._node
+            node = leader.node
             if turn % 2:
                 world.kill(node)
                 world.loop.call_later(0.3, start, world, node)
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -50,7 +50,7 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
     assert world.leader is not None
-    back = next(node for node in NODES if node != world.leader.api._node)
+    back = next(node for node in NODES if node != world.leader.node)
     # Without the setting it announces nothing, as a version that knows no levels.
     world.rollout = RolloutSettings()
     replace(world, back, BEFORE, 0.2)
@@ -172,7 +172,7 @@
 
 def learn_at_once(rollout: TermRollout) -> None:
     """New forms do not wait for the fence, which is not put up."""
-    rollout._rollout.features.learn(rollout._level)
+    rollout._rollout.features.raise_level(rollout._level)
 
 
 FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -103,10 +103,10 @@
         runner = controller.leader_runner
         runner.services = replace(runner.services, cloud=RecordingPort(cloud, node, self))
 
-        async def answered(ask: Any) -> Any:
-            reply = await answer(ask)
-            if ask.verb in ("submit", "withdraw", "status") and reply.status in (200, 201):
-                self.act(node, f"{ask.verb} of {ask.job_id} answered")
+        async def answered(request: Any) -> Any:
+            reply = await answer(request)
+            if request.verb in ("submit", "withdraw", "status") and reply.status in (200, 201):
+                self.act(node, f"{request.verb} of {request.job_id} answered")
             return reply
 
         # Before the leader acts on it.
@@ -119,7 +119,7 @@
             return
         if request.path == HEARTBEAT_PATH:
             self._commanded(node, controller, response.body)
-        elif request.path.startswith("/submissions") and controller.leader_runner.job_service() is not None:
+        elif request.path.startswith("/submissions") and controller.leader_runner.leading_service() is not None:
             self.act(node, f"{request.path} answered")
 
     def _commanded(self, node: str, controller: Controller, body: Any) -> None:
