--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.overload import WorkClass
 from elmthread.net.http_messages import Response
-from elmthread.peers.link import PeerUnreachableError
+from elmthread.peers.connection import PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 
 # Users wait 5 s for a submission and 2 s for a status; the response must be on its way before.
@@ -69,7 +69,7 @@
         timeout = FORWARDING_TIMEOUTS[request.verb]
         request.fencing_token = self._node.election.highest_seen_token
         try:
-            reply = await self._node.peers.ask(leader, request, timeout)
+            reply = await self._node.peers.request(leader, request, timeout)
         except PeerUnreachableError:
             return self._unavailable("the leader does not answer")
         retry_after = None if reply.retry_after_s is None else seconds(reply.retry_after_s)
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -7,7 +7,7 @@
 from elmthread.common.clock import Clock
 from elmthread.common.overload import OverloadControl
 from elmthread.leadership.election import Election
-from elmthread.peers.link import Peers
+from elmthread.peers.network import PeerNetwork
 from elmthread.rollout.gate import CompatibilityGate
 
 
@@ -17,7 +17,7 @@
 
     name: str
     election: Election
-    peers: Peers
+    peers: PeerNetwork
     # Whether this process may serve at all.
     gate: CompatibilityGate
     load: OverloadControl
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -28,7 +28,7 @@
             return responses.retry("not admitted")
         leader = self._node.election.leader
         now = self._node.clock()
-        if self._node.leading_service() is not None or (leader is not None and self._node.peers.reaches(leader)):
+        if self._node.leading_service() is not None or (leader is not None and self._node.peers.is_connected(leader)):
             self._could_serve_at = now
         other_leads = leader is not None and leader != self._node.name
         grace = UNREACHED_LEADER_GRACE if other_leads else NO_LEADER_GRACE
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -9,7 +9,7 @@
 from elmthread.cluster.machine_deletion import DeletionReason, request_deletion
 from elmthread.common.clock import ZERO, seconds
 from elmthread.leadership.context import TermContext
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.zone_health import ZoneHealth
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -18,7 +18,7 @@
 from elmthread.machines.inventory import Inventory
 from elmthread.machines.machine_types import MachineTypeUpdater
 from elmthread.machines.provisioning import InstanceRequest, Provisioner
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.zone_health import ZoneHealth
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import MAX_INSTANCES_PER_REQUEST, CloudClient, CloudError, NoCapacityError
-from elmthread.reachability.zones import ZoneHealth
+from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.store.records import InstanceRequestRecord, instance_request_key
 from elmthread.store.write_queue import WritePriority
 
--- /dev/null
+++ b/src/elmthread/reachability/tests/test_decisions.py
@@ -0,0 +1,117 @@
+"""The decision of a leader against a plain model of the same rules."""
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from elmthread.leadership.step_down import StepDownReason
+from elmthread.reachability.decisions import (
+    Decision,
+    HandOver,
+    KeepLeading,
+    LeaseUncertain,
+    OwnView,
+    PeerView,
+    StepDown,
+    decide,
+    majority_elsewhere,
+)
+from elmthread.reachability.links import LinkState
+from elmthread.reachability.tests.stand_ins import SAME_EXAMPLES
+
+CONFIRMED, DOUBTFUL = LinkState.CONFIRMED, LinkState.DOUBTFUL
+
+
+def model(own: OwnView, peers: list[PeerView]) -> Decision:
+    """The rules of docs/reachability-design.md, one after the other, as plainly as possible."""
+    if not own.holds_lease:
+        return LeaseUncertain()
+    if own.in_backoff:
+        return KeepLeading()
+    best = model_successor(own, peers)
+    if best is not None:
+        return HandOver(best.node)
+    most_silent = own.silent > own.expected - own.silent
+    for peer in peers:
+        if peer.store is not None or peer.misdirected == 0:
+            continue
+        of = own.silent if most_silent else own.expected
+        if peer.misdirected > of - peer.misdirected:
+            return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
+    nobody = peers and all(peer.link is not CONFIRMED for peer in peers)
+    if nobody and most_silent and own.expected >= 4 and not own.confirmed:
+        return StepDown(StepDownReason.ISOLATED)
+    return KeepLeading()
+
+
+def model_successor(own: OwnView, peers: list[PeerView]) -> PeerView | None:
+    best: PeerView | None = None
+    for peer in sorted(peers, key=lambda one: one.node):
+        able = peer.link is CONFIRMED and peer.store is CONFIRMED
+        if not (able and model_better_off(own, peer)):
+            continue
+        if best is None or (best.in_backoff, -best.misdirected) > (peer.in_backoff, -peer.misdirected):
+            best = peer
+    return best
+
+
+def model_better_off(own: OwnView, peer: PeerView) -> bool:
+    if own.expected < 4:
+        of = own.silent if own.silent * 2 > own.expected else own.expected
+        return peer.misdirected > 0 and peer.misdirected * 2 > of
+    # More than a fiftieth of all machines, and more than one, above what is confirmed here.
+    more = peer.misdirected - own.confirmed
+    return more > 1 and more * 50 > own.expected
+
+
+def own_view(holds_lease: bool, in_backoff: bool, expected: int, silent: int, confirmed: int) -> OwnView:
+    """Silent and confirmed machines are different ones of those expected."""
+    silent = min(silent, expected)
+    return OwnView(holds_lease, in_backoff, expected, silent, min(confirmed, expected - silent))
+
+
+COUNTS = st.integers(0, 40)
+STATES = st.sampled_from(LinkState)
+PEERS = st.lists(
+    st.builds(
+        PeerView,
+        node=st.sampled_from(["a", "b", "c", "d"]),
+        link=STATES,
+        misdirected=COUNTS,
+        store=st.one_of(st.none(), STATES),
+        in_backoff=st.booleans(),
+    ),
+    max_size=4,
+    unique_by=lambda peer: peer.node,
+)
+
+
+OWN_VIEWS = st.builds(own_view, st.booleans(), st.booleans(), COUNTS, COUNTS, COUNTS)
+
+
+@settings(SAME_EXAMPLES)
+@given(OWN_VIEWS, PEERS)
+def test_decisions_are_those_of_the_plain_model(own: OwnView, peers: list[PeerView]) -> None:
+    assert decide(own, peers) == model(own, peers)
+
+
+def test_only_most_machines_silent_here_that_reach_another_node_are_a_reason() -> None:
+    assert majority_elsewhere(600, 400, 250)
+    # Dead or cut off from all: they would reach no other leader either.
+    assert not majority_elsewhere(600, 600, 0)
+    # A zone with its controller is cut off: the others report here.
+    assert not majority_elsewhere(600, 150, 150)
+    assert not majority_elsewhere(0, 0, 0)
+    # Heartbeats arrive here, responses don't arrive there.
+    assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
+
+
+def test_of_two_that_see_different_halves_the_one_that_leads_stays() -> None:
+    half = OwnView(holds_lease=True, in_backoff=False, expected=100, silent=50, confirmed=50)
+    assert decide(half, [PeerView("b", CONFIRMED, 50, CONFIRMED)]) == KeepLeading()
+    assert decide(half, [PeerView("b", CONFIRMED, 52, CONFIRMED)]) == KeepLeading()
+    assert decide(half, [PeerView("b", CONFIRMED, 53, CONFIRMED)]) == HandOver("b")
+    # More than that at a node without the key-value store: it could not lead.
+    assert decide(half, [PeerView("b", CONFIRMED, 100, DOUBTFUL)]) == KeepLeading()
+    # Of several that are better off, the one to which most come.
+    others = [PeerView("b", CONFIRMED, 60, CONFIRMED), PeerView("c", CONFIRMED, 70, CONFIRMED)]
+    assert decide(half, others) == HandOver("c")
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -60,9 +60,6 @@
     def begin(self) -> timedelta:
         """Return the time at which a request is sent."""
 
-    def hear(self) -> None:
-        """Note a response that does not prove execution."""
-
     def confirm(self, began: timedelta) -> None:
         """Note that a request sent at that time was executed."""
 
@@ -178,11 +175,9 @@
             response = await self._caller.call(method, path, body, timeout=timeout)
         except NoResponseError as error:
             raise UnknownOutcomeError(str(error)) from error
-        if self._observer is not None and began is not None:
-            if response.status in (429, 503):
-                self._observer.hear()
-            else:
-                self._observer.confirm(began)
+        # A rejection does not prove execution.
+        if self._observer is not None and began is not None and response.status not in (429, 503):
+            self._observer.confirm(began)
         if response.status == 429:
             self._requests.drain()
             raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {response.body}")
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -50,8 +50,8 @@
     def fencing_token(self) -> int:
         """The revision of the leader key, which each transaction compares."""
 
-    def step_down(self, why: str) -> None:
-        """End the term, if it is still the present one."""
+    def end_after_conflict(self) -> None:
+        """End the term, if it is still the present one: a transaction found another leader."""
 
 
 class RecordWriter:
@@ -235,7 +235,7 @@
         revision = None if LEADER in conflict.failed else await self._revision_if_written(batch.pages[0])
         if revision is None:
             log.info("leadership lost: the keys %s were changed by another leader", conflict.failed)
-            self._term.step_down("a transaction found another leader")
+            self._term.end_after_conflict()
             return
         self._committed(batch, revision)
 
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -182,8 +182,3 @@
     """Return the body of a redirect to that leader."""
     body: dict[str, Any] = msgspec.to_builtins(Redirect(leader))
     return body
-
-
-def names_leader(body: Any) -> bool:
-    """Return whether a response body sends the worker to a certain controller."""
-    return isinstance(body, dict) and "foreman" in body
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -6,7 +6,7 @@
 import pytest
 
 from elmthread.common.features import SUPPORTED
-from elmthread.reachability.service import Reachability
+from elmthread.reachability.succession import Succession
 from tests.world.cut_days import BEFORE, Script, cut, cut_day
 from tests.world.history import History
 from tests.world.rollouts import replace, until_level
@@ -19,15 +19,15 @@
 async def kill_named(world: World, history: History) -> None:
     """The node that is named ends before it stands."""
     assert world.leader is not None
-    leader = world.leader.reachability
-    name_successor = leader.name_successor
+    succession = world.leader.reachability.succession
+    name_successor = succession.name_successor
 
     def named(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         world.kill(node)
         world.loop.call_later(0.3, start, world, node)
 
-    leader.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = named  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
@@ -35,15 +35,15 @@
 async def cut_named(world: World, history: History) -> None:
     """The node that is named loses the store as it is named."""
     assert world.leader is not None
-    leader = world.leader.reachability
-    name_successor = leader.name_successor
+    succession = world.leader.reachability.succession
+    name_successor = succession.name_successor
     cuts: list[asyncio.Task[None]] = []
 
     def named(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         cuts.append(world.loop.create_task(world.play_faults([cut(node, "store")])))
 
-    leader.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = named  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     await asyncio.gather(*cuts)
     assert cuts and len(history.terms) >= 2
@@ -51,7 +51,7 @@
 
 async def name_not_heard(world: World, history: History) -> None:
     """The others never hear who was named."""
-    with mock.patch.object(Reachability, "_hear_successor", lambda self, node, fencing_token: None):
+    with mock.patch.object(Succession, "observe_successor", lambda self, node, fencing_token: None):
         await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -10,7 +10,8 @@
 from hypothesis import Phase, given, settings
 from hypothesis import strategies as st
 
-from elmthread.leadership.election import Election, Role
+from elmthread.leadership.election import Election
+from elmthread.leadership.role import Role
 from elmthread.reachability.backoff import LeadershipBackoff
 from tests.world.cut_days import Script, cut, cut_day, plays
 from tests.world.history import History
@@ -71,7 +72,7 @@
     guards: dict[str, tuple[Any, str, Any, Script, str]] = {
         "sure lease": (Election, "holds_lease", always_sure, no_store, "without a sure lease"),
         "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
-        "vacancy ends a rest": (LeadershipBackoff, "wait_before_standing", whole_rest, alone, "no leader hears most"),
+        "vacancy ends a rest": (LeadershipBackoff, "candidacy_delay", whole_rest, alone, "no leader hears most"),
     }
     owner, name, without, script, told = guards[guard]
     cut_day(script)
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from elmthread.leadership.step_down import StepDownReason
 from tests.world.balancer import Balancer
 from tests.world.day import day
 from tests.world.random_troubles import set_apart
@@ -119,7 +120,7 @@
             ids.append(spec["name_id"])
         for _ in range(60):
             if world.leader is not None:
-                world.leader.election.step_down("told to")
+                world.leader.election.step_down(StepDownReason.FAULT)
             await asyncio.sleep(world.rng.uniform(0.3, 3.0))
         assert set((await world.until_over(ids, 300)).values()) == {"done"}
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from elmthread.leadership.election import Role
+from elmthread.leadership.role import Role
 from tests.world.day import day
 from tests.world.random_troubles import restore
 from tests.world.specs import job
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from elmthread.reachability.bounds import JITTER
+from elmthread.reachability.bounds import BACKOFF_JITTER
 from tests.world.cut_days import cut, cut_day, plays, submit_and_cancel
 from tests.world.history import History
 from tests.world.links import Fault
@@ -74,7 +74,7 @@
         await world.play_faults([cut("leader", "workers", length=600.0, on_s=on_s, off_s=off_s)])
         # Whoever leads is cut off each time. Once the rests have grown, a node gives way but once in each.
         assert world.leader is not None
-        rest = world.leader.reachability.bounds.longest_rest.total_seconds() * (1 - JITTER)
+        rest = world.leader.reachability.bounds.max_backoff.total_seconds() * (1 - BACKOFF_JITTER)
         late = [at for at, _, _ in history.terms if at > 300]
         assert len(late) <= len(NODES) * (300 / rest + 1), late
         assert set((await world.until_over(await users, 300)).values()) <= {"done", "cancelled"}
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -194,7 +194,7 @@
         assert leader is not None and leader.leader is not None
         # What waits to be written has not waited for long.
         backlog = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
-        now = leader._clock().total_seconds()
+        now = leader.clock().total_seconds()
         assert not backlog or now - min(backlog) < 8
         assert len(sizes(world)) < 250
         world.kill(leader.node)
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -18,7 +18,7 @@
 from elmthread.common.features import FIRST_LEVEL, SUPPORTED
 from elmthread.peers import messages as peers
 from elmthread.reachability.messages import read_view
-from elmthread.rollout.messages import AnnouncementRecord, LevelRecord, read_fence
+from elmthread.rollout.records import FENCE_KEY, AnnouncementRecord, FenceRecord, LevelRecord, read_level
 from elmthread.store.assignments import read_machine
 from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, done_tasks, read_done
 from tests.world.day import day
@@ -84,7 +84,7 @@
     elif form == "machine":
         read_machine(value, SUPPORTED)
     elif form == "fence":
-        read_fence(value)
+        read_level(FENCE_KEY, value, FenceRecord)
     elif form == "link view":
         read_view(msgspec.Raw(msgspec.json.encode(value)), "loom-0", "loom-1", value["echoes"].get("loom-1", 0))
     else:
@@ -150,7 +150,7 @@
         check(level, form, value)
         yield level, form
     for one in world.controllers.values():
-        frame = json.loads(peers.encode(one._say()))
+        frame = json.loads(peers.encode(one.make_announcement()))
         # The leader may know of a level that it has raised a moment ago.
         check(level, "message lead", frame)
         if "links" in frame:
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -2,6 +2,7 @@
 
 import asyncio
 
+from elmthread.leadership.step_down import StepDownReason
 from tests.world.stage import Stage
 
 
@@ -27,7 +28,7 @@
             world.loop.call_later(5, world.store.outage, False)
         if world.leader is not None:
             if world.rng.random() < 0.5:
-                world.leader.election.step_down("told to")
+                world.leader.election.step_down(StepDownReason.FAULT)
             else:
                 await leader_ends(stage)
         await asyncio.sleep(world.rng.uniform(0.3, 12))
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -34,7 +34,7 @@
     while world.loop.now < end:
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
-            total = leader.leader.reachability.zones.census.total()
+            total = leader.leader.reachability.zone_health.counts.total()
             if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
@@ -60,10 +60,10 @@
         await asyncio.sleep(8)
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
-        await until_led(world, bounds.longest_without_leader.total_seconds() + FIND_LEADER_S)
+        await until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
         states = await world.until_over(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
-        assert len(history.terms) <= bounds.most_terms_an_hour(len(world.nodes))
+        assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
     world = day(played, seed=seed, before=before, machines=8)
     assert histories[0].acts > 0
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -142,7 +142,7 @@
             # An earlier version has its election alone.
             group.create_task(getattr(controller, "coordinate", controller.election.run)())
             while True:
-                controller.peers.tell()
+                controller.peers.announce()
                 await asyncio.sleep(1)
 
     def kill(self, node: str) -> None:
@@ -157,8 +157,8 @@
                 if inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
                     work.close()
         self.tasks.pop(node).cancel()
-        if controller._leading is not None:
-            controller._leading.cancel()
+        if controller.leader_task is not None:
+            controller.leader_task.cancel()
 
     async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
         """Runs a part of a node's work where it stands still with the node."""
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -4,6 +4,7 @@
 
 from hypothesis import HealthCheck, Phase, settings
 
+from elmthread.leadership.step_down import StepDownReason
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World, start
@@ -77,7 +78,7 @@
         await world.withdraw(rng.choice(ids), 3.0)
     elif kind == "step_down" and world.leader is not None:
         # Often the same node wins again while its answers to workers are still being made.
-        world.leader.election.step_down("told to")
+        world.leader.election.step_down(StepDownReason.FAULT)
     elif kind == "deaf" and world.workers:
         name = rng.choice(list(world.workers))
         world.deaf.add(name)
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -14,10 +14,11 @@
 import msgspec
 
 from elmthread.common.features import SupportedLevels
-from elmthread.controller import Controller
+from elmthread.controller import Controller, ControllerEnvironment
 from elmthread.net.http_client import ClientResponse, NoResponseError, NotSentError
 from elmthread.net.http_messages import Request
-from elmthread.peers.link import Peers
+from elmthread.peers.messages import LeaderAnnouncement
+from elmthread.peers.network import PeerNetwork
 from elmthread.settings import operators, platform
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.services import Port
@@ -28,6 +29,8 @@
     "leader": ("controller",),
     "net.http_client": ("net.http", "common.http"),
     "net.http_messages": ("net.http", "common.http"),
+    "peers.connection": ("peers.link",),
+    "peers.network": ("peers.link",),
     "settings.rollout": ("rollout.settings",),
 }
 # Present class, by module and name -> earlier names.
@@ -35,12 +38,17 @@
     ("net.http_client", "ClientResponse"): ("Answer",),
     ("net.http_client", "NoResponseError"): ("NoAnswer",),
     ("net.http_client", "NotSentError"): ("Withheld",),
-    ("peers.link", "PeerUnreachableError"): ("NotReached",),
+    ("peers.connection", "PeerUnreachableError"): ("NotReached",),
+    ("peers.network", "PeerNetwork"): ("Peers",),
     ("settings.operators", "OperatorsFile"): ("Raw",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
 ATTRIBUTES: dict[tuple[str, str], dict[str, tuple[str, ...]]] = {
-    ("controller", "Controller"): {},
+    ("controller", "Controller"): {
+        "handle_announcement": ("hear",),
+        "leader_task": ("_leading",),
+        "make_announcement": ("_say",),
+    },
     ("leader", "Leader"): {"cluster": ("book",)},
     ("leadership.election", "Election"): {
         "fencing_token": ("token",),
@@ -50,7 +58,7 @@
         "observe_term": ("hear",),
     },
     ("net.http_messages", "Response"): {"precondition": ("sure",)},
-    ("peers.link", "Peers"): {},
+    ("peers.network", "PeerNetwork"): {"announce": ("tell",), "is_connected": ("reaches",), "request": ("ask",)},
 }
 
 
@@ -68,28 +76,33 @@
         return getattr(self.module(module), name)
 
     def controller(
-        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: "NodeLevels"
+        self,
+        settings: str,
+        clock: Callable[[], timedelta],
+        ports: list[Port],
+        peers: type[PeerNetwork],
+        levels: "NodeLevels",
     ) -> Controller:
         """Make a controller of the version, with ports to the store and the cloud."""
         state, cloud = ports
         return Controller(
             platform.parse(settings),
             operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
-            clock,
-            state,
-            cloud,
-            peers,
-            levels.supported,
+            ControllerEnvironment(clock, state, cloud, peers, levels.supported),
         )
 
     def request(self, request: Request) -> Any:
         """Return the request as the version's server makes it."""
         return request
 
-    def peers(self, peers: type[Peers]) -> type[Peers]:
+    def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
         """Return a class of peer links whose methods have the version's names."""
         return peers
 
+    def announcement(self, peers: PeerNetwork) -> LeaderAnnouncement:
+        """Return what the controller of these peer links announces now."""
+        return peers._handler.make_announcement()
+
 
 class NodeLevels(msgspec.Struct, frozen=True):
     """What a node is told of the rollout, and the levels that it stands for."""
@@ -139,7 +152,12 @@
             return level == 1
 
     def controller(
-        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: NodeLevels
+        self,
+        settings: str,
+        clock: Callable[[], timedelta],
+        ports: list[Port],
+        peers: type[PeerNetwork],
+        levels: NodeLevels,
     ) -> Controller:
         """Make a controller that supports what the earlier version does; one without levels is told of none."""
         file = self.named("settings.operators", "OperatorsFile")
@@ -161,14 +179,18 @@
         made = self.named("net.http_messages", "Request")
         return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
 
-    def peers(self, peers: type[Peers]) -> type[Peers]:
+    def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
         """Give the overriding methods the names by which the earlier version calls them."""
-        for present, names in ATTRIBUTES["peers.link", "Peers"].items():
+        for present, names in ATTRIBUTES["peers.network", "PeerNetwork"].items():
             for earlier in names:
                 if present in vars(peers) and hasattr(peers, earlier):
                     setattr(peers, earlier, vars(peers)[present])
         return peers
 
+    def announcement(self, peers: Any) -> Any:
+        """Return what the controller of these peer links announces now."""
+        return peers._say()
+
 
 class EarlierPort:
     """A port that answers and fails with the earlier version's own types."""
