--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -117,7 +117,7 @@
         # Silence, a notice or a doubt, and it is looked at.
         silent, noticed, quarantined = up[:3]
         for node in world.nodes:
-            world.cut_workers.add((silent.name, node))
+            world.cut_worker_links.add((silent.name, node))
         noticed.interruption_at = leader.context.clock() * 2
         quarantined.quarantined = True
         await asyncio.sleep(6)
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -31,7 +31,8 @@
 from elmthread.store.writer import RecordWriter
 from tests.world.faults import errors_logged
 from tests.world.loop import SimLoop, play
-from tests.world.services import Port, StateStore, Trouble
+from tests.world.service_ports import ServiceFaults, SimulatedClient
+from tests.world.simulated_store import SimulatedStore
 from tests.world.stored import stored_pages, stored_records
 from tests.world.term import SureTerm
 
@@ -47,10 +48,10 @@
     def __init__(self, rate: float = 30.0) -> None:
         self.loop = SimLoop()
         asyncio.set_event_loop(self.loop)
-        self.store = StateStore(self.loop, random.Random(1), 8, VALUE)
+        self.store = SimulatedStore(self.loop, random.Random(1), 8, VALUE)
         self.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "a"})))
-        self.trouble = Trouble()
-        client = KeyValueStore(Port(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
+        self.trouble = ServiceFaults()
+        client = KeyValueStore(SimulatedClient(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
         self.term = SureTerm(self.store.items[LEADER][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
@@ -107,10 +108,10 @@
         value = {"n": 0}
         for number in range(1, 30):
             value["n"] = number
-            bench.trouble.late = 0.4
+            bench.trouble.late_share = 0.4
             bench.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
-        bench.trouble.late = 0.0
+        bench.trouble.late_share = 0.0
         # The last writing is durable at the latest now; late copies go on arriving.
         await bench.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
@@ -175,7 +176,7 @@
     async def main() -> None:
         task = bench.loop.create_task(bench.writer.run())
         for number, (key, size) in enumerate(changes):
-            bench.trouble.lost = lost
+            bench.trouble.lost_response_share = lost
             name = f"k/{key}"
             if size < 60:
                 plain.pop(name, None)
@@ -185,7 +186,7 @@
                 bench.writer.write(name, WritePriority.ASSIGNMENT, lambda value=plain[name]: value)  # type: ignore[misc]
             if number % 9 == 0:
                 await asyncio.sleep(0.3)
-        bench.trouble.lost = 0.0
+        bench.trouble.lost_response_share = 0.0
         await asyncio.sleep(30)
         assert bench.read() == plain
         # A new leader's pages go on from there.
@@ -284,7 +285,7 @@
         await asyncio.sleep(60)
         assert len(bench.read()) == 200
         assert not task.done() and not bench.term.step_down_reasons
-        assert bench.store.too_many < 60
+        assert bench.store.rate_limited < 60
         task.cancel()
 
     play(main(), bench.loop)
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -77,7 +77,7 @@
 
 async def leader_hangs(world: World, history: History) -> None:
     assert world.leader is not None
-    still = world.loop.create_task(world.stand_still(world.leader.api._node, 8.0))
+    still = world.loop.create_task(world.suspend(world.leader.api._node, 8.0))
     await world.play_faults([cut("leader", "workers"), cut("follower", "store", at=2.0)])
     await still
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -76,7 +76,7 @@
         await asyncio.sleep(6)
         old = world.leader
         assert old is not None
-        world.ports[old.api._node][0].trouble.refused = True
+        world.ports[old.api._node].store.faults.refused = True
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         assert old.election.role.name == "FOLLOWER"
@@ -94,15 +94,15 @@
         old = world.leader
         assert old is not None
         name = old.api._node
-        world.ports[name][1].trouble.cut = True
+        world.ports[name].cloud.faults.cut = True
         # The links between controllers are cut too, but workers still reach the old leader.
         set_apart(world, name, True)
         for worker in list(world.workers):
-            world.cut_workers |= {(worker, node) for node in NODES if node != name}
+            world.cut_worker_links |= {(worker, node) for node in NODES if node != name}
         await asyncio.sleep(35)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         set_apart(world, name, False)
-        world.ports[name][1].trouble.cut = False
+        world.ports[name].cloud.faults.cut = False
         assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
 
     day(script)
@@ -133,9 +133,9 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, crew="red", pieces=12, true_s=100.0, expected_s=100.0))
         await asyncio.sleep(8)
-        assert len(world.rules.where) == 12
+        assert len(world.rules.running) == 12
         # The workers hear nothing more, so what they run goes on until their leases end.
-        world.cut_workers |= {(worker, node) for worker in world.workers for node in NODES}
+        world.cut_worker_links |= {(worker, node) for worker in world.workers for node in NODES}
         assert await world.withdraw("run-000001") == "cancelled"
         old = world.leader
         assert old is not None
@@ -161,7 +161,7 @@
         assert all([await ready(node) for node in NODES])
         reach = world.reach
         world.reach = lambda one, other: cut not in (one, other) and reach(one, other)  # type: ignore[method-assign]
-        world.ports[cut][0].trouble.cut = True
+        world.ports[cut].store.faults.cut = True
         # The user asks again, here while it may be over at once, and then on a connection to another node.
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
         assert (response.status, response.close) == (503, False)
@@ -170,7 +170,7 @@
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
         assert (response.status, response.close) == (503, True)
         world.reach = reach  # type: ignore[method-assign]
-        world.ports[cut][0].trouble.cut = False
+        world.ports[cut].store.faults.cut = False
         await asyncio.sleep(3)
         assert await ready(cut)
         world.store.outage(True)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -48,7 +48,7 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
         await asyncio.sleep(12)
-        assert len(world.rules.where) > 0.9 * JOBS * TASKS
+        assert len(world.rules.running) > 0.9 * JOBS * TASKS
         # Every machine is known to the leader, which ends; all report to the next one at once.
         old = world.leader
         assert old is not None and old.leader is not None
@@ -56,7 +56,7 @@
         world.kill(old.api._node)
         ended = world.loop.now
         for worker in world.workers.values():
-            worker.change.set()
+            worker.state_changed.set()
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             assert world.loop.now - ended < 8
             await asyncio.sleep(0.1)
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -29,7 +29,7 @@
         held = [one for one in world.controllers.values() if one.election.role is Role.LEASE_UNCERTAIN]
         seen["two hold"] += len(held) > 1
         for job_id in world.rules.cancelled_at:
-            if any(task.startswith(job_id) for _, task in world.rules.where):
+            if any(task.startswith(job_id) for _, task in world.rules.running):
                 seen["present after"] += 1
                 seen["present, held by an earlier leader"] += len(held) > 0
 
@@ -41,19 +41,19 @@
     assert old is not None
     name = old.api._node
     peers_too = rng.random() < 0.7
-    world.ports[name][0].trouble.refused = True
+    world.ports[name].store.faults.refused = True
     if peers_too:
-        world.apart.add(name)
+        world.isolated_nodes.add(name)
     refused_for = rng.choice([rng.uniform(2, 20), 90.0])
 
     def again() -> None:
-        world.apart.discard(name)
-        world.ports[name][0].trouble.refused = False
+        world.isolated_nodes.discard(name)
+        world.ports[name].store.faults.refused = False
 
     def cut_again() -> None:
         """What a process finds when it is back: its node is still refused."""
         if world.loop.now < refused_until and name in world.controllers:
-            world.ports[name][0].trouble.refused = True
+            world.ports[name].store.faults.refused = True
 
     refused_until = world.loop.now + refused_for
     world.loop.call_later(refused_for, again)
@@ -64,7 +64,7 @@
     world.store.outage(True)
     end = world.loop.now + world.cancel + rng.uniform(1, 15)
     if rng.random() < 0.3:
-        world.loop.create_task(world.stand_still(name, rng.uniform(0.5, 6.0)))
+        world.loop.create_task(world.suspend(name, rng.uniform(0.5, 6.0)))
     crash = rng.choice([rng.uniform(0, 30), None])
     while world.loop.now < end:
         await asyncio.sleep(rng.uniform(1, 8))
@@ -127,7 +127,7 @@
         await asyncio.sleep(10)
         # No machine can be asked: until their leases have surely run out, nobody may say `cancelled`.
         for worker in list(world.workers):
-            world.cut_workers |= {(worker, node) for node in world.nodes}
+            world.cut_worker_links |= {(worker, node) for node in world.nodes}
         await asyncio.sleep(0.5)
         began = world.loop.now
         answer = await world.ask("POST", "/submissions/run-000001/withdraw")
@@ -141,12 +141,12 @@
         assert await world.withdraw("run-000001", 40.0) == "cancelled"
         assert world.loop.now - began < 20
         await asyncio.sleep(5)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         await asyncio.sleep(40)
         # A leader is refused alone, with its workers: it does not hold on, or not for longer than it may.
         name = world.leader.api._node if world.leader is not None else ""
-        world.ports[name][0].trouble.refused = True
-        world.apart.add(name)
+        world.ports[name].store.faults.refused = True
+        world.isolated_nodes.add(name)
         await asyncio.sleep(4)
         await world.withdraw("run-000002", 30.0)
         await asyncio.sleep(30)
@@ -166,9 +166,11 @@
         assert await world.submit(job(2, pieces=2, true_s=200.0, expected_s=200.0))
         await asyncio.sleep(8)
         assert await world.withdraw("run-000001") == "cancelled"
-        listed = {name: [task for on, task in world.rules.where if on == name] for name in world.workers}
+        listed = {name: [task for on, task in world.rules.running if on == name] for name in world.workers}
         body = next(
-            worker._body() for worker in world.workers.values() if any("000001" in task for task in listed[worker.name])
+            worker.heartbeat_body()
+            for worker in world.workers.values()
+            if any("000001" in task for task in listed[worker.name])
         )
         old = world.leader
         assert old is not None
@@ -197,7 +199,7 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=20, true_s=200.0, expected_s=200.0))
         await asyncio.sleep(10)
-        before = sorted(world.rules.where)
+        before = sorted(world.rules.running)
         assert len(before) == 20
         leader = world.leader
         assert leader is not None
@@ -207,9 +209,9 @@
             world.kill(next(node for node in world.nodes if node != leader.api._node))
         await asyncio.sleep(110)
         if all_there:
-            assert sorted(world.rules.where) == before and leader.election.role is Role.LEASE_UNCERTAIN
+            assert sorted(world.rules.running) == before and leader.election.role is Role.LEASE_UNCERTAIN
         else:
-            assert not world.rules.where and leader.election.role is Role.FOLLOWER
+            assert not world.rules.running and leader.election.role is Role.FOLLOWER
         restore(world)
         await asyncio.sleep(3)
         if all_there:
@@ -232,19 +234,19 @@
         old = world.leader
         assert old is not None
         name, other = old.api._node, next(node for node in world.nodes if node != old.api._node)
-        world.ports[name][0].trouble.refused = True
-        world.apart.add(name)
+        world.ports[name].store.faults.refused = True
+        world.isolated_nodes.add(name)
         await asyncio.sleep(4)
         assert await world.withdraw("run-000001", 5.0) == "cancelled"
-        assert world.rules.where and old.election.role is Role.LEASE_UNCERTAIN
+        assert world.rules.running and old.election.role is Role.LEASE_UNCERTAIN
         world.store.outage(True)
         world.kill(other)
-        world.apart.discard(name)
+        world.isolated_nodes.discard(name)
         world.start(other)
         await asyncio.sleep(3)
         assert world.controllers[other].election.highest_seen_token == old.election.fencing_token
         await asyncio.sleep(60)
-        assert seen["present, held by an earlier leader"] > 20 and not world.rules.where
+        assert seen["present, held by an earlier leader"] > 20 and not world.rules.running
         restore(world)
         await asyncio.sleep(10)
         watcher.cancel()
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -18,7 +18,7 @@
 
 
 def busiest(world: World) -> str:
-    names = [name for name, _ in world.rules.where]
+    names = [name for name, _ in world.rules.running]
     return max(set(names), key=names.count)
 
 
@@ -31,15 +31,15 @@
         assert await world.submit(job(1, pieces=90, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(8)
         name = busiest(world)
-        lost = {task for on, task in world.rules.where if on == name}
-        world.deaf.add(name)
+        lost = {task for on, task in world.rules.running if on == name}
+        world.workers_without_responses.add(name)
         # Its lease runs out, its tasks die, and it reports on with a higher session.
         await asyncio.sleep(14)
-        assert not [task for on, task in world.rules.where if on == name]
+        assert not [task for on, task in world.rules.running if on == name]
         await asyncio.sleep(8)
-        assert lost & {task for _, task in world.rules.where} | (lost & world.rules.finished)
+        assert lost & {task for _, task in world.rules.running} | (lost & world.rules.finished)
         if heals:
-            world.deaf.discard(name)
+            world.workers_without_responses.discard(name)
             await asyncio.sleep(3)
         # However much waits, it has been given nothing.
         assert await world.submit(job(2, pieces=160, urgency="high", true_s=20.0, expected_s=20.0))
@@ -52,7 +52,7 @@
         await asyncio.sleep(35)
         if heals:
             assert name not in world.cloud.deleted
-            assert any(on == name for on, _ in world.rules.where)
+            assert any(on == name for on, _ in world.rules.running)
         else:
             assert name in world.cloud.deleted
         states = await world.until_over(["run-000001", "run-000002"], 300)
@@ -68,7 +68,7 @@
     """Every report comes again, to any node, from seconds to several leases later."""
 
     async def script(world: World) -> None:
-        world.copies, world.copy_late = 1.0, (15.0, 40.0)
+        world.duplicate_share, world.duplicate_delay_s = 1.0, (15.0, 40.0)
         ids = []
         for number in range(8):
             spec = job(number, crew="red" if number % 2 else "blue", pieces=9, true_s=6.0, expected_s=6.0)
@@ -77,7 +77,7 @@
         await asyncio.sleep(12)
         # One machine dies, one is deleted, one controller is followed by another.
         names = sorted(world.workers)
-        world.workers.pop(names[0]).gone()
+        world.workers.pop(names[0]).terminate()
         leader = world.leader
         assert leader is not None
         world.kill(leader.api._node)
@@ -112,13 +112,13 @@
         for node, controller in world.controllers.items():
             controller.api.handle = partial(noting, node)  # type: ignore[method-assign]
         await asyncio.sleep(10)
-        before = list(world.rules.where)
+        before = list(world.rules.running)
         assert len(before) == 3
         assert world.leader is not None
         for request in [one for one in requests if one.path == "/agent/beat"]:
             response = await handle[world.leader.api._node](request)
             assert response.status == 503
-        assert sorted(world.rules.where) == sorted(before)
+        assert sorted(world.rules.running) == sorted(before)
         assert world.leader.leader is not None
         assert len(world.leader.leader.cluster.jobs["run-000001"].allocations) == 3
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
@@ -133,8 +133,8 @@
         await asyncio.sleep(8)
         leader = world.leader
         assert leader is not None
-        before = sorted(world.rules.where)
-        good = next(iter(world.workers.values()))._body()
+        before = sorted(world.rules.running)
+        good = next(iter(world.workers.values())).heartbeat_body()
         for change in (
             {"baton": 1 << 64},
             {"baton": -1},
@@ -150,7 +150,7 @@
         # Of a machine that nobody knows: it gets the token, and nothing else changes.
         stranger = good | {"loom": "m-999999", "baton": 0, "pieces": []}
         assert (await world.report(stranger, leader.api._node)).status == 200
-        assert world.leader is leader and sorted(world.rules.where) == before
+        assert world.leader is leader and sorted(world.rules.running) == before
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
@@ -166,7 +166,7 @@
         assert await world.submit(job(1, pieces=40, true_s=15.0, expected_s=15.0))
         await asyncio.sleep(8)
         name = busiest(world)
-        world.workers[name].reborn(session)
+        world.workers[name].restart(session)
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -27,7 +27,7 @@
         assert await world.withdraw("run-000001") == "cancelled"
         await asyncio.sleep(31)
         world.rules.check_cancelled()
-        assert world.rules.where == [] or all(world.workers[m].hung for m, _ in world.rules.where)
+        assert world.rules.running == [] or all(world.workers[m].hung for m, _ in world.rules.running)
         assert await world.poll("run-000001") == "cancelled"
 
     day(script)
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -41,7 +41,7 @@
     async def script(world: World) -> None:
         for node in world.nodes:
             for port in world.ports[node]:
-                port.trouble.twice = 0.5
+                port.faults.duplicate_share = 0.5
         ids = []
         for number in range(6):
             spec = job(number, pieces=30, true_s=8.0, expected_s=8.0)
@@ -101,7 +101,7 @@
         withdrawn = asyncio.create_task(world.withdraw(ids[0]))
         await asyncio.sleep(world.rng.uniform(0.0, 0.1))
         stood = world.loop.now
-        await world.stand_still(name, still)
+        await world.suspend(name, still)
         if still > 4:
             assert world.leader is not None and world.leader is not old
         await asyncio.gather(*asking)
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -56,7 +56,7 @@
 def test_a_leader_of_two_machines_gives_way_too() -> None:
     async def script(world: World, history: History) -> None:
         for name in sorted(world.workers)[2:]:
-            world.workers[name].gone()
+            world.workers[name].terminate()
             world.cloud.machines[name].state = "failed"
             del world.workers[name]
         await asyncio.sleep(5)
@@ -94,18 +94,18 @@
         west = sorted(name for name, worker in world.workers.items() if worker.zone == "west")
         silent = west[: len(west) * 2 // 3]
         assert len(west) * 0.5 < len(silent) < len(west) * 0.8 and len(west) >= 4
-        world.cut_workers |= {(worker, node) for worker in silent for node in NODES}
+        world.cut_worker_links |= {(worker, node) for worker in silent for node in NODES}
         await asyncio.sleep(8)
         before = len([one for one in world.cloud.machines.values() if one.zone == "west"])
         # Past the lease their tasks run elsewhere; the machines stay, and there are no others.
         await asyncio.sleep(40)
         assert set(silent) <= set(world.cloud.machines)
         assert len([one for one in world.cloud.machines.values() if one.zone == "west"]) <= before
-        assert not {machine for machine, _ in world.rules.where} & set(silent)
+        assert not {machine for machine, _ in world.rules.running} & set(silent)
         # After 90 s more they are given up: a machine that is dead must not be paid for ever.
         await asyncio.sleep(75)
         assert not set(silent) & set(world.cloud.machines)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         assert set((await world.until_over(["run-000050"], 300)).values()) == {"done"}
         # Users come back, so there are machines to hear.
         assert await world.submit(job(51, pieces=8, true_s=30.0, expected_s=30.0))
@@ -150,14 +150,14 @@
         for number in range(60, 64):
             assert await world.submit(job(number, pieces=10, true_s=45.0, expected_s=45.0))
         await asyncio.sleep(8)
-        before = {(machine, task) for machine, task in world.rules.where if task.rpartition("/")[0] in long_jobs}
+        before = {(machine, task) for machine, task in world.rules.running if task.rpartition("/")[0] in long_jobs}
         pairs = [(one, two) for one in NODES for two in NODES if one < two]
         cuts = [cut(*pair, length=25.0) for pair in pairs]
         cuts += [cut(node, "workers", at=0.5, length=24.0) for node in (leader, other)]
         await world.play_faults(cuts)
         assert [node for _, node, _ in history.terms] == [leader, reached]
         running += len(before)
-        kept += len(before & set(world.rules.where))
+        kept += len(before & set(world.rules.running))
         assert set((await world.until_over(long_jobs, 300)).values()) == {"done"}
         assert await world.submit(job(70, pieces=8, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(15)
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -25,7 +25,7 @@
         set_apart(world, name, True)
         # Half of the workers hear only the old leader, which answers them for a bounded time.
         with_old = sorted(world.workers)[::2]
-        world.cut_workers |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
+        world.cut_worker_links |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
         apart = world.loop.now
         while old.election.role.name != "FOLLOWER":
             await asyncio.sleep(0.1)
@@ -33,7 +33,7 @@
         # It comes back in the middle of all that, and the workers with it.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
         set_apart(world, name, False)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         assert await world.withdraw("run-000002") == "cancelled"
         await asyncio.sleep(31)
         world.rules.check_cancelled()
@@ -52,11 +52,11 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=200, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(10)
-        running = set(world.rules.where)
+        running = set(world.rules.running)
         old = world.leader
         assert old is not None and len(running) == 200
         name = old.api._node
-        world.cut_workers |= {(worker, name) for worker in world.workers}
+        world.cut_worker_links |= {(worker, name) for worker in world.workers}
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         await asyncio.sleep(20)
@@ -64,10 +64,10 @@
         assert world.leader.election.fencing_token == max(
             c.election.highest_seen_token for c in world.controllers.values()
         )
-        kept = {(machine, task) for machine, task in running if (machine, task) in set(world.rules.where)}
+        kept = {(machine, task) for machine, task in running if (machine, task) in set(world.rules.running)}
         # A worker gives a node four seconds; those that were sent back once may come too late.
         assert len(kept) > len(running) * 0.6, len(kept)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(3):
@@ -82,7 +82,7 @@
         await asyncio.sleep(10)
         old = world.leader
         assert old is not None
-        world.mute.add(old.api._node)
+        world.nodes_without_responses.add(old.api._node)
         await asyncio.sleep(14)
         assert world.leader is not None and world.leader is not old
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
@@ -104,12 +104,12 @@
         if reaching == "none":
             for worker in workers[:5]:
                 world.workers[worker].hung = True
-                world.cut_workers |= {(worker, node) for node in world.nodes}
+                world.cut_worker_links |= {(worker, node) for node in world.nodes}
         else:
-            world.cut_workers |= {(worker, old.api._node) for worker in workers[:2]}
+            world.cut_worker_links |= {(worker, old.api._node) for worker in workers[:2]}
         await asyncio.sleep(25)
         assert world.leader is old
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         for one in world.workers.values():
             one.hung = False
         assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
@@ -130,20 +130,20 @@
         assert await world.submit(job(1, pieces=80, true_s=25.0, expected_s=25.0))
         await asyncio.sleep(8)
         west = {name for name, worker in world.workers.items() if worker.zone == "west"}
-        assert len(west) >= 8 and any(machine in west for machine, _ in world.rules.where)
-        world.cut_workers |= {(worker, node) for worker in west for node in world.nodes}
+        assert len(west) >= 8 and any(machine in west for machine, _ in world.rules.running)
+        world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(8)
         rented = {name for name, one in world.cloud.machines.items() if one.zone == "west"}
         # Past the lease its tasks run elsewhere; the machines stay.
         await asyncio.sleep(32)
         assert {name for name, one in world.cloud.machines.items() if one.zone == "west"} == rented >= west
-        assert not any(machine in west for machine, _ in world.rules.where)
-        world.cut_workers.clear()
+        assert not any(machine in west for machine, _ in world.rules.running)
+        world.cut_worker_links.clear()
         assert await world.submit(job(2, pieces=120, true_s=10.0, expected_s=10.0))
         await asyncio.sleep(8)
-        assert any(machine in west for machine, _ in world.rules.where)
+        assert any(machine in west for machine, _ in world.rules.running)
         # Cut off for good, they are given up in the end.
-        world.cut_workers |= {(worker, node) for worker in west for node in world.nodes}
+        world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(130)
         assert not west & set(world.cloud.machines)
         assert set((await world.until_over(["run-000001", "run-000002"], 200)).values()) == {"done"}
@@ -165,8 +165,8 @@
         if not others_live:
             for other in [name for name in world.nodes if name != node]:
                 world.kill(other)
-        world.apart.add(node)
-        world.cut_workers |= {(worker, node) for worker in world.workers}
+        world.isolated_nodes.add(node)
+        world.cut_worker_links |= {(worker, node) for worker in world.workers}
         await asyncio.sleep(11)
         if others_live:
             assert world.leader is not None and world.leader.api._node != node
@@ -179,7 +179,7 @@
             await asyncio.sleep(40)
             assert first.election.fencing_token == won
         restore(world)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         states = await world.until_over([f"run-{number:06d}" for number in range(4)], 200)
         assert set(states.values()) == {"done"}
         if others_live:
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -26,7 +26,7 @@
     async def script(world: World) -> None:
         await asyncio.sleep(2)
         sick = next(iter(world.workers))
-        world.workers[sick].sick = True
+        world.workers[sick].faulty = True
         for number in range(14):
             assert await world.submit(job(number))
         await world.until_over([f"run-{n:06d}" for n in range(14)], 120)
@@ -69,12 +69,12 @@
     async def script(world: World) -> None:
         await asyncio.sleep(2)
         assert world.leader is not None
-        cloud = world.ports[world.leader.api._node][1].trouble
+        cloud = world.ports[world.leader.api._node].cloud.faults
         stuck = world.cloud.add("small", "east", True, 10_000.0)
         await asyncio.sleep(25)
-        cloud.lost = 0.9
+        cloud.lost_response_share = 0.9
         await asyncio.sleep(60)
-        cloud.lost = 0.0
+        cloud.lost_response_share = 0.0
         await asyncio.sleep(15)
         assert stuck.name not in world.cloud.machines
         assert stuck.name not in world.leader.leader.cluster.machines  # type: ignore[union-attr]
@@ -87,15 +87,15 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=20, true_s=20.0, expected_s=20.0, snapshot_every_s=5.0, snapshot_s=1.0))
         await asyncio.sleep(8)
-        name, held = next((m, [t for n, t in world.rules.where if n == m]) for m, _ in world.rules.where)
+        name, held = next((m, [t for n, t in world.rules.running if n == m]) for m, _ in world.rules.running)
         worker = world.workers[name]
         if notice:
             worker.interruption_at = world.loop.now + 12
-            worker.change.set()
+            worker.state_changed.set()
             await asyncio.sleep(10.5)
             # What could save has gone on elsewhere, and nothing new came.
-            assert not any(m == name for m, _ in world.rules.where)
-            assert set(held) <= {t for _, t in world.rules.where} | world.rules.finished
+            assert not any(m == name for m, _ in world.rules.running)
+            assert set(held) <= {t for _, t in world.rules.running} | world.rules.finished
             await asyncio.sleep(1.5)
         if name in world.cloud.machines:
             del world.cloud.machines[name]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -100,8 +100,8 @@
         await stage.end()
         await asyncio.sleep(world.rng.uniform(0, 10))
         restore(world)
-        world.slow, world.store.latency, world.cloud.quick = 0.0, 0.004, False
-        world.cut_workers.clear()
+        world.delayed_share, world.store.latency, world.cloud.fast_boot = 0.0, 0.004, False
+        world.cut_worker_links.clear()
         for worker in world.workers.values():
             worker.hung = False
         world.rules.calm_since = world.loop.now
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -43,12 +43,12 @@
     world = World()
     for number in (1, 2):
         world.rules.submitted(job(number))
-        world.rules.heard(f"run-{number:06d}", 201, "queued")
+        world.rules.observe_response(f"run-{number:06d}", 201, "queued")
     world.rules.calm_since = 0.0
     for now in range(90):
         world.loop.now = float(now)
-        world.rules.heard("run-000001", 200, "queued")
-        world.rules.heard("run-000002", 503, None)
+        world.rules.observe_response("run-000001", 200, "queued")
+        world.rules.observe_response("run-000002", 503, None)
     world.loop.close()
     assert [entry.split()[1:3] for entry in world.rules.broken[:1]] == [["forgotten:", "run-000002:"]]
 
@@ -123,7 +123,7 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=30, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(8)
-        running = sorted(world.rules.where)
+        running = sorted(world.rules.running)
         assert running and world.leader is not None
         leader = world.leader.api._node
         other = next(node for node in world.nodes if node != leader)
@@ -147,7 +147,7 @@
         assert await answers(other) == [429, 429, 200]
         # Longer than a worker's lease: none of the tasks is lost for it.
         await asyncio.sleep(14)
-        assert set(running) <= set(world.rules.where)
+        assert set(running) <= set(world.rules.running)
         behind(leader, 0.0)
         assert await answers(other) == [200, 200, 200]
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -110,7 +110,7 @@
         assert await world.submit(long)
         assert await world.submit(job(2, pieces=320, cpus=0.1, ram_gb=0.05, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
-        most = max(len([task for name, task in world.rules.where if name == machine]) for machine in world.workers)
+        most = max(len([task for name, task in world.rules.running if name == machine]) for machine in world.workers)
         assert most > 100
         await upgrade(world, list(world.nodes), 6.0)
         fall(world)
@@ -210,5 +210,5 @@
         fall(world)
 
     world = day(script, machines=machines, each=machines, before=before)
-    assert world.store.too_many <= 2
+    assert world.store.rate_limited <= 2
     assert sum(world.rules.starts.values()) < 1.02 * len(world.rules.starts)
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -113,10 +113,10 @@
             replace(world, node, SUPPORTED, 0.5)
         await asyncio.sleep(3)
         for node in NODES:
-            world.ports[node][0].trouble.lost = 0.6
+            world.ports[node].store.faults.lost_response_share = 0.6
         await asyncio.sleep(2 * SOAK_S)
         for node in NODES:
-            world.ports[node][0].trouble.lost = 0.0
+            world.ports[node].store.faults.lost_response_share = 0.0
         await until_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,18 +14,18 @@
     one = Rules(loop, {"red": 4.0, "blue": float("inf")}, 30.0)
     one.submitted(job(1, crew="red", pieces=3, cpus=2.0, one_zone=True))
     one.submitted(job(2, pieces=4, scatter=True, yard=None, loaners=False, builds=["large"]))
-    one.heard("run-000001", 201, "queued")
-    one.heard("run-000002", 201, "queued")
+    one.observe_response("run-000001", 201, "queued")
+    one.observe_response("run-000002", 201, "queued")
     return one
 
 
 def on(one: Rules, task: str, machine: str = "m-1", zone: str = "east", spot: bool = False) -> None:
-    one.on(machine, task, "large", zone, spot)
+    one.task_started(machine, task, "large", zone, spot)
 
 
 def cancelled(one: Rules) -> None:
     one.asked_to_cancel.add("run-000001")
-    one.heard("run-000001", 200, "cancelled")
+    one.observe_response("run-000001", 200, "cancelled")
 
 
 def late_presence(one: Rules) -> None:
@@ -38,20 +38,20 @@
 def older_answer(one: Rules) -> None:
     cancelled(one)
     one.loop.now = 5.0
-    one.heard("run-000001", 200, "running", asked=4.9)
+    one.observe_response("run-000001", 200, "running", asked=4.9)
 
 
 def two_ends(one: Rules) -> None:
     """Even on questions asked at once, a job has one end."""
     cancelled(one)
     one.finished |= {f"run-000001/{n}" for n in range(3)}
-    one.heard("run-000001", 200, "done", asked=-1.0)
+    one.observe_response("run-000001", 200, "done", asked=-1.0)
 
 
 def impossible(one: Rules) -> None:
     one.submitted(job(3, cpus=99.0))
     one.impossible.add("run-000003")
-    one.heard("run-000003", 201, "queued")
+    one.observe_response("run-000003", 201, "queued")
 
 
 def waits(one: Rules) -> None:
@@ -65,7 +65,7 @@
     one.calm_since = 0.0
     for now in (0.0, 76.0):
         one.loop.now = now
-        one.heard("run-000001", 503, None)
+        one.observe_response("run-000001", 503, None)
 
 
 def twice(one: Rules) -> None:
@@ -95,17 +95,17 @@
         two_zones,
         lambda one: on(one, "run-000002/0", spot=True),
         not_apart,
-        lambda one: one.on("m-1", "run-000002/0", "small", "east", False),
+        lambda one: one.task_started("m-1", "run-000002/0", "small", "east", False),
     ],
     "ran_cancelled": [late_presence],
     "forgotten": [
         forgotten,
-        lambda one: one.heard("run-000001", 404, None),
-        lambda one: one.heard("run-000002", 422, None),
+        lambda one: one.observe_response("run-000001", 404, None),
+        lambda one: one.observe_response("run-000002", 422, None),
     ],
-    "invented": [lambda one: one.heard("run-000009", 200, "queued")],
-    "not_done": [lambda one: one.heard("run-000001", 200, "done")],
-    "went_back": [older_answer, two_ends, lambda one: one.heard("run-000001", 200, "cancelled")],
+    "invented": [lambda one: one.observe_response("run-000009", 200, "queued")],
+    "not_done": [lambda one: one.observe_response("run-000001", 200, "done")],
+    "went_back": [older_answer, two_ends, lambda one: one.observe_response("run-000001", 200, "cancelled")],
     "accepted": [impossible],
     "waits": [waits],
 }
@@ -127,9 +127,9 @@
     assert not one.late_starts
     # An answer as old as its question, which was asked before the other was given.
     one.loop.now = 1.0
-    one.heard("run-000001", 200, "running", asked=-0.5)
-    one.off("m-1", "run-000001/0")
-    one.off("m-1", "run-000001/1")
+    one.observe_response("run-000001", 200, "running", asked=-0.5)
+    one.task_ended("m-1", "run-000001/0")
+    one.task_ended("m-1", "run-000001/1")
     one.loop.now = 40.0
     one.check_cancelled()
     on(one, "run-000001/2")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -43,7 +43,7 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
         await asyncio.sleep(15)
-        running = set(world.rules.where)
+        running = set(world.rules.running)
         assert len(running) > 1500
         old = world.leader
         assert old is not None
@@ -83,14 +83,14 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
         await asyncio.sleep(10)
-        assert len(world.rules.where) > 1000
+        assert len(world.rules.running) > 1000
         for turn in range(2):
             world.store.outage(True)
             for node in list(world.controllers):
                 world.kill(node)
             for index, worker in enumerate(list(world.workers.values())):
                 # Half of them keep their session's number.
-                worker.reborn(worker.incarnation + index % 2)
+                worker.restart(worker.incarnation + index % 2)
             for index, node in enumerate(world.nodes):
                 world.loop.call_later(0.2 + 0.3 * index, start, world, node)
             await asyncio.sleep(3)
@@ -101,15 +101,15 @@
         # Machines that have nothing to do may go back, however many; none may be lost. What a
         # machine had when it was deleted, and whether it was heard until then, tells which it was.
         returned: list[bool] = []
-        ended = world.cloud.ended
+        ended = world.cloud.on_deleted
 
         def note(name: str) -> None:
             worker = world.workers[name]
             empty = all(task.state == "exited" for task in worker.tasks.values())
-            returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.granted < 6)
+            returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
             ended(name)
 
-        world.cloud.ended = note
+        world.cloud.on_deleted = note
         while await world.poll(ids[0]) is None:
             assert world.loop.now < over + 6
             await asyncio.sleep(0.2)
@@ -124,7 +124,7 @@
         await asyncio.sleep(15)
         sessions = [worker.incarnation for worker in world.workers.values()]
         assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
-        assert len({machine for machine, _ in world.rules.where}) > 0.3 * MACHINES
+        assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
         assert set((await world.until_over(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
@@ -153,12 +153,12 @@
         west = [name for name, worker in world.workers.items() if worker.zone == "west"]
         cut_off = next(node for node in world.nodes if world.leader and node != world.leader.api._node)
         set_apart(world, cut_off, True)
-        world.cut_workers |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
+        world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
         await asyncio.sleep(10)
         await more(5)
         await asyncio.sleep(20)
         set_apart(world, cut_off, False)
-        world.cut_workers.clear()
+        world.cut_worker_links.clear()
         await asyncio.sleep(5)
         # Links are refused: users at the others are told so at once, the leader serves on.
         reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
@@ -171,17 +171,17 @@
         await asyncio.sleep(10)
         world.reach = reach  # type: ignore[method-assign]
         await more(5)
-        await world.stand_still(leader, 6.0)
+        await world.suspend(leader, 6.0)
         assert world.leader.api._node != leader
         # A third of the machines: dead, hung and sick, with work coming.
         names = sorted(world.workers)
         for name in names[::9]:
-            world.workers.pop(name).gone()
+            world.workers.pop(name).terminate()
             world.cloud.machines[name].state = "failed"
         for name in names[1::9]:
             world.workers[name].hung = True
         for name in names[2::9]:
-            world.workers[name].sick = True
+            world.workers[name].faulty = True
         await more(10)
         await asyncio.sleep(20)
         for worker in world.workers.values():
@@ -208,11 +208,11 @@
         await asyncio.sleep(2)
         assert await world.submit(job(1, pieces=40, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
-        assert len(world.rules.where) == 40
+        assert len(world.rules.running) == 40
         assert work["_observe_state"] >= 40 and work["task_name"] >= 40
         work.clear()
         await asyncio.sleep(15)
-        assert len(world.rules.where) == 40
+        assert len(world.rules.running) == 40
         assert work["handle"] >= 10
         assert work["_observe_state"] == work["task_name"] == 0
 
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -93,9 +93,9 @@
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6))
         assert await served(world, "run-000001", 45, 6) < 45
-        zones = {world.workers[name].zone for name, task in world.rules.where}
+        zones = {world.workers[name].zone for name, task in world.rules.running}
         assert len(zones) >= 2
-        assert not any(world.workers[name].spot for name, _ in world.rules.where)
+        assert not any(world.workers[name].spot for name, _ in world.rules.running)
 
     day(script, machines=0)
 
@@ -108,7 +108,7 @@
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6, scatter=False))
         await served(world, "run-000001", 10, 6)
-        names = [name for name, _ in world.rules.where]
+        names = [name for name, _ in world.rules.running]
         assert max(names.count(name) for name in names) <= 2
 
     day(script, machines=0)
@@ -171,10 +171,10 @@
         await asyncio.sleep(6)
         assert await world.submit(daemon(2, pieces=6, scatter=False))
         await served(world, "run-000002", 15, 6)
-        assert len({name for name, task in world.rules.where if task.startswith("run-000002")}) == 6
+        assert len({name for name, task in world.rules.running if task.startswith("run-000002")}) == 6
         await asyncio.sleep(300)
         # A move costs replica time: nothing is emptied lightly.
-        assert len({name for name, _ in world.rules.where}) == 6
+        assert len({name for name, _ in world.rules.running}) == 6
         least = 6
         for _ in range(2000):
             await asyncio.sleep(0.5)
@@ -182,7 +182,7 @@
         assert least == 5
         assert max(world.rules.starts[f"run-000002/{task}"] for task in range(6)) <= 2
         # What stays is what the band keeps; one machine less could be chance, as answers get lost.
-        assert len({name for name, _ in world.rules.where}) <= 4
+        assert len({name for name, _ in world.rules.running}) <= 4
         assert len(world.cloud.machines) <= 4
         assert world.rules.serving("run-000002") == 6
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -80,20 +80,20 @@
 
 
 def lose_machine(world: World, name: str) -> None:
-    world.workers.pop(name).gone()
+    world.workers.pop(name).terminate()
 
 
 def recall(world: World, name: str) -> None:
     worker = world.workers[name]
     worker.interruption_at = world.loop.now + 12
-    worker.change.set()
+    worker.state_changed.set()
 
 
 def cut_zone(world: World, name: str) -> None:
     zone = world.workers[name].zone
     for other, worker in world.workers.items():
         if worker.zone == zone:
-            world.cut_workers |= {(other, node) for node in world.nodes}
+            world.cut_worker_links |= {(other, node) for node in world.nodes}
 
 
 @pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (recall, 11.0), (cut_zone, 20.0)])
@@ -107,8 +107,8 @@
         assert await world.submit(job(3, pieces=20, true_s=30.0, expected_s=30.0))
         await served(world, "run-000001", 10)
         await served(world, "run-000002", 10, 4)
-        name = next(machine for machine, task in world.rules.where if task.startswith("run-000001"))
-        mine = {task for machine, task in world.rules.where if machine == name}
+        name = next(machine for machine, task in world.rules.running if task.startswith("run-000001"))
+        mine = {task for machine, task in world.rules.running if machine == name}
         loss(world, name)
         lost = world.loop.now
         while any(world.rules.machines_of.get(task) == [name] for task in mine):
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.05)
         else:
             await served(world, "run-000001", 10)
-            name = next(machine for machine, _ in world.rules.where)
+            name = next(machine for machine, _ in world.rules.running)
             if moment == "lost":
                 lose_machine(world, name)
             else:
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -168,7 +168,7 @@
         await upgrade_all(world)
         ids = await submit_some(world)
         while not any(done_in_store(world).values()):
-            assert any(world.rules.told[job_id] != "done" for job_id in ids)
+            assert any(world.rules.reported_states[job_id] != "done" for job_id in ids)
             await asyncio.sleep(0.2)
         world.rollout = RolloutSettings()
         for node in NODES:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -115,13 +115,13 @@
 def check_earlier_reader(world: World) -> None:
     """An earlier leader would miss and mistake nothing of what is stored now."""
     view = earlier.read(world.store.values())
-    for job_id, told in world.rules.told.items():
+    for job_id, told in world.rules.reported_states.items():
         state = view.jobs[job_id]["state"]
         assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
     for job_id, marked in view.done.items():
         assert {f"{job_id}/{task}" for task in marked} <= world.rules.finished
     # No task is on a machine that the store does not name for it, unless its end is stored.
-    for machine, task in world.rules.where:
+    for machine, task in world.rules.running:
         job_id, _, index = task.rpartition("/")
         over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
         assert (machine, task) in view.holds or over, (machine, task)
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -28,17 +28,17 @@
     users = asyncio.ensure_future(use(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
-        state, cloud = ports[0].trouble, ports[1].trouble
-        state.lost, state.late, state.twice = 0.1, 0.05, 0.1
-        cloud.lost = cloud.twice = 0.2
+        state, cloud = ports.store.faults, ports.cloud.faults
+        state.lost_response_share, state.late_share, state.duplicate_share = 0.1, 0.05, 0.1
+        cloud.lost_response_share = cloud.duplicate_share = 0.2
     await asyncio.sleep(25)
     for ports in world.ports.values():
-        state = ports[0].trouble
-        state.lost = state.late = state.twice = 0.0
-        state.slow_to, state.slow_from = 0.3, 0.4
+        state = ports.store.faults
+        state.lost_response_share = state.late_share = state.duplicate_share = 0.0
+        state.request_delay_s, state.response_delay_s = 0.3, 0.4
     await asyncio.sleep(20)
     for ports in world.ports.values():
-        ports[0].trouble.slow_to = ports[0].trouble.slow_from = 0.0
+        ports.store.faults.request_delay_s = ports.store.faults.response_delay_s = 0.0
     world.store.outage(True)
     await asyncio.sleep(20)
     world.store.outage(False)
@@ -54,21 +54,21 @@
     await asyncio.sleep(12)
     names = sorted(world.workers)
     world.workers[names[0]].hung = True
-    world.workers[names[1]].sick = True
-    world.deaf.add(names[2])
-    world.workers.pop(names[3]).gone()
+    world.workers[names[1]].faulty = True
+    world.workers_without_responses.add(names[2])
+    world.workers.pop(names[3]).terminate()
     for source, target in (("leader", "store"), ("leader", "peers"), ("leader", "workers/east"), ("leader", "workers")):
         fault = {"at_s": 0.0, "for_s": 14.0, "from": source, "to": target, "both": rng.random() < 0.7}
         await world.play_faults([fault])
         await asyncio.sleep(12)
     if names[0] in world.workers:
         world.workers[names[0]].hung = False
-    world.deaf.clear()
-    world.copies = 0.2
+    world.workers_without_responses.clear()
+    world.duplicate_share = 0.2
     cut = [name for name, worker in sorted(world.workers.items()) if worker.zone == "north"]
-    world.cut_workers |= {(name, node) for name in cut for node in world.nodes}
+    world.cut_worker_links |= {(name, node) for name in cut for node in world.nodes}
     await asyncio.sleep(25)
-    world.cut_workers.clear()
+    world.cut_worker_links.clear()
     await users
     await ask_until_end(world, rng, 220.0)
 
@@ -83,7 +83,7 @@
         await asyncio.sleep(rng.uniform(1.0, 9.0))
         world.start(node)
     await asyncio.sleep(15)
-    await world.stand_still(leader_of(world), 8.0)
+    await world.suspend(leader_of(world), 8.0)
     await asyncio.sleep(15)
     for node in world.nodes:
         world.kill(node)
--- a/tests/trace/recorder.py
+++ b/tests/trace/recorder.py
@@ -12,7 +12,8 @@
 import pynetstring
 
 from tests.world.loop import NODE
-from tests.world.services import CloudStand, Port
+from tests.world.service_ports import SimulatedClient
+from tests.world.simulated_cloud import SimulatedCloud
 from tests.world.world import World
 
 NO_ANSWER = "unanswered"
@@ -67,7 +68,7 @@
     def watching(self) -> Iterator[None]:
         """Watches the ways to services, the nodes' doors and the messages between controllers."""
         with (
-            mock.patch.object(Port, "call", _watched_call(self)),
+            mock.patch.object(SimulatedClient, "call", _watched_call(self)),
             mock.patch.object(World, "serve", _watched_door(self)),
             mock.patch.object(World, "carried", _watched_message(self)),
         ):
@@ -75,10 +76,10 @@
 
 
 def _watched_call(recorder: Recorder) -> Any:
-    call = Port.call
+    call = SimulatedClient.call
 
-    async def watched(port: Port, method: str, path: str, body: Any = None, **more: Any) -> Any:
-        service = "cloud" if isinstance(port._service, CloudStand) else "state"
+    async def watched(port: SimulatedClient, method: str, path: str, body: Any = None, **more: Any) -> Any:
+        service = "cloud" if isinstance(port._service, SimulatedCloud) else "state"
         end = recorder.begin(f"{NODE.get()} {service} {method} {path} {wire(body)}")
         try:
             answer = await call(port, method, path, body, **more)
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -91,10 +91,10 @@
             continue
         name = rng.choice(names)
         world.workers[name].interruption_at = world.loop.now + 12
-        world.workers[name].change.set()
+        world.workers[name].state_changed.set()
         await asyncio.sleep(12)
         if world.cloud.machines.pop(name, None) is not None:
-            world.cloud.ended(name)
+            world.cloud.on_deleted(name)
 
 
 async def ask_until_end(world: World, rng: random.Random, end: float) -> None:
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -36,4 +36,4 @@
 async def leader_stands_still(stage: Stage) -> None:
     leader = stage.leader()
     if leader is not None:
-        await stage.world.stand_still(leader, stage.world.rng.choice([0.8, 2.5, 10.0]))
+        await stage.world.suspend(leader, stage.world.rng.choice([0.8, 2.5, 10.0]))
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -32,10 +32,10 @@
         await asyncio.sleep(0.052 + 0.004 * turn)
         # Whatever it has sent by now arrives within six seconds.
         if NODES[2] in world.controllers:
-            world.ports[NODES[2]][0].trouble.late = 1.0
+            world.ports[NODES[2]].store.faults.late_share = 1.0
             await asyncio.sleep(0.02)
             world.kill(NODES[2])
-            world.ports[NODES[2]][0].trouble.testament = True
+            world.ports[NODES[2]].store.faults.delivered_after_end = True
         replace(world, NODES[2], BEFORE, 0.05)
         await asyncio.sleep(1.0)
         assert world.store.items[f"rollout/nodes/{NODES[2]}"][0]["highest"] == 1
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -13,17 +13,17 @@
 from elmthread.net.http_client import ClientResponse
 from elmthread.net.http_messages import Request, Response
 from elmthread.workers.messages import HEARTBEAT_PATH
-from tests.world.services import Port
+from tests.world.service_ports import SimulatedClient
 from tests.world.world import World
 
 TTL = LEASE.total_seconds()
 
 
-class RecordingPort(Port):
+class RecordingPort(SimulatedClient):
     """A node's way to a service, on which leases and requests to the cloud are noted."""
 
-    def __init__(self, port: Port, node: str, history: "History") -> None:
-        super().__init__(port._service, port.trouble)
+    def __init__(self, port: SimulatedClient, node: str, history: "History") -> None:
+        super().__init__(port._service, port.faults)
         self._node, self._history = node, history
 
     async def call(
--- a/tests/world/loop.py
+++ b/tests/world/loop.py
@@ -42,8 +42,8 @@
         self.handle: asyncio.Handle | None = None
 
     def __call__(self) -> None:
-        if self.node in self.loop.still:
-            self.loop.still[self.node].append(self)
+        if self.node in self.loop.suspended:
+            self.loop.suspended[self.node].append(self)
         elif self.handle is None or not self.handle.cancelled():
             self.callback(*self.args)
 
@@ -52,7 +52,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         # Nodes that stand still, and what waits for them to go on.
-        self.still: dict[str, list[_Gate]] = {}
+        self.suspended: dict[str, list[_Gate]] = {}
         selector = _Jumping()
         super().__init__(selector)
         selector.loop = self
@@ -87,11 +87,11 @@
         gate.handle = handle
         return handle
 
-    def stand_still(self, node: str) -> None:
-        self.still.setdefault(node, [])
+    def suspend(self, node: str) -> None:
+        self.suspended.setdefault(node, [])
 
-    def go_on(self, node: str) -> None:
-        for gate in self.still.pop(node, []):
+    def resume(self, node: str) -> None:
+        for gate in self.suspended.pop(node, []):
             super().call_soon(gate, context=gate.context)
 
 
@@ -100,8 +100,8 @@
     try:
         loop.run_until_complete(main)
     finally:
-        for node in list(loop.still):
-            loop.go_on(node)
+        for node in list(loop.suspended):
+            loop.resume(node)
         rest = asyncio.all_tasks(loop)
         for task in rest:
             task.cancel()
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -7,15 +7,15 @@
 
 from elmthread.net.http_messages import Request
 from tests.world.controller_troubles import leader_ends
-from tests.world.stage import Stage, _gone
+from tests.world.stage import Stage, add_for
 
 
-def _mute(stage: Stage, names: Iterable[str], for_s: float) -> None:
+def cut_off(stage: Stage, names: Iterable[str], for_s: float) -> None:
     cut = {(name, node) for name in names for node in stage.world.nodes}
-    _gone(stage, stage.world.cut_workers, cut, for_s)
+    add_for(stage, stage.world.cut_worker_links, cut, for_s)
 
 
-def _hang(stage: Stage, names: Iterable[str], times: list[float]) -> None:
+def hang(stage: Stage, names: Iterable[str], times: list[float]) -> None:
     for name in names:
         worker = stage.world.workers[name]
         worker.hung = True
@@ -24,66 +24,66 @@
 
 async def machines_mute(stage: Stage) -> None:
     """They reach no controller."""
-    _mute(stage, stage.some(0.4), stage.world.rng.uniform(5, 30))
+    cut_off(stage, stage.some(0.4), stage.world.rng.uniform(5, 30))
 
 
 async def machines_deaf(stage: Stage) -> None:
-    _gone(stage, stage.world.deaf, set(stage.some(0.4)), stage.world.rng.uniform(5, 40))
+    add_for(stage, stage.world.workers_without_responses, set(stage.some(0.4)), stage.world.rng.uniform(5, 40))
 
 
 async def machines_hang(stage: Stage) -> None:
     """They go on within their lease, or after it."""
-    _hang(stage, stage.some(0.4), [3.0, 10.0, 20.0, 35.0])
+    hang(stage, stage.some(0.4), [3.0, 10.0, 20.0, 35.0])
 
 
 async def machines_die(stage: Stage) -> None:
     for name in stage.some(0.25):
-        stage.world.workers.pop(name).gone()
+        stage.world.workers.pop(name).terminate()
         stage.world.cloud.machines[name].state = "failed"
 
 
 async def machines_reborn(stage: Stage) -> None:
     for name in stage.some(0.3):
         worker = stage.world.workers[name]
-        worker.reborn(worker.incarnation + stage.world.rng.randint(0, 1))
+        worker.restart(worker.incarnation + stage.world.rng.randint(0, 1))
 
 
 async def quick_machines(stage: Stage) -> None:
     """Up within two seconds, with work at once, while writes lag and the leader ends."""
     world = stage.world
-    world.cloud.quick = True
+    world.cloud.fast_boot = True
     world.store.latency = 0.5
     stage.begin(stage.submit(pieces=40, urgency="high", true_s=10.0, expected_s=10.0))
     for _ in range(3):
         await asyncio.sleep(world.rng.uniform(1, 4))
         await leader_ends(stage)
     await asyncio.sleep(5)
-    world.cloud.quick = False
+    world.cloud.fast_boot = False
     world.store.latency = 0.004
 
 
 async def late_reports(stage: Stage) -> None:
     """Copies, up to long after a lease, at any node."""
-    stage.world.copies = 0.5
+    stage.world.duplicate_share = 0.5
     await asyncio.sleep(25)
-    stage.world.copies = 0.0
+    stage.world.duplicate_share = 0.0
 
 
 async def held_up(stage: Stage) -> None:
     """Reports, commands and answers come seconds late."""
-    stage.world.slow = 0.4
+    stage.world.delayed_share = 0.4
     await asyncio.sleep(25)
-    stage.world.slow = 0.0
+    stage.world.delayed_share = 0.0
 
 
 async def kept_for_the_next(stage: Stage) -> None:
     """Old reports, and reports that were held back, reach every controller as a new leader begins."""
     world = stage.world
     kept: list[Request] = []
-    world.kept = kept
-    held = [cbor2.dumps(worker._body()) for worker in world.workers.values()]
+    world.captured_requests = kept
+    held = [cbor2.dumps(worker.heartbeat_body()) for worker in world.workers.values()]
     await asyncio.sleep(world.rng.uniform(2, 12))
-    world.kept = None
+    world.captured_requests = None
     fencing_token = world.leader.election.fencing_token if world.leader is not None else 0
     await leader_ends(stage)
     for _ in range(200):
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -17,8 +17,10 @@
 from tests.world.loop import NODE, SimLoop
 from tests.world.peer_links import simulated_peers
 from tests.world.rules import Rules
-from tests.world.services import CloudStand, Port, StateStore, Trouble
+from tests.world.service_ports import NodePorts, ServiceFaults, SimulatedClient
 from tests.world.settings import TYPES, ZONES, settings
+from tests.world.simulated_cloud import SimulatedCloud
+from tests.world.simulated_store import SimulatedStore
 from tests.world.versions import EarlierVersion, NodeLevels, Version
 from tests.world.workers import Worker
 
@@ -32,7 +34,7 @@
         # The next limits in the settings, and nodes that run a version which knows of none: this
         # one with other settings, or really an earlier one (`tests/both.py`).
         self.limits: dict[str, float] | None = None
-        self.old: set[str] = set()
+        self.earlier_nodes: set[str] = set()
         self.earlier: EarlierVersion | None = None
         self._version = Version()
         # The rollout's settings of this version, and levels of nodes that stand for another one.
@@ -42,48 +44,48 @@
         self.loop = SimLoop()
         asyncio.set_event_loop(self.loop)
         self.rng = random.Random(seed)
-        self.drifts = random.Random(seed + 1)
+        self.drift_rng = random.Random(seed + 1)
         random.seed(seed)
         self.rules = Rules(self.loop, {"red": 12.0, "blue": float("inf")}, cancel)
-        self.store = StateStore(self.loop, self.rng, 8, 8 * 1024, 30.0)
+        self.store = SimulatedStore(self.loop, self.rng, 8, 8 * 1024, 30.0)
         capacity = {(t["name"], zone, spot): each for t in TYPES for zone in ZONES for spot in (True, False)}
-        self.cloud = CloudStand(self.loop, self.rng, TYPES, 3.0, capacity)
+        self.cloud = SimulatedCloud(self.loop, self.rng, TYPES, 3.0, capacity)
         self.workers: dict[str, Worker] = {}
         self.controllers: dict[str, Controller] = {}
-        self.ports: dict[str, list[Port]] = {}
+        self.ports: dict[str, NodePorts] = {}
         # Faults of single links, and who watches what starts and what is answered.
         self.link_faults = LinkFaults()
         self.on_start: list[Callable[[str, Controller], None]] = []
         self.on_answer: list[Callable[[str, Request, Response], None]] = []
         # Requests that a node is at work on.
-        self.at_work: dict[str, set[Coroutine[Any, Any, Any]]] = {}
+        self.requests_in_progress: dict[str, set[Coroutine[Any, Any, Any]]] = {}
         # What runs in a node's context stands still with it.
         self.contexts: dict[str, contextvars.Context] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.cut_nodes: set[str] = set()
-        self.cut_workers: set[tuple[str, str]] = set()
+        self.cut_worker_links: set[tuple[str, str]] = set()
         # Nodes that reach neither the state service nor the others, but their workers.
-        self.apart: set[str] = set()
+        self.isolated_nodes: set[str] = set()
         # Workers whose reports arrive, but which no answer reaches.
-        self.deaf: set[str] = set()
+        self.workers_without_responses: set[str] = set()
         # Nodes whose answers reach no worker.
-        self.mute: set[str] = set()
+        self.nodes_without_responses: set[str] = set()
         # Share of the reports of which a copy comes later, to any node, and how much later.
-        self.copies = 0.0
-        self.copy_late = (1.0, 40.0)
+        self.duplicate_share = 0.0
+        self.duplicate_delay_s = (1.0, 40.0)
         # Copies that come to every node just as the next leader begins.
-        self.kept: list[Request] | None = None
+        self.captured_requests: list[Request] | None = None
         # Share of reports and answers that are held up, for up to 6 s each.
-        self.slow = 0.0
+        self.delayed_share = 0.0
         # Open connections of workers, and when the last answer went out on each.
-        self.links: dict[str, tuple[str, timedelta]] = {}
+        self.worker_connections: dict[str, tuple[str, timedelta]] = {}
         self.drift = {node: self.rng.uniform(-0.0005, 0.0005) for node in self.nodes}
 
     # Controllers
 
     def version(self, node: str) -> Version:
         """Return the version that the node runs."""
-        return self.earlier if self.earlier is not None and node in self.old else self._version
+        return self.earlier if self.earlier is not None and node in self.earlier_nodes else self._version
 
     def carried(self, message: Any, node: str) -> Any:
         """Return a message between controllers as the version at the other end reads it."""
@@ -96,8 +98,10 @@
         """Start a process of the node's version."""
         context = self.contexts[node] = contextvars.copy_context()
         context.run(NODE.set, node)
-        self.ports[node] = [Port(self.store, Trouble()), Port(self.cloud, Trouble())]
-        limits = None if node in self.old and self.earlier is None else self.limits
+        self.ports[node] = NodePorts(
+            SimulatedClient(self.store, ServiceFaults()), SimulatedClient(self.cloud, ServiceFaults())
+        )
+        limits = None if node in self.earlier_nodes and self.earlier is None else self.limits
         controller = self.version(node).controller(
             settings(node, self.nodes, limits, self.cancel),
             lambda: self.loop.clock(self.drift[node]),
@@ -127,15 +131,15 @@
             self._apply_to_store(node)
 
     def _apply_to_store(self, node: str) -> None:
-        trouble, links = self.ports[node][0].trouble, self.link_faults
+        trouble, links = self.ports[node].store.faults, self.link_faults
         if not links.used:
             return
         trouble.cut = links.has("drop", node, STORE)
         trouble.reset = links.has("reset", node, STORE) or links.has("reset", STORE, node)
-        trouble.lost = float(links.has("drop", STORE, node))
-        trouble.twice = 0.5 * links.has("duplicate", node, STORE)
+        trouble.lost_response_share = float(links.has("drop", STORE, node))
+        trouble.duplicate_share = 0.5 * links.has("duplicate", node, STORE)
         trouble.refused = links.has("refuse", node, STORE)
-        trouble.slow_to, trouble.slow_from = links.delay(node, STORE), links.delay(STORE, node)
+        trouble.request_delay_s, trouble.response_delay_s = links.delay(node, STORE), links.delay(STORE, node)
 
     async def _run(self, controller: Controller) -> None:
         async with asyncio.TaskGroup() as group:
@@ -148,12 +152,12 @@
     def kill(self, node: str) -> None:
         """The process ends without a word."""
         for port in self.ports[node]:
-            port.trouble.dead = True
-            port.trouble.testament = self.rng.random() < 0.5
+            port.faults.process_ended = True
+            port.faults.delivered_after_end = self.rng.random() < 0.5
         controller = self.controllers.pop(node)
-        if self.loop.still.pop(node, None) is not None:
+        if self.loop.suspended.pop(node, None) is not None:
             # It stood still: what it had not begun by then, it never begins.
-            for work in self.at_work.pop(node, set()):
+            for work in self.requests_in_progress.pop(node, set()):
                 if inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
                     work.close()
         self.tasks.pop(node).cancel()
@@ -163,7 +167,7 @@
     async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
         """Runs a part of a node's work where it stands still with the node."""
         task = self.loop.create_task(work, context=self.contexts[node])
-        at_work = self.at_work.setdefault(node, set())
+        at_work = self.requests_in_progress.setdefault(node, set())
         at_work.add(work)
         task.add_done_callback(lambda _: at_work.discard(work))
         try:
@@ -190,18 +194,18 @@
 
         return await self.within(node, served())
 
-    async def stand_still(self, node: str, seconds: float) -> None:
+    async def suspend(self, node: str, seconds: float) -> None:
         """The process gets no processor for a while; its clocks run on."""
-        self.loop.stand_still(node)
+        self.loop.suspend(node)
         await asyncio.sleep(seconds)
-        self.loop.go_on(node)
+        self.loop.resume(node)
 
     def passes(self, node: str, other: str) -> bool:
         """Whether what one controller sends reaches the other."""
         return self.reach(node, other) and self.link_faults.passes(node, other)
 
     def reach(self, one: str, other: str) -> bool:
-        out = self.cut_nodes | self.apart
+        out = self.cut_nodes | self.isolated_nodes
         return one in self.controllers and other in self.controllers and not {one, other} & out
 
     @property
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.world.settings import ZONES
-from tests.world.stage import Stage, _gone
+from tests.world.stage import Stage, add_for
 from tests.world.user_troubles import cancel_now
 
 
@@ -12,15 +12,15 @@
     world, leader = stage.world, stage.leader()
     if leader is None:
         return
-    world.apart.add(leader)
+    world.isolated_nodes.add(leader)
     refused = world.rng.random() < 0.5
-    state = world.ports[leader][0].trouble
+    state = world.ports[leader].store.faults
     state.refused, state.cut = refused, not refused
     await asyncio.sleep(world.rng.uniform(2, 5))
     await cancel_now(stage)
     await asyncio.sleep(world.rng.uniform(2, 30))
-    world.apart.discard(leader)
-    now = world.ports[leader][0].trouble
+    world.isolated_nodes.discard(leader)
+    now = world.ports[leader].store.faults
     now.refused = now.cut = False
 
 
@@ -31,9 +31,9 @@
     inside = {name for name, worker in world.workers.items() if worker.zone == zone}
     cut = {(name, other) for name in inside for other in world.nodes if other != node}
     cut |= {(name, node) for name in world.workers if name not in inside}
-    _gone(stage, world.cut_workers, cut, 20.0)
-    world.apart.add(node)
-    world.ports[node][0].trouble.cut = True
+    add_for(stage, world.cut_worker_links, cut, 20.0)
+    world.isolated_nodes.add(node)
+    world.ports[node].store.faults.cut = True
     await asyncio.sleep(20)
-    world.apart.discard(node)
-    world.ports[node][0].trouble.cut = False
+    world.isolated_nodes.discard(node)
+    world.ports[node].store.faults.cut = False
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -61,7 +61,7 @@
         for _ in range(12):
             kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
             if kind in ("new", "earlier"):
-                (world.old.discard if kind == "new" else world.old.add)(node)
+                (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
                 replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
             else:
                 await befall(world, kind, ids)
@@ -69,15 +69,15 @@
             for job_id in ids:
                 await world.poll(job_id)
         restore(world)
-        for node in sorted(world.old):
-            world.old.discard(node)
+        for node in sorted(world.earlier_nodes):
+            world.earlier_nodes.discard(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
         await asyncio.sleep(5)
         await until_level(world, SUPPORTED.highest)
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
         # Rolled back after the activation: a version leads then if it reads the active level, and only then.
-        world.old.update(NODES)
+        world.earlier_nodes.update(NODES)
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
         led = False
@@ -86,7 +86,7 @@
             led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
             assert not led or reads_level
         assert led is reads_level
-        world.old.clear()
+        world.earlier_nodes.clear()
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
         states = await world.until_over(ids, 400)
@@ -95,6 +95,6 @@
     def before(world: World) -> None:
         begin_before(world)
         world.levels.clear()
-        world.limits, world.earlier, world.old = dict(NEXT), earlier, set(world.nodes)
+        world.limits, world.earlier, world.earlier_nodes = dict(NEXT), earlier, set(world.nodes)
 
     staged_day(script, before, seed=seed)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -56,22 +56,22 @@
         world.store.outage(True)
         world.loop.call_later(rng.uniform(1, 20), world.store.outage, False)
     elif kind in ("refused", "cut", "lossy", "late") and world.controllers:
-        trouble = world.ports[rng.choice(list(world.controllers))][0].trouble
+        trouble = world.ports[rng.choice(list(world.controllers))].store.faults
         if kind == "refused":
             trouble.refused = True
         elif kind == "cut":
             trouble.cut = True
         elif kind == "lossy":
-            trouble.lost = 0.3
+            trouble.lost_response_share = 0.3
         else:
-            trouble.late = 0.3
+            trouble.late_share = 0.3
     elif kind == "hang" and world.workers:
         worker = rng.choice(list(world.workers.values()))
         worker.hung = True
         world.loop.call_later(rng.uniform(2, 40), setattr, worker, "hung", False)
     elif kind == "die" and world.workers:
         name = rng.choice(list(world.workers))
-        world.workers.pop(name).gone()
+        world.workers.pop(name).terminate()
         world.cloud.machines[name].state = "failed"
     elif kind == "cancel" and ids:
         await world.withdraw(rng.choice(ids), 3.0)
@@ -80,27 +80,27 @@
         world.leader.election.step_down("told to")
     elif kind == "deaf" and world.workers:
         name = rng.choice(list(world.workers))
-        world.deaf.add(name)
-        world.loop.call_later(rng.uniform(3, 40), world.deaf.discard, name)
+        world.workers_without_responses.add(name)
+        world.loop.call_later(rng.uniform(3, 40), world.workers_without_responses.discard, name)
     elif kind == "copies":
-        world.copies = 0.5
+        world.duplicate_share = 0.5
     elif kind == "apart" and world.controllers:
         set_apart(world, rng.choice(list(world.controllers)), True)
     elif kind == "reborn" and world.workers:
         worker = rng.choice(list(world.workers.values()))
-        worker.reborn(worker.incarnation + rng.randint(0, 1))
+        worker.restart(worker.incarnation + rng.randint(0, 1))
     elif kind == "back" and world.controllers:
         name = rng.choice(list(world.controllers))
         world.kill(name)
         world.loop.call_later(rng.uniform(0.02, 0.4), partial(start, world, name))
     elif kind == "twice" and world.controllers:
         for port in world.ports[rng.choice(list(world.controllers))]:
-            port.trouble.twice = 0.5
+            port.faults.duplicate_share = 0.5
     elif kind in ("still", "still_all") and world.controllers:
         names = list(world.controllers)
         seconds = rng.choice([rng.uniform(0.5, 4.5), rng.uniform(4.5, 30.0)])
         for name in names if kind == "still_all" else [rng.choice(names)]:
-            world.loop.create_task(world.stand_still(name, seconds))
+            world.loop.create_task(world.suspend(name, seconds))
     elif kind == "burst":
         number = rng.randint(100, 999_999)
         spec = job(number, crew="red", urgency="high", pieces=6, cpus=2.0)
@@ -110,21 +110,21 @@
 
 def set_apart(world: World, node: str, apart: bool) -> None:
     """Takes the state service and the other controllers from a node, or gives them back."""
-    (world.apart.add if apart else world.apart.discard)(node)
-    world.ports[node][0].trouble.cut = apart
+    (world.isolated_nodes.add if apart else world.isolated_nodes.discard)(node)
+    world.ports[node].store.faults.cut = apart
 
 
 def restore(world: World) -> None:
-    world.copies = 0.0
-    world.deaf.clear()
-    world.apart.clear()
-    for name in list(world.loop.still):
-        world.loop.go_on(name)
+    world.duplicate_share = 0.0
+    world.workers_without_responses.clear()
+    world.isolated_nodes.clear()
+    for name in list(world.loop.suspended):
+        world.loop.resume(name)
     world.store.outage(False)
     for name in world.nodes:
         if name not in world.controllers:
             world.start(name)
-        trouble = world.ports[name][0].trouble
+        trouble = world.ports[name].store.faults
         trouble.refused = trouble.cut = False
-        trouble.twice = world.ports[name][1].trouble.twice = 0.0
-        trouble.lost = trouble.late = 0.0
+        trouble.duplicate_share = world.ports[name].cloud.faults.duplicate_share = 0.0
+        trouble.lost_response_share = trouble.late_share = 0.0
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -18,7 +18,7 @@
         self.cancel_s = cancel_s
         self.specs: dict[str, dict[str, Any]] = {}
         self.machines_of: dict[str, list[str]] = {}  # task -> machines that it is on now
-        self.used: Counter[str] = Counter()  # cores, by team
+        self.used_cores: Counter[str] = Counter()  # cores, by team
         self.zones_of: dict[str, Counter[str]] = {}  # job -> zones of its tasks
         self.zones: dict[str, str] = {}
         self.finished: set[str] = set()
@@ -44,7 +44,7 @@
     def submitted(self, spec: dict[str, Any]) -> None:
         self.specs[spec["name_id"]] = spec
 
-    def on(self, machine: str, task: str, machine_type: str, zone: str, spot: bool) -> None:
+    def task_started(self, machine: str, task: str, machine_type: str, zone: str, spot: bool) -> None:
         job = task.rpartition("/")[0]
         spec = self.specs[job]
         self.starts[task] += 1
@@ -55,9 +55,9 @@
             self._break("ran_twice", f"{task} on {machine}")
         self.machines_of.setdefault(task, []).append(machine)
         self.zones[machine] = zone
-        self.used[spec["crew"]] += spec["cpus"]
-        if self.used[spec["crew"]] > self.limits[spec["crew"]] + 1e-6:
-            self._break("quota", f"{spec['crew']} uses {self.used[spec['crew']]}")
+        self.used_cores[spec["crew"]] += spec["cpus"]
+        if self.used_cores[spec["crew"]] > self.limits[spec["crew"]] + 1e-6:
+            self._break("quota", f"{spec['crew']} uses {self.used_cores[spec['crew']]}")
         mine = self.zones_of.setdefault(job, Counter())
         mine[zone] += 1
         if (
@@ -70,11 +70,11 @@
             self._break("wrong_place", f"{task} on {machine}")
         self.check_cancelled()
 
-    def off(self, machine: str, task: str) -> None:
+    def task_ended(self, machine: str, task: str) -> None:
         if machine in self.machines_of.get(task, ()):
             job = task.rpartition("/")[0]
             self.machines_of[task].remove(machine)
-            self.used[self.specs[job]["crew"]] -= self.specs[job]["cpus"]
+            self.used_cores[self.specs[job]["crew"]] -= self.specs[job]["cpus"]
             self.zones_of[job][self.zones[machine]] -= 1
 
     def serving(self, job: str) -> int:
@@ -82,7 +82,7 @@
         return sum(len(machines) for task, machines in self.machines_of.items() if task.rpartition("/")[0] == job)
 
     @property
-    def where(self) -> list[tuple[str, str]]:
+    def running(self) -> list[tuple[str, str]]:
         """(machine, task) for all that is on machines now."""
         return [(machine, task) for task, machines in self.machines_of.items() for machine in machines]
 
@@ -93,11 +93,11 @@
         late = {job for job, at in self.cancelled_at.items() if self.loop.now > at + self.cancel_s}
         for job in late:
             if +self.zones_of.get(job, Counter()):
-                for machine, task in self.where:
+                for machine, task in self.running:
                     if task.rpartition("/")[0] == job:
                         self._break("ran_cancelled", f"{task} on {machine}")
 
-    def heard(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
+    def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
         """A user was answered about a job, on a question asked then; any user at any node counts.
 
         An answer may be as old as its question: what was told before that, nothing may go back on.
@@ -138,7 +138,7 @@
             self.history.setdefault(job, []).append((self.loop.now, state))
 
     @property
-    def told(self) -> dict[str, str]:
+    def reported_states(self) -> dict[str, str]:
         """What users were told last, by job."""
         return {job: told[-1][1] for job, told in self.history.items()}
 
@@ -148,14 +148,14 @@
         `room` says whether some machine that serves has it for a task of that spec.
         """
         for job, spec in self.specs.items():
-            told = self.told.get(job)
+            told = self.reported_states.get(job)
             on = +self.zones_of.get(job, Counter())
             waits = (
                 told in ("queued", "running")
                 and spec["form"] == "batch"
                 and not on
                 and any(f"{job}/{n}" not in self.finished for n in range(spec["pieces"]))
-                and self.used[spec["crew"]] + spec["cpus"] <= self.limits[spec["crew"]]
+                and self.used_cores[spec["crew"]] + spec["cpus"] <= self.limits[spec["crew"]]
                 and room(spec)
             )
             since = self.waiting.setdefault(job, self.loop.now) if waits else None
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
+from tests.world.service_ports import ServiceFaults
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -58,7 +59,7 @@
         await self.submit(pieces=30, cpus=2.0, true_s=10.0, expected_s=10.0, urgency="best_effort")
 
     def unfinished(self) -> list[str]:
-        told = self.world.rules.told
+        told = self.world.rules.reported_states
         return [one for one in self.ids if told.get(one) not in ("done", "cancelled")]
 
     async def look(self, job_id: str) -> None:
@@ -91,10 +92,11 @@
         if node not in self.world.controllers:
             self.world.start(node)
 
-    def all_ports(self) -> list[Any]:
-        return [self.world.ports[node][0].trouble for node in self.world.nodes]
+    def store_faults(self) -> list[ServiceFaults]:
+        return [self.world.ports[node].store.faults for node in self.world.nodes]
 
 
-def _gone(stage: Stage, set_: set[Any], some: set[Any], after: float) -> None:
-    set_ |= some
-    stage.world.loop.call_later(after, set_.difference_update, some)
+def add_for(stage: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
+    """Add to one of the world's sets of what is faulty, and take it out again after so many seconds."""
+    faulty |= added
+    stage.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -11,7 +11,7 @@
     world, leader = stage.world, stage.leader()
     if leader is None:
         return
-    world.ports[leader][0].trouble.refused = True
+    world.ports[leader].store.faults.refused = True
     stage.begin(cancel_now(stage))
     await asyncio.sleep(world.rng.choice([1.0, 1.0, 2.5]))
     world.store.outage(True)
@@ -19,7 +19,7 @@
         await asyncio.sleep(world.cancel / 4 + 1)
         stage.begin(cancel_now(stage))
     world.store.outage(False)
-    world.ports[leader][0].trouble.refused = False
+    world.ports[leader].store.faults.refused = False
 
 
 async def outage(stage: Stage) -> None:
@@ -28,22 +28,23 @@
     stage.world.store.outage(False)
 
 
-async def _store(stage: Stage, name: str, share: float, for_s: float) -> None:
-    for port in stage.all_ports():
-        setattr(port, name, share)
+async def _fault(stage: Stage, share: str, value: float, for_s: float) -> None:
+    """Set a share of ServiceFaults at every node's way to the store for so long."""
+    for faults in stage.store_faults():
+        setattr(faults, share, value)
     await asyncio.sleep(for_s)
-    for port in stage.all_ports():
-        setattr(port, name, 0.0)
+    for faults in stage.store_faults():
+        setattr(faults, share, 0.0)
 
 
 async def late_writes(stage: Stage) -> None:
     """Without an answer, and carried out after newer ones."""
-    await _store(stage, "late", 0.3, 25)
+    await _fault(stage, "late_share", 0.3, 25)
 
 
 async def answers_lost(stage: Stage) -> None:
     """Carried out at once, and only the answer is lost, while others read."""
-    await _store(stage, "lost", 0.4, 25)
+    await _fault(stage, "lost_response_share", 0.4, 25)
 
 
 async def slow_store(stage: Stage) -> None:
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -15,7 +15,7 @@
 
 
 def begin_old(world: World) -> None:
-    world.old, world.limits = set(world.nodes), dict(NEXT)
+    world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT)
 
 
 def fall(world: World) -> None:
@@ -29,7 +29,7 @@
             await trouble()
         if node in world.controllers:
             world.kill(node)
-        world.old.discard(node)
+        world.earlier_nodes.discard(node)
         world.loop.call_later(world.rng.uniform(0.2, 8.0), partial(start, world, node))
         await asyncio.sleep(pause)
 
@@ -96,7 +96,7 @@
         assert all(state in ("done", "cancelled") for state in states.values()), states
         # What was not withdrawn serves again, all of it.
         for job_id in services:
-            if world.rules.told.get(job_id) == "cancelled":
+            if world.rules.reported_states.get(job_id) == "cancelled":
                 continue
             for _ in range(600):
                 if world.rules.serving(job_id) == 3:
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -3,13 +3,13 @@
 import asyncio
 from typing import Any
 
-from tests.world.machine_troubles import _hang, _mute, held_up
+from tests.world.machine_troubles import cut_off, hang, held_up
 from tests.world.stage import Stage
 
 
 async def cancel_now(stage: Stage) -> None:
     """Some that run, first those of the team at its limit, within a fifth of a second."""
-    on = {task.rpartition("/")[0] for _, task in stage.world.rules.where}
+    on = {task.rpartition("/")[0] for _, task in stage.world.rules.running}
     jobs = stage.unfinished()
     stage.world.rng.shuffle(jobs)
     specs = stage.world.rules.specs
@@ -25,13 +25,13 @@
     """Cancelled, and machines of the team at its limit hang at that moment or can't be reached."""
     world = stage.world
     specs = world.rules.specs
-    theirs = {name for name, task in world.rules.where if specs[task.rpartition("/")[0]]["crew"] == "red"}
+    theirs = {name for name, task in world.rules.running if specs[task.rpartition("/")[0]]["crew"] == "red"}
     await cancel_now(stage)
     await asyncio.sleep(0.25)
     if world.rng.random() < 0.5:
-        _mute(stage, theirs, world.rng.uniform(8, 30))
+        cut_off(stage, theirs, world.rng.uniform(8, 30))
     else:
-        _hang(stage, theirs & world.workers.keys(), [10.0, 20.0])
+        hang(stage, theirs & world.workers.keys(), [10.0, 20.0])
 
 
 async def cancel_at_end(stage: Stage) -> None:
@@ -105,7 +105,7 @@
         answer = await world.offer(spec)
         assert answer.status in (400, 422, 429, 503, 504), answer
         assert answer.retry_after is not None or answer.status not in (429, 503), answer
-        ended = [one for one, told in world.rules.told.items() if told == "done"]
+        ended = [one for one, told in world.rules.reported_states.items() if told == "done"]
         if ended:
             stage.begin(stage.cancel(world.rng.choice(ended)))
         if stage.unfinished():
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -20,7 +20,7 @@
 from elmthread.peers.link import Peers
 from elmthread.settings import operators, platform
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.services import Port
+from tests.world.service_ports import NodePorts, SimulatedClient
 
 # Present module -> earlier modules.
 MODULES: dict[str, tuple[str, ...]] = {
@@ -68,16 +68,15 @@
         return getattr(self.module(module), name)
 
     def controller(
-        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: "NodeLevels"
+        self, settings: str, clock: Callable[[], timedelta], ports: NodePorts, peers: type[Peers], levels: "NodeLevels"
     ) -> Controller:
         """Make a controller of the version, with ports to the store and the cloud."""
-        state, cloud = ports
         return Controller(
             platform.parse(settings),
             operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
             clock,
-            state,
-            cloud,
+            ports.store,
+            ports.cloud,
             peers,
             levels.supported,
         )
@@ -139,7 +138,7 @@
             return level == 1
 
     def controller(
-        self, settings: str, clock: Callable[[], timedelta], ports: list[Port], peers: type[Peers], levels: NodeLevels
+        self, settings: str, clock: Callable[[], timedelta], ports: NodePorts, peers: type[Peers], levels: NodeLevels
     ) -> Controller:
         """Make a controller that supports what the earlier version does; one without levels is told of none."""
         file = self.named("settings.operators", "OperatorsFile")
@@ -173,7 +172,7 @@
 class EarlierPort:
     """A port that answers and fails with the earlier version's own types."""
 
-    def __init__(self, port: Port, version: EarlierVersion) -> None:
+    def __init__(self, port: SimulatedClient, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
         self._port = port
         self._answer = version.named("net.http_client", "ClientResponse")
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -14,7 +14,7 @@
 
 
 @dataclass
-class Running:
+class WorkerTask:
     name: str
     attempt: int
     state: str = "fetching"
@@ -42,36 +42,36 @@
     ) -> None:
         self.loop, self.rng, self.rules, self.send, self.nodes = loop, rng, rules, send, nodes
         self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
-        self.report_s, self.lease_s = report_s, lease_s
+        self.heartbeat_interval_s, self.lease_s = report_s, lease_s
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
-        self.tasks: dict[tuple[str, int], Running] = {}
-        self.results: set[str] = set()
+        self.tasks: dict[tuple[str, int], WorkerTask] = {}
+        self.completed: set[str] = set()
         self.images: set[str] = set()
-        self.granted = loop.now
+        self.lease_renewed_at = loop.now
         self.alive = True
         self.hung = False
-        self.sick = False
+        self.faulty = False
         self.interruption_at: float | None = None
         self.node = rng.choice(nodes)
-        self.change = asyncio.Event()
-        self.jobs = [loop.create_task(self._report()), loop.create_task(self._work())]
+        self.state_changed = asyncio.Event()
+        self.background_tasks = [loop.create_task(self._report()), loop.create_task(self._work())]
 
-    def gone(self) -> None:
+    def terminate(self) -> None:
         self.alive = False
-        for job in self.jobs:
+        for job in self.background_tasks:
             job.cancel()
-        self._forget()
+        self._drop_tasks()
 
-    def reborn(self, session: int) -> None:
+    def restart(self, session: int) -> None:
         """The machine is back at once, its tasks gone, with this session number."""
-        self._forget()
+        self._drop_tasks()
         self.incarnation, self.sequence, self.fencing_token = session, 0, 0
-        self.granted = self.loop.now
-        self.change.set()
+        self.lease_renewed_at = self.loop.now
+        self.state_changed.set()
 
-    def _forget(self) -> None:
+    def _drop_tasks(self) -> None:
         for task in self.tasks.values():
-            self.rules.off(self.name, task.name)
+            self.rules.task_ended(self.name, task.name)
         self.tasks.clear()
 
     async def _work(self) -> None:
@@ -80,11 +80,11 @@
             await asyncio.sleep(0.1)
             now = self.loop.now
             # A machine that hangs may go on within its lease; past that its tasks are dead.
-            if now - self.granted > self.lease_s:
-                self._forget()
+            if now - self.lease_renewed_at > self.lease_s:
+                self._drop_tasks()
                 self.incarnation += 1
-                self.granted = now
-                self.change.set()
+                self.lease_renewed_at = now
+                self.state_changed.set()
             if self.hung:
                 continue
             for task in self.tasks.values():
@@ -96,24 +96,24 @@
                     task.state = "running"
                     each = spec.get("each_s")
                     takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
-                    task.until = now + (0 if task.name in self.results else takes * self.rng.uniform(0.9, 1.1))
-                    self.rules.on(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
-                    if self.sick:
+                    task.until = now + (0 if task.name in self.completed else takes * self.rng.uniform(0.9, 1.1))
+                    self.rules.task_started(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
+                    if self.faulty:
                         self._exit(task, "error")
                 else:
                     spec = self.rules.specs[task.name.rpartition("/")[0]]
                     ends = spec.get("ends", "done") if task.state == "running" else "halted"
                     if ends == "done" and spec["form"] == "batch":
-                        self.results.add(task.name)
+                        self.completed.add(task.name)
                         self.rules.completed(task.name)
                     self._exit(task, ends)
-                self.change.set()
+                self.state_changed.set()
 
-    def _exit(self, task: Running, why: str) -> None:
+    def _exit(self, task: WorkerTask, why: str) -> None:
         task.state, task.why = "exited", why
-        self.rules.off(self.name, task.name)
+        self.rules.task_ended(self.name, task.name)
 
-    def _body(self) -> dict[str, Any]:
+    def heartbeat_body(self) -> dict[str, Any]:
         self.sequence += 1
         tasks = []
         for task in self.tasks.values():
@@ -140,8 +140,8 @@
                 await asyncio.sleep(0.1)
                 continue
             sent, session = self.loop.now, self.incarnation
-            self.change.clear()
-            request = Request("POST", "/agent/beat", {}, cbor2.dumps(self._body()))
+            self.state_changed.clear()
+            request = Request("POST", "/agent/beat", {}, cbor2.dumps(self.heartbeat_body()))
             status, body = 0, None
             try:
                 async with asyncio.timeout(4):
@@ -152,12 +152,12 @@
             if self.hung or not self.alive:
                 continue
             if status == 200 and self.loop.now - sent < 4:
-                self._answered(body, sent, session)
+                self._handle_response(body, sent, session)
                 # Not more often than each half second, and after report_s at the latest.
                 await asyncio.sleep(0.5)
                 try:
-                    async with asyncio.timeout(self.report_s * self.rng.uniform(0.75, 1.25) - 0.5):
-                        await self.change.wait()
+                    async with asyncio.timeout(self.heartbeat_interval_s * self.rng.uniform(0.75, 1.25) - 0.5):
+                        await self.state_changed.wait()
                 except TimeoutError:
                     pass
                 continue
@@ -169,18 +169,18 @@
                 self.node = self.nodes[(self.nodes.index(self.node) + 1) % len(self.nodes)]
                 await asyncio.sleep(1)
 
-    def _answered(self, body: Any, sent: float, session: int) -> None:
+    def _handle_response(self, body: Any, sent: float, session: int) -> None:
         fencing_token = body.get("baton")
         if fencing_token is None or fencing_token < self.fencing_token or session != self.incarnation:
             return
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
-            self.change.set()
-        self.granted = max(self.granted, sent)
+            self.state_changed.set()
+        self.lease_renewed_at = max(self.lease_renewed_at, sent)
         for order in body["orders"]:
-            self._obey(order)
+            self._execute(order)
 
-    def _obey(self, order: dict[str, Any]) -> None:
+    def _execute(self, order: dict[str, Any]) -> None:
         key = (order["piece"], order["try"])
         task = self.tasks.get(key)
         if order["verb"] == "start":
@@ -194,10 +194,10 @@
                     self._exit(task, "halted")
         elif order["verb"] == "reap" and task is not None and task.state == "exited":
             del self.tasks[key]
-        self.change.set()
+        self.state_changed.set()
 
     def _start(self, name: str, attempt: int) -> None:
-        task = self.tasks[name, attempt] = Running(name, attempt)
+        task = self.tasks[name, attempt] = WorkerTask(name, attempt)
         spec = self.rules.specs.get(name.rpartition("/")[0])
         live = [other for other in self.tasks.values() if other.state != "exited" and other is not task]
         if spec is None:
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -9,8 +9,8 @@
 from elmthread.net.http_messages import Request, Response
 from tests.world.links import WORKERS
 from tests.world.nodes import ControllerNodes
-from tests.world.services import Rented
 from tests.world.settings import TYPES
+from tests.world.simulated_cloud import SimulatedMachine
 from tests.world.specs import sent
 from tests.world.workers import Worker
 
@@ -20,12 +20,12 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self.cloud.born = self._born
-        self.cloud.ended = self._ended
+        self.cloud.on_running = self._born
+        self.cloud.on_deleted = self._ended
 
     # Workers
 
-    def _born(self, machine: Rented) -> None:
+    def _born(self, machine: SimulatedMachine) -> None:
         build = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
         self.workers[machine.name] = Worker(
             self.loop,
@@ -39,17 +39,17 @@
             machine.spot,
             3.0,
             # A worker's clock drifts from everybody else's.
-            12.0 * (1 + self.drifts.uniform(-0.0005, 0.0005)),
+            12.0 * (1 + self.drift_rng.uniform(-0.0005, 0.0005)),
         )
 
     def _ended(self, name: str) -> None:
         worker = self.workers.pop(name, None)
         if worker is not None:
-            worker.gone()
+            worker.terminate()
 
     async def _send(self, worker: str, node: str, request: Request) -> Response:
         # What is not answered on a connection ends it.
-        linked, answered_at = self.links.pop(worker, (node, None))
+        linked, answered_at = self.worker_connections.pop(worker, (node, None))
         request.previous_answered_at = answered_at if linked == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
@@ -62,28 +62,33 @@
             self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
         if node not in self.controllers:
             raise ConnectionError(node)
-        if self.rng.random() < self.copies:
+        if self.rng.random() < self.duplicate_share:
             for _ in range(self.rng.randint(1, 2)):
-                late, other = self.rng.uniform(*self.copy_late), self.rng.choice(self.nodes)
+                late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
                 self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
-        if self.kept is not None:
-            self.kept.append(replace(request, previous_answered_at=None))
-        if self.slow and self.rng.random() < self.slow:
+        if self.captured_requests is not None:
+            self.captured_requests.append(replace(request, previous_answered_at=None))
+        if self.delayed_share and self.rng.random() < self.delayed_share:
             await asyncio.sleep(self.rng.uniform(0.5, 6.0))
         if node not in self.controllers:
             raise ConnectionError(node)
         response = await self.serve(node, request)
         answered_at = self.loop.clock(self.drift[node])
         await asyncio.sleep(self.link_faults.delay(node, zone))
-        if self.slow and self.rng.random() < self.slow:
+        if self.delayed_share and self.rng.random() < self.delayed_share:
             await asyncio.sleep(self.rng.uniform(0.5, 6.0))
         # The answer may be lost on its way, and the request may have been sent before.
         if self.link_faults.has("drop", node, zone):
             await asyncio.sleep(60)
-        if self._hangs(worker, node) or worker in self.deaf or node in self.mute or self.rng.random() < 0.01:
+        if (
+            self._hangs(worker, node)
+            or worker in self.workers_without_responses
+            or node in self.nodes_without_responses
+            or self.rng.random() < 0.01
+        ):
             await asyncio.sleep(60)
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
-        self.links[worker] = (node, answered_at)
+        self.worker_connections[worker] = (node, answered_at)
         return response
 
     async def report(self, body: Any, node: str) -> Response:
@@ -94,7 +99,7 @@
             self.loop.create_task(self.serve(node, request))
 
     def _hangs(self, worker: str, node: str) -> bool:
-        return node in self.cut_nodes or (worker, node) in self.cut_workers
+        return node in self.cut_nodes or (worker, node) in self.cut_worker_links
 
     # Users
 
@@ -117,7 +122,7 @@
         asked = self.loop.now
         response = await self.ask(method, path, body, node)
         state = (response.body or {}).get("status")
-        self.rules.heard(job_id, response.status, state, asked)
+        self.rules.observe_response(job_id, response.status, state, asked)
         return response, state
 
     async def offer(self, spec: dict[str, Any]) -> Response:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -20,8 +20,10 @@
 from elmthread.net.http_messages import Request, Response, decode_body
 from elmthread.net.http_server import HttpServer
 from tests.world.rules import Rules
-from tests.world.services import CloudStand, Rented, Service, StateStore
+from tests.world.service_ports import Service
 from tests.world.settings import SETTINGS, TYPES
+from tests.world.simulated_cloud import SimulatedCloud, SimulatedMachine
+from tests.world.simulated_store import SimulatedStore
 from tests.world.workers import Worker
 
 HOST = "127.0.0.1"
@@ -89,13 +91,13 @@
         self.controllers = controllers
         self.counts: Counter[str] = Counter()
         self.rules = Rules(self._loop, {"red": 12.0, "blue": float("inf")}, CANCEL_S)
-        self.store = StateStore(self._loop, self._rng, 8, 8 * 1024)
+        self.store = SimulatedStore(self._loop, self._rng, 8, 8 * 1024)
         capacity = {
             (kind["name"], zone, spot): machines for kind in TYPES for zone in kind["yards"] for spot in (True, False)
         }
-        self.cloud = CloudStand(self._loop, self._rng, TYPES, 3.0, capacity)
-        self.cloud.born = self._machine_up
-        self.cloud.ended = self._machine_gone
+        self.cloud = SimulatedCloud(self._loop, self._rng, TYPES, 3.0, capacity)
+        self.cloud.on_running = self._machine_up
+        self.cloud.on_deleted = self._machine_gone
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
@@ -135,7 +137,7 @@
 
         return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
 
-    def _machine_up(self, machine: Rented) -> None:
+    def _machine_up(self, machine: SimulatedMachine) -> None:
         kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
         self._workers[machine.name] = Worker(
             self._loop,
@@ -155,7 +157,7 @@
         worker = self._workers.pop(name, None)
         self._clients = {key: client for key, client in self._clients.items() if key[0] != name}
         if worker is not None:
-            worker.gone()
+            worker.terminate()
 
     async def _report(self, name: str, node: str, request: Request) -> Response:
         return await self._report_to(name, node, self.controllers[node], request)
--- a/tools/users.py
+++ b/tools/users.py
@@ -108,5 +108,5 @@
                 break
         if answer is not None:
             state = answer.body.get("status") if isinstance(answer.body, dict) else None
-            self._stand_ins.rules.heard(job_id, answer.status, state, asked)
+            self._stand_ins.rules.observe_response(job_id, answer.status, state, asked)
         return answer
