--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -21,7 +21,7 @@
 from elmthread.peers.network import PeerNetwork
 from elmthread.settings import operators, platform
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.services import Port
+from tests.world.service_ports import NodePorts, SimulatedClient
 
 # Present module -> earlier modules.
 MODULES: dict[str, tuple[str, ...]] = {
@@ -79,16 +79,15 @@
         self,
         settings: str,
         clock: Callable[[], timedelta],
-        ports: list[Port],
+        ports: NodePorts,
         peers: type[PeerNetwork],
         levels: "NodeLevels",
     ) -> Controller:
         """Make a controller of the version, with ports to the store and the cloud."""
-        state, cloud = ports
         return Controller(
             platform.parse(settings),
             operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
-            ControllerEnvironment(clock, state, cloud, peers, levels.supported),
+            ControllerEnvironment(clock, ports.store, ports.cloud, peers, levels.supported),
         )
 
     def request(self, request: Request) -> Any:
@@ -155,7 +154,7 @@
         self,
         settings: str,
         clock: Callable[[], timedelta],
-        ports: list[Port],
+        ports: NodePorts,
         peers: type[PeerNetwork],
         levels: NodeLevels,
     ) -> Controller:
@@ -195,7 +194,7 @@
 class EarlierPort:
     """A port that answers and fails with the earlier version's own types."""
 
-    def __init__(self, port: Port, version: EarlierVersion) -> None:
+    def __init__(self, port: SimulatedClient, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
         self._port = port
         self._answer = version.named("net.http_client", "ClientResponse")
