--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -2,6 +2,7 @@
 
 import math
 import re
+from enum import StrEnum
 from typing import Any
 
 import msgspec
@@ -59,6 +60,15 @@
     return spec
 
 
+class StatusName(StrEnum):
+    """A job's state by the name that users know."""
+
+    QUEUED = "queued"
+    RUNNING = "running"
+    DONE = "done"
+    CANCELLED = "cancelled"
+
+
 class JobStatus(
     msgspec.Struct,
     omit_defaults=True,
@@ -67,7 +77,7 @@
     """A job's state in a response to a user; the counts of tasks are for display."""
 
     job_id: str
-    state: str
+    state: StatusName
     done_count: int | None = None
     running_count: int | None = None
 
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from elmthread.api import responses
-from elmthread.api.messages import JobStatus
+from elmthread.api.messages import JobStatus, StatusName
 from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.common.clock import ZERO, at_most, seconds
@@ -60,9 +60,10 @@
 
 def describe(job: Job) -> JobStatus:
     """Return the job's durable state with its counts of tasks."""
-    state = job.durable_state
-    if state is JobState.OPEN or state is None:
-        name = "running" if job.running_count else "queued"
-        return JobStatus(job.id, name, job.done_count, job.running_count)
-    done_count = job.task_count if state is JobState.DONE else job.done_count
-    return JobStatus(job.id, state.value, done_count, 0)
+    match job.durable_state:
+        case JobState.DONE:
+            return JobStatus(job.id, StatusName.DONE, job.task_count, 0)
+        case JobState.CANCELLED:
+            return JobStatus(job.id, StatusName.CANCELLED, job.done_count, 0)
+    state = StatusName.RUNNING if job.running_count else StatusName.QUEUED
+    return JobStatus(job.id, state, job.done_count, job.running_count)
