--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -9,7 +9,7 @@
 from elmthread.api.readiness import Readiness
 from elmthread.api.service import JobService
 from elmthread.common.clock import seconds
-from elmthread.common.load import WorkClass
+from elmthread.common.overload import WorkClass
 from elmthread.net.http_messages import Response
 from elmthread.peers.link import PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
@@ -22,9 +22,9 @@
 }
 # What an overloaded node refuses.
 WORK_CLASSES: dict[str, WorkClass] = {
-    RequestVerb.SUBMIT: WorkClass.SUBMITTING,
-    RequestVerb.CANCEL: WorkClass.ASKING,
-    RequestVerb.STATUS: WorkClass.ASKING,
+    RequestVerb.SUBMIT: WorkClass.SUBMISSION,
+    RequestVerb.CANCEL: WorkClass.STATUS_REQUEST,
+    RequestVerb.STATUS: WorkClass.STATUS_REQUEST,
 }
 
 
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -5,7 +5,7 @@
 
 from elmthread.api.service import JobService
 from elmthread.common.clock import Clock
-from elmthread.common.load import OverloadControl
+from elmthread.common.overload import OverloadControl
 from elmthread.leadership.election import Election
 from elmthread.peers.link import Peers
 from elmthread.rollout.gate import CompatibilityGate
--- a/src/elmthread/api/validation.py
+++ b/src/elmthread/api/validation.py
@@ -6,7 +6,7 @@
 from elmthread.persistence.records import job_record
 from elmthread.placement.feasibility import infeasibility
 from elmthread.placement.requests import PlacementClass, SortKey, TaskRequest
-from elmthread.settings.platform import Facts
+from elmthread.settings.platform import ClusterSettings
 from elmthread.store.job_spec import SERVICE, JobSpec
 from elmthread.store.pages import json_text, page_capacity, record_bytes
 from elmthread.store.records import job_key
@@ -15,10 +15,10 @@
 class JobValidator:
     """Judges jobs by their teams' quotas, the machine types and the size of a stored value."""
 
-    def __init__(self, facts: Facts, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
+    def __init__(self, cluster: ClusterSettings, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
         """Judge with these; `factory` makes the job whose record is measured."""
-        self._teams = {team.name: team for team in facts.teams}
-        self._max_record_bytes = page_capacity(facts.state.kept().value_kb)
+        self._teams = {team.name: team for team in cluster.teams}
+        self._max_record_bytes = page_capacity(cluster.store.strictest().value_kb)
         self._factory = factory
         self._catalog = catalog
 
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from elmthread.common.clock import ZERO
-from elmthread.common.states import step
+from elmthread.common.states import transition
 from elmthread.store.job_spec import SERVICE, JobSpec
 
 if TYPE_CHECKING:
@@ -114,7 +114,7 @@
 
     def transition_to(self, new: JobState) -> None:
         """Change the state. Raises TransitionError for a change that JOB_STEPS does not allow."""
-        self.state = step(self.id, JOB_STEPS, self.state, new)
+        self.state = transition(self.id, JOB_STEPS, self.state, new)
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -6,7 +6,7 @@
 from elmthread.cluster.job import Job, JobPolicy
 from elmthread.common.features import ActiveFeatures, Feature
 from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Facts, Objective
+from elmthread.settings.platform import ClusterSettings, Objective
 from elmthread.store.done_marks import bits_per_chunk, marks_per_chunk
 from elmthread.store.job_spec import SERVICE, JobSpec
 
@@ -52,14 +52,14 @@
 class JobFactory:
     """Makes jobs of submissions and of what the store has."""
 
-    def __init__(self, facts: Facts, operators: Operators, features: ActiveFeatures) -> None:
+    def __init__(self, cluster: ClusterSettings, operators: Operators, features: ActiveFeatures) -> None:
         """`operators` give deadlines and urgency; `features` the form of records of done tasks."""
         self._features = features
         self._operators = operators
-        value_kb = facts.state.kept().value_kb
+        value_kb = cluster.store.strictest().value_kb
         self._tasks_per_chunk = marks_per_chunk(value_kb)
         self._tasks_per_bitmap_chunk = bits_per_chunk(value_kb)
-        self._objectives = ClassObjectives(facts.objectives)
+        self._objectives = ClassObjectives(cluster.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
         """Return an open job, submitted at that time of this process's clock, and by the calendar now or then."""
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -14,15 +14,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
-from elmthread.workers.messages import (
-    START_REFUSALS,
-    ExitReason,
-    Heartbeat,
-    StopCommand,
-    TaskId,
-    TaskState,
-    TaskStatus,
-)
+from elmthread.workers.messages import START_REFUSALS, ExitReason, Heartbeat, StopCommand, TaskId, TaskState, TaskStatus
 
 log = logging.getLogger(__name__)
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,6 +1,6 @@
 """An upgrade while the service serves, and the store's limits that fall after it.
 
-A node in `world.old` stands for the earlier version: it knows of no next limits, writes slots
+A node in `world.old` stands for the earlier version: it knows of no next limits, writes pages
 as large as the present ones allow, and is asked for no service. What it must be able to read
 of the newer version's records is judged by tests/test_versions.py.
 """
@@ -78,7 +78,7 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_slots_of_larger_values_are_carried_over_bit_by_bit() -> None:
+def test_records_that_larger_values_held_are_moved_to_smaller_pages() -> None:
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
@@ -101,7 +101,7 @@
     day(script, before=begin_old, controllers=2)
 
 
-def test_records_that_larger_values_took_stay_readable_and_can_be_ended() -> None:
+def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
     names = [f"type-{number:04d}-of-some-length" for number in range(99)]
 
     async def script(world: World) -> None:
@@ -132,7 +132,7 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_a_machine_holds_what_its_record_really_takes() -> None:
+def test_machine_is_filled_as_far_as_the_actual_size_of_its_record_allows() -> None:
     """A bound by the longest names and numbers would leave large machines half empty at 2 KiB."""
 
     async def script(world: World) -> None:
@@ -151,7 +151,7 @@
     day(script, machines=0, before=before)
 
 
-def test_machine_types_that_are_more_than_a_value_stand_in_parts() -> None:
+def test_machine_types_larger_than_a_value_are_stored_in_parts() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("machines", [300])
 def test_the_stores_load_at_the_lower_limits_and_full_size(machines: int) -> None:
-    """Slots, time of a load, backlog and time to an answer, with the limits enforced throughout."""
+    """Pages, time of a load, backlog and time to an answer, with the limits enforced throughout."""
 
     async def script(world: World) -> None:
         waits = []
