--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -64,7 +64,7 @@
         counts["pages in the end"] = sum(key.startswith("s/") for key in world.store.items)
         # The load runs alone: no worker reports meanwhile.
         world.cut_nodes = set(world.nodes)
-        world.kill(world.leader.api._node)  # type: ignore[union-attr]
+        world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(4)
 
     with mock.patch.object(world.store, "_transact", noting), mock.patch.object(StateLoader, "load", measured):
