--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -16,7 +16,7 @@
 
 
 class LeaderRunner:
-    """Begins and ends this node's terms; a `leadership.election.LeadershipListener`."""
+    """Begins and ends this node's terms; a `leadership.listener.LeadershipListener`."""
 
     def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
         """`store_requests` paces this node's requests to the key-value store: a leader has a larger share of them."""
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -13,7 +13,6 @@
 import secrets
 from dataclasses import dataclass
 from datetime import timedelta
-from typing import Protocol
 
 import msgspec
 
@@ -21,6 +20,7 @@
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
+from elmthread.leadership.listener import LeadershipListener
 from elmthread.leadership.role import ROLE_STEPS, Role
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.store import messages
@@ -48,16 +48,6 @@
 LEADER_PAGE_SIZE = 10
 
 
-class LeadershipListener(Protocol):
-    """Who acts on the beginning and the end of this node's terms."""
-
-    def on_elected(self, fencing_token: int) -> None:
-        """Begin the term of that token."""
-
-    def on_lost(self) -> None:
-        """End the present term: nothing more may be done under its token."""
-
-
 @dataclass(frozen=True)
 class ElectionSettings:
     """The node that takes part, and the times of its terms."""
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -3,6 +3,7 @@
 import asyncio
 import sys
 from contextlib import aclosing
+from dataclasses import dataclass
 from datetime import timedelta
 
 import msgspec
@@ -24,17 +25,22 @@
     """A controller could not be reached, or did not announce itself in time."""
 
 
+@dataclass(frozen=True)
+class NodeReport:
+    """What is printed of one controller."""
+
+    lines: list[str]
+    # Whether it could be reached and announced itself.
+    announced: bool
+
+
 def run(platform: Platform, timeout: timedelta = ANNOUNCEMENT_TIMEOUT) -> int:
     """Print each controller's links; return 1 where one of them announces nothing."""
     addresses = {platform.node: platform.peer_listen} | {peer.node: peer.address for peer in platform.peers}
-    announcements = asyncio.run(_read_all(addresses, timeout))
-    for node in sorted(announcements):
-        found = announcements[node]
-        if isinstance(found, NoAnnouncementError):
-            print(f"{node}: nothing told: {found}", file=sys.stderr)
-        else:
-            print("\n".join(describe(node, found)))
-    return FAILED if any(isinstance(found, NoAnnouncementError) for found in announcements.values()) else OK
+    reports = asyncio.run(_report_all(addresses, timeout))
+    for report in reports:
+        print("\n".join(report.lines), file=sys.stdout if report.announced else sys.stderr)
+    return OK if all(report.announced for report in reports) else FAILED
 
 
 def describe(node: str, announcement: LeaderAnnouncement) -> list[str]:
@@ -63,15 +69,21 @@
     return f"{status.state.value}, last confirmed {status.age_s:.1f} s ago"
 
 
-async def _read_all(
-    addresses: dict[str, str], timeout: timedelta
-) -> dict[str, LeaderAnnouncement | NoAnnouncementError]:
-    reads = [read_announcement(address, timeout) for address in addresses.values()]
-    return dict(zip(addresses, await asyncio.gather(*reads), strict=True))
+async def _report_all(addresses: dict[str, str], timeout: timedelta) -> list[NodeReport]:
+    """Return a report on each controller, ordered by node."""
+    return await asyncio.gather(*(_report(node, address, timeout) for node, address in sorted(addresses.items())))
+
+
+async def _report(node: str, address: str, timeout: timedelta) -> NodeReport:
+    try:
+        announcement = await read_announcement(address, timeout)
+    except NoAnnouncementError as error:
+        return NodeReport([f"{node}: nothing told: {error}"], announced=False)
+    return NodeReport(describe(node, announcement), announced=True)
 
 
-async def read_announcement(address: str, timeout: timedelta) -> LeaderAnnouncement | NoAnnouncementError:
-    """Return what the controller that listens there for others announces next."""
+async def read_announcement(address: str, timeout: timedelta) -> LeaderAnnouncement:
+    """Return what the controller that listens there for others announces next. Raises NoAnnouncementError."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             reader, writer = await asyncio.open_connection(*parse_address(address))
@@ -80,15 +92,15 @@
             finally:
                 writer.transport.abort()
     except TimeoutError:
-        return NoAnnouncementError(f"{address}: no announcement within {timeout.total_seconds()} s")
+        raise NoAnnouncementError(f"{address}: no announcement within {timeout.total_seconds()} s") from None
     except (OSError, pynetstring.ParseError, msgspec.MsgspecError) as error:
-        return NoAnnouncementError(f"{address}: {error}")
+        raise NoAnnouncementError(f"{address}: {error}") from error
 
 
-async def _next_announcement(reader: asyncio.StreamReader) -> LeaderAnnouncement | NoAnnouncementError:
+async def _next_announcement(reader: asyncio.StreamReader) -> LeaderAnnouncement:
     async with aclosing(read_frames(reader)) as frames:
         async for frame in frames:
             message = decode(frame)
             if isinstance(message, LeaderAnnouncement):
                 return message
-    return NoAnnouncementError("the connection was closed")
+    raise NoAnnouncementError("the connection was closed")
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -18,8 +18,7 @@
 from typing import Any
 
 from elmthread.net.http_messages import Request, Response
-from elmthread.peers.messages import LeaderAnnouncement
-from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, describe, read_announcement
+from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
 from tests.world.earlier import newest
 from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
@@ -113,8 +112,9 @@
         """Prints each change of what a controller says of its links, and who leads."""
         while True:
             for node in NODES:
-                found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
-                if not isinstance(found, LeaderAnnouncement):
+                try:
+                    found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
+                except NoAnnouncementError:
                     continue
                 # Without the ages, which change all the time.
                 lines = [line.split(", last")[0].split(", token")[0].strip() for line in describe(node, found)]
