--- a/tests/world/earlier.py
+++ b/tests/world/earlier.py
@@ -117,41 +117,55 @@
 
 
 def read(store: dict[str, Any]) -> View:
+    """Read everything as an earlier leader would. Raises UnreadableError."""
     view = View()
     records = newest(store)
     for key, record in records.items():
         if key.startswith("j/"):
-            fields(key, record, JOB, {"state", "tasks"})
-            if record["state"] not in ("open", "done", "cancelled"):
-                raise UnreadableError(f"{key}: {record['state']}")
-            if record["state"] != "done":
-                spec = fields(key, record["spec"], SPEC, SPEC.keys() - SPEC_OPTIONAL)
-                if spec["form"] != "batch":
-                    raise UnreadableError(f"{key}: form {spec['form']}")
-            view.jobs[key[2:]] = record
+            view.jobs[key[2:]] = _job(key, record)
     for key, record in records.items():
         if key.startswith("d/"):
-            _, job_id, chunk = key.split("/")
-            job = view.jobs.get(job_id)
-            if job is not None and job["state"] == "open":
-                bits = int.from_bytes(bytes.fromhex(fields(key, record, {"marks": str}, {"marks"})["marks"]), "little")
-                low = int(chunk) * job["chunk"]
-                marked = {low + n for n in range(bits.bit_length()) if bits >> n & 1}
-                view.done.setdefault(job_id, set()).update(n for n in marked if n < job["tasks"])
+            _read_done(view, key, record)
         elif key.startswith("m/"):
-            machine = fields(key, record, MACHINE, {"build", "zone", "spot"})
-            view.machines[key[2:]] = machine
-            for job_id, numbers in machine.get("holds", {}).items():
-                if len(numbers) % 2 or not all(isinstance(number, int) for number in numbers):
-                    raise UnreadableError(f"{key}: {numbers}")
-                state = view.jobs.get(job_id, {"state": "done"})["state"]
-                view.holds |= {
-                    (key[2:], f"{job_id}/{task}")
-                    for task in numbers[::2]
-                    if state != "done" and task not in view.done.get(job_id, ())
-                }
+            _read_machine(view, key, record)
         elif key.startswith("r/"):
             fields(key, record, RENTAL, {"build", "zone", "spot"})
         elif key.startswith("t/"):
             view.types = [fields(key, one, TYPE, set(TYPE)) for one in record]
     return view
+
+
+def _job(key: str, record: Any) -> dict[str, Any]:
+    fields(key, record, JOB, {"state", "tasks"})
+    if record["state"] not in ("open", "done", "cancelled"):
+        raise UnreadableError(f"{key}: {record['state']}")
+    if record["state"] != "done":
+        spec = fields(key, record["spec"], SPEC, SPEC.keys() - SPEC_OPTIONAL)
+        if spec["form"] != "batch":
+            raise UnreadableError(f"{key}: form {spec['form']}")
+    job: dict[str, Any] = record
+    return job
+
+
+def _read_done(view: View, key: str, record: Any) -> None:
+    _, job_id, chunk = key.split("/")
+    job = view.jobs.get(job_id)
+    if job is not None and job["state"] == "open":
+        bits = int.from_bytes(bytes.fromhex(fields(key, record, {"marks": str}, {"marks"})["marks"]), "little")
+        low = int(chunk) * job["chunk"]
+        marked = {low + n for n in range(bits.bit_length()) if bits >> n & 1}
+        view.done.setdefault(job_id, set()).update(n for n in marked if n < job["tasks"])
+
+
+def _read_machine(view: View, key: str, record: Any) -> None:
+    machine = fields(key, record, MACHINE, {"build", "zone", "spot"})
+    view.machines[key[2:]] = machine
+    for job_id, numbers in machine.get("holds", {}).items():
+        if len(numbers) % 2 or not all(isinstance(number, int) for number in numbers):
+            raise UnreadableError(f"{key}: {numbers}")
+        state = view.jobs.get(job_id, {"state": "done"})["state"]
+        view.holds |= {
+            (key[2:], f"{job_id}/{task}")
+            for task in numbers[::2]
+            if state != "done" and task not in view.done.get(job_id, ())
+        }
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -1,5 +1,6 @@
 """Random troubles for generated histories: each is begun by its name, and all are ended together."""
 
+from collections.abc import Awaitable, Callable
 from functools import partial
 
 from hypothesis import HealthCheck, Phase, settings
@@ -9,28 +10,6 @@
 from tests.world.specs import job
 from tests.world.world import World, start
 
-TROUBLES = [
-    "kill",
-    "kill_all",
-    "outage",
-    "refused",
-    "cut",
-    "hang",
-    "die",
-    "lossy",
-    "late",
-    "cancel",
-    "burst",
-    "step_down",
-    "deaf",
-    "copies",
-    "apart",
-    "reborn",
-    "back",
-    "twice",
-    "still",
-    "still_all",
-]
 # How generated histories are played: the same in every run, and a failing one is told as it is,
 # since making it smaller takes minutes.
 HISTORIES = settings(
@@ -43,70 +22,135 @@
 
 
 async def befall(world: World, kind: str, ids: list[str]) -> None:
-    rng = world.rng
-    if kind == "kill" and world.controllers:
-        name = rng.choice(list(world.controllers))
+    """Begin a trouble of that kind, where there is anything that it can befall."""
+    await KINDS[kind](world, ids)
+
+
+async def _kill(world: World, ids: list[str]) -> None:
+    _restart_one(world, 0.1, 8)
+
+
+async def _back(world: World, ids: list[str]) -> None:
+    _restart_one(world, 0.02, 0.4)
+
+
+def _restart_one(world: World, shortest_s: float, longest_s: float) -> None:
+    if world.controllers:
+        name = world.rng.choice(list(world.controllers))
         world.kill(name)
-        world.loop.call_later(rng.uniform(0.1, 8), partial(start, world, name))
-    elif kind == "kill_all":
-        for name in list(world.controllers):
-            world.kill(name)
-        for name in NODES:
-            world.loop.call_later(rng.uniform(0.1, 8), partial(start, world, name))
-    elif kind == "outage":
-        world.store.outage(True)
-        world.loop.call_later(rng.uniform(1, 20), world.store.outage, False)
-    elif kind in ("refused", "cut", "lossy", "late") and world.controllers:
-        trouble = world.ports[rng.choice(list(world.controllers))].store.faults
-        if kind == "refused":
-            trouble.refused = True
-        elif kind == "cut":
-            trouble.cut = True
-        elif kind == "lossy":
-            trouble.lost_response_share = 0.3
-        else:
-            trouble.late_share = 0.3
-    elif kind == "hang" and world.workers:
-        worker = rng.choice(list(world.workers.values()))
+        world.loop.call_later(world.rng.uniform(shortest_s, longest_s), partial(start, world, name))
+
+
+async def _kill_all(world: World, ids: list[str]) -> None:
+    for name in list(world.controllers):
+        world.kill(name)
+    for name in NODES:
+        world.loop.call_later(world.rng.uniform(0.1, 8), partial(start, world, name))
+
+
+async def _outage(world: World, ids: list[str]) -> None:
+    world.store.outage(True)
+    world.loop.call_later(world.rng.uniform(1, 20), world.store.outage, False)
+
+
+async def _store_fault(field: str, value: float, world: World, ids: list[str]) -> None:
+    if world.controllers:
+        setattr(world.ports[world.rng.choice(list(world.controllers))].store.faults, field, value)
+
+
+async def _hang(world: World, ids: list[str]) -> None:
+    if world.workers:
+        worker = world.rng.choice(list(world.workers.values()))
         worker.hung = True
-        world.loop.call_later(rng.uniform(2, 40), setattr, worker, "hung", False)
-    elif kind == "die" and world.workers:
-        name = rng.choice(list(world.workers))
+        world.loop.call_later(world.rng.uniform(2, 40), setattr, worker, "hung", False)
+
+
+async def _die(world: World, ids: list[str]) -> None:
+    if world.workers:
+        name = world.rng.choice(list(world.workers))
         world.workers.pop(name).terminate()
         world.cloud.machines[name].state = "failed"
-    elif kind == "cancel" and ids:
-        await world.withdraw(rng.choice(ids), 3.0)
-    elif kind == "step_down" and world.leader is not None:
-        # Often the same node wins again while its answers to workers are still being made.
+
+
+async def _cancel(world: World, ids: list[str]) -> None:
+    if ids:
+        await world.withdraw(world.rng.choice(ids), 3.0)
+
+
+async def _step_down(world: World, ids: list[str]) -> None:
+    # Often the same node wins again while its responses to workers are still being made.
+    if world.leader is not None:
         world.leader.election.step_down(StepDownReason.FAULT)
-    elif kind == "deaf" and world.workers:
-        name = rng.choice(list(world.workers))
+
+
+async def _without_responses(world: World, ids: list[str]) -> None:
+    if world.workers:
+        name = world.rng.choice(list(world.workers))
         world.workers_without_responses.add(name)
-        world.loop.call_later(rng.uniform(3, 40), world.workers_without_responses.discard, name)
-    elif kind == "copies":
-        world.duplicate_share = 0.5
-    elif kind == "apart" and world.controllers:
-        set_apart(world, rng.choice(list(world.controllers)), True)
-    elif kind == "reborn" and world.workers:
-        worker = rng.choice(list(world.workers.values()))
-        worker.restart(worker.incarnation + rng.randint(0, 1))
-    elif kind == "back" and world.controllers:
-        name = rng.choice(list(world.controllers))
-        world.kill(name)
-        world.loop.call_later(rng.uniform(0.02, 0.4), partial(start, world, name))
-    elif kind == "twice" and world.controllers:
-        for port in world.ports[rng.choice(list(world.controllers))]:
+        world.loop.call_later(world.rng.uniform(3, 40), world.workers_without_responses.discard, name)
+
+
+async def _duplicates(world: World, ids: list[str]) -> None:
+    world.duplicate_share = 0.5
+
+
+async def _isolate(world: World, ids: list[str]) -> None:
+    if world.controllers:
+        set_apart(world, world.rng.choice(list(world.controllers)), True)
+
+
+async def _restart_worker(world: World, ids: list[str]) -> None:
+    if world.workers:
+        worker = world.rng.choice(list(world.workers.values()))
+        worker.restart(worker.incarnation + world.rng.randint(0, 1))
+
+
+async def _duplicate_changes(world: World, ids: list[str]) -> None:
+    if world.controllers:
+        for port in world.ports[world.rng.choice(list(world.controllers))]:
             port.faults.duplicate_share = 0.5
-    elif kind in ("still", "still_all") and world.controllers:
-        names = list(world.controllers)
-        seconds = rng.choice([rng.uniform(0.5, 4.5), rng.uniform(4.5, 30.0)])
-        for name in names if kind == "still_all" else [rng.choice(names)]:
-            world.loop.create_task(world.suspend(name, seconds))
-    elif kind == "burst":
-        number = rng.randint(100, 999_999)
-        spec = job(number, crew="red", urgency="high", pieces=6, cpus=2.0)
-        if await world.submit(spec, 3.0):
-            ids.append(spec["name_id"])
+
+
+async def _suspend(everybody: bool, world: World, ids: list[str]) -> None:
+    rng, names = world.rng, list(world.controllers)
+    if not names:
+        return
+    seconds = rng.choice([rng.uniform(0.5, 4.5), rng.uniform(4.5, 30.0)])
+    for name in names if everybody else [rng.choice(names)]:
+        world.loop.create_task(world.suspend(name, seconds))
+
+
+async def _burst(world: World, ids: list[str]) -> None:
+    number = world.rng.randint(100, 999_999)
+    spec = job(number, crew="red", urgency="high", pieces=6, cpus=2.0)
+    if await world.submit(spec, 3.0):
+        ids.append(spec["name_id"])
+
+
+# By the names, and in the order, from which histories are drawn.
+KINDS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
+    "kill": _kill,
+    "kill_all": _kill_all,
+    "outage": _outage,
+    "refused": partial(_store_fault, "refused", True),
+    "cut": partial(_store_fault, "cut", True),
+    "hang": _hang,
+    "die": _die,
+    "lossy": partial(_store_fault, "lost_response_share", 0.3),
+    "late": partial(_store_fault, "late_share", 0.3),
+    "cancel": _cancel,
+    "burst": _burst,
+    "step_down": _step_down,
+    "deaf": _without_responses,
+    "copies": _duplicates,
+    "apart": _isolate,
+    "reborn": _restart_worker,
+    "back": _back,
+    "twice": _duplicate_changes,
+    "still": partial(_suspend, False),
+    "still_all": partial(_suspend, True),
+}
+TROUBLES = list(KINDS)
 
 
 def set_apart(world: World, node: str, apart: bool) -> None:
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -100,34 +100,20 @@
     def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
         """A user was answered about a job, on a question asked then; any user at any node counts.
 
-        An answer may be as old as its question: what was told before that, nothing may go back on.
+        An answer may be as old as its question: what was reported before that, nothing may go back on.
         """
         asked = self.loop.now if asked is None else asked
-        before = next((told for at, told in reversed(self.history.get(job, [])) if at <= asked), None)
-        if status in (200, 201):
-            self.unanswered.pop(job, None)
-        elif before is not None and before != "cancelled":
-            since = self.unanswered.setdefault(job, self.loop.now)
-            if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
-                self._break("forgotten", f"{job}: no question answered since {since:.1f}")
-        if status in (200, 201) and job not in self.specs:
-            self._break("invented", job)
-        if status in (400, 404, 422) and before is not None:
-            self._break("forgotten", f"{job} got {status}")
+        before = next((reported for at, reported in reversed(self.history.get(job, [])) if at <= asked), None)
+        self._check_answered(job, status, before)
         if status not in (200, 201) or state is None or job not in self.specs:
             return
         if job in self.impossible:
             self._break("accepted", f"{job}, which can't run or lacks a field")
         if state == "done":
-            spec = self.specs[job]
-            if spec["form"] != "batch":
-                self._break("not_done", f"{job} is a service")
-            missing = [n for n in range(spec["pieces"]) if f"{job}/{n}" not in self.finished]
-            if missing:
-                self._break("not_done", f"{job}: {missing[:5]}")
+            self._check_done(job)
         if before in ("done", "cancelled") and state != before:
             self._break("went_back", f"{job}: {before} then {state}")
-        ends = {told for _, told in self.history.get(job, []) if told in ("done", "cancelled")}
+        ends = {reported for _, reported in self.history.get(job, []) if reported in ("done", "cancelled")}
         if state in ("done", "cancelled") and ends - {state}:
             self._break("went_back", f"{job}: {ends} and {state}")
         if state == "cancelled":
@@ -137,6 +123,27 @@
         if not self.history.get(job) or self.history[job][-1][1] != state:
             self.history.setdefault(job, []).append((self.loop.now, state))
 
+    def _check_answered(self, job: str, status: int, before: str | None) -> None:
+        """Whether a job is known for as long as it was accepted, and none that was not."""
+        if status in (200, 201):
+            self.unanswered.pop(job, None)
+        elif before is not None and before != "cancelled":
+            since = self.unanswered.setdefault(job, self.loop.now)
+            if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
+                self._break("forgotten", f"{job}: no question answered since {since:.1f}")
+        if status in (200, 201) and job not in self.specs:
+            self._break("invented", job)
+        if status in (400, 404, 422) and before is not None:
+            self._break("forgotten", f"{job} got {status}")
+
+    def _check_done(self, job: str) -> None:
+        spec = self.specs[job]
+        if spec["form"] != "batch":
+            self._break("not_done", f"{job} is a service")
+        missing = [n for n in range(spec["pieces"]) if f"{job}/{n}" not in self.finished]
+        if missing:
+            self._break("not_done", f"{job}: {missing[:5]}")
+
     @property
     def reported_states(self) -> dict[str, str]:
         """What users were told last, by job."""
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -48,36 +48,21 @@
             worker.terminate()
 
     async def _send(self, worker: str, node: str, request: Request) -> Response:
-        # What is not answered on a connection ends it.
-        linked, answered_at = self.worker_connections.pop(worker, (node, None))
-        request.previous_answered_at = answered_at if linked == node else None
+        # A worker whose request is not answered ends the connection.
+        connected_to, answered_at = self.worker_connections.pop(worker, (node, None))
+        request.previous_answered_at = answered_at if connected_to == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
-        if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
-            raise ConnectionError(node)
-        await asyncio.sleep(self.link_faults.delay(zone, node))
-        if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
-            await asyncio.sleep(60)
-        if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
-        if node not in self.controllers:
-            raise ConnectionError(node)
-        if self.rng.random() < self.duplicate_share:
-            for _ in range(self.rng.randint(1, 2)):
-                late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
-        if self.captured_requests is not None:
-            self.captured_requests.append(replace(request, previous_answered_at=None))
-        if self.delayed_share and self.rng.random() < self.delayed_share:
-            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
+        await self._pass_link(worker, zone, node, request)
+        self._capture(request)
+        await self._maybe_delay()
         if node not in self.controllers:
             raise ConnectionError(node)
         response = await self.serve(node, request)
         answered_at = self.loop.clock(self.drift[node])
         await asyncio.sleep(self.link_faults.delay(node, zone))
-        if self.delayed_share and self.rng.random() < self.delayed_share:
-            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
-        # The answer may be lost on its way, and the request may have been sent before.
+        await self._maybe_delay()
+        # The response may be lost on its way.
         if self.link_faults.has("drop", node, zone):
             await asyncio.sleep(60)
         if (
@@ -91,6 +76,31 @@
         self.worker_connections[worker] = (node, answered_at)
         return response
 
+    async def _pass_link(self, worker: str, zone: str, node: str, request: Request) -> None:
+        """Return once the request has arrived at the node. Raises ConnectionError."""
+        if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
+            raise ConnectionError(node)
+        await asyncio.sleep(self.link_faults.delay(zone, node))
+        if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
+            await asyncio.sleep(60)
+        if self.link_faults.has("duplicate", zone, node):
+            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
+        if node not in self.controllers:
+            raise ConnectionError(node)
+
+    def _capture(self, request: Request) -> None:
+        """Send copies of a share of the requests later, to any node, and keep copies where a test collects them."""
+        if self.rng.random() < self.duplicate_share:
+            for _ in range(self.rng.randint(1, 2)):
+                late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
+                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
+        if self.captured_requests is not None:
+            self.captured_requests.append(replace(request, previous_answered_at=None))
+
+    async def _maybe_delay(self) -> None:
+        if self.delayed_share and self.rng.random() < self.delayed_share:
+            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
+
     async def report(self, body: Any, node: str) -> Response:
         return await self.serve(node, Request("POST", "/agent/beat", {}, cbor2.dumps(body)))
 
