--- a/src/elmthread/common/features.py
+++ b/src/elmthread/common/features.py
@@ -116,6 +116,6 @@
         if level <= self._level:
             return
         self._level = level
-        log.info("Compatibility level %s is in use here.", level)
+        log.info("compatibility level %s is in use here", level)
         for call in self._changed:
             call()
--- a/src/elmthread/common/overload.py
+++ b/src/elmthread/common/overload.py
@@ -61,10 +61,10 @@
         self._logged = refused
         behind_s = self.behind.total_seconds()
         if refused is None:
-            log.info("The event loop is %.1f s behind: nothing is refused any more.", behind_s)
+            log.info("the event loop is %.1f s behind: nothing is refused any more", behind_s)
         else:
             names = ", ".join(work.name for work in WorkClass if work <= refused)
-            log.info("The event loop is %.1f s behind: refusing %s.", behind_s, names)
+            log.info("the event loop is %.1f s behind: refusing %s", behind_s, names)
 
     @property
     def behind(self) -> timedelta:
--- a/src/elmthread/net/connections.py
+++ b/src/elmthread/net/connections.py
@@ -129,4 +129,4 @@
 
     def _refuse(self, limit: int) -> None:
         self.refused_count += 1
-        log.info("Refused a connection: %s are open already (%s refused so far).", limit, self.refused_count)
+        log.info("connection refused: %s are open already (%s refused so far)", limit, self.refused_count)
--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -105,5 +105,5 @@
             return await self._handler(request)
         except Exception:
             # A fault in the handling of one request must not end the connection or the server.
-            log.exception("Unhandled error while answering %s %s.", request.method, request.path)
+            log.exception("unhandled error while answering %s %s", request.method, request.path)
             return retry_later(503, seconds(1), "internal error")
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -99,7 +99,7 @@
             await asyncio.sleep(1.5)
         if name in world.cloud.machines:
             del world.cloud.machines[name]
-            world._ended(name)
+            world.machine_gone(name)
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -2,6 +2,8 @@
 
 import asyncio
 from collections import Counter
+from collections.abc import Awaitable, Callable
+from functools import partial
 from typing import Any
 
 import pytest
@@ -14,7 +16,7 @@
 from elmthread.workers import messages
 from elmthread.workers.heartbeats import HeartbeatHandler
 from elmthread.workers.reconciliation import HeartbeatReconciler
-from tests.world.counting import count_calls, count_changes
+from tests.world.counting import count_calls, count_changes, observe_calls
 from tests.world.day import day
 from tests.world.random_troubles import set_apart
 from tests.world.specs import job
@@ -69,6 +71,49 @@
     assert calls["fitting_tasks"] < 10 * tasks, calls["fitting_tasks"] / tasks
 
 
+async def submit_long_jobs(world: World) -> list[str]:
+    ids = []
+    for number in range(30):
+        crew, pieces = ("red", 6) if number % 9 == 0 else ("blue", 60)
+        spec = job(number, crew=crew, pieces=pieces, true_s=20.0, expected_s=20.0)
+        assert await world.submit(spec)
+        ids.append(spec["name_id"])
+    return ids
+
+
+async def restart_everything(world: World) -> None:
+    """All controllers and workers end in an outage of the store, and are back within seconds."""
+    world.store.outage(True)
+    for node in list(world.controllers):
+        world.kill(node)
+    for index, worker in enumerate(list(world.workers.values())):
+        # Half of them keep their incarnation's number.
+        worker.restart(worker.incarnation + index % 2)
+    for index, node in enumerate(world.nodes):
+        world.loop.call_later(0.2 + 0.3 * index, start, world, node)
+    await asyncio.sleep(3)
+    world.store.outage(False)
+
+
+def note_returns(world: World) -> list[bool]:
+    """Note for each machine that is deleted from now on whether it had nothing to do.
+
+    Machines that have nothing to do may go back, however many; none may be lost. What a machine
+    had when it was deleted, and whether it was heard until then, tells which it was.
+    """
+    returned: list[bool] = []
+    on_deleted = world.cloud.on_deleted
+
+    def note(name: str) -> None:
+        worker = world.workers[name]
+        empty = all(task.state == "exited" for task in worker.tasks.values())
+        returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
+        on_deleted(name)
+
+    world.cloud.on_deleted = note
+    return returned
+
+
 def test_everything_back_at_once_and_a_second_time_before_the_first_is_over() -> None:
     """All workers and all controllers restart, in an outage and in the middle of the election after it."""
 
@@ -76,40 +121,16 @@
         for index in range(MACHINES):
             world.rent("small" if index % 3 else "large", ["east", "north", "west"][index % 3], spot=bool(index % 5))
         await asyncio.sleep(2)
-        ids = []
-        for number in range(30):
-            crew, pieces = ("red", 6) if number % 9 == 0 else ("blue", 60)
-            spec = job(number, crew=crew, pieces=pieces, true_s=20.0, expected_s=20.0)
-            assert await world.submit(spec)
-            ids.append(spec["name_id"])
+        ids = await submit_long_jobs(world)
         await asyncio.sleep(10)
         assert len(world.rules.running) > 1000
-        for turn in range(2):
-            world.store.outage(True)
-            for node in list(world.controllers):
-                world.kill(node)
-            for index, worker in enumerate(list(world.workers.values())):
-                # Half of them keep their session's number.
-                worker.restart(worker.incarnation + index % 2)
-            for index, node in enumerate(world.nodes):
-                world.loop.call_later(0.2 + 0.3 * index, start, world, node)
-            await asyncio.sleep(3)
-            world.store.outage(False)
-            # The second time falls into the election after the first.
-            await asyncio.sleep(0.4 if not turn else 0.0)
+        await restart_everything(world)
+        # The second time falls into the election after the first.
+        await asyncio.sleep(0.4)
+        await restart_everything(world)
+        await asyncio.sleep(0.0)
         over = world.rules.calm_since = world.loop.now
-        # Machines that have nothing to do may go back, however many; none may be lost. What a
-        # machine had when it was deleted, and whether it was heard until then, tells which it was.
-        returned: list[bool] = []
-        ended = world.cloud.on_deleted
-
-        def note(name: str) -> None:
-            worker = world.workers[name]
-            empty = all(task.state == "exited" for task in worker.tasks.values())
-            returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
-            ended(name)
-
-        world.cloud.on_deleted = note
+        returned = note_returns(world)
         while await world.poll(ids[0]) is None:
             assert world.loop.now < over + 6
             await asyncio.sleep(0.2)
@@ -130,6 +151,46 @@
     day(script, machines=0, each=MACHINES)
 
 
+async def cut_zone_off(world: World, more: Callable[[int], Awaitable[None]]) -> None:
+    """A zone is cut off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
+    west = [name for name, worker in world.workers.items() if worker.zone == "west"]
+    cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
+    set_apart(world, cut_off, True)
+    world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
+    await asyncio.sleep(10)
+    await more(5)
+    await asyncio.sleep(20)
+    set_apart(world, cut_off, False)
+    world.cut_worker_links.clear()
+    await asyncio.sleep(5)
+
+
+async def refuse_peer_links(world: World, job_id: str) -> str:
+    """Users at the others are told so at once, the leader serves on; returns the leader."""
+    reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
+    assert world.leader is not None
+    leader = world.leader.node
+    for node in world.nodes:
+        asked = world.loop.now
+        status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
+        assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
+    await asyncio.sleep(10)
+    world.reach = reach  # type: ignore[method-assign]
+    return leader
+
+
+def lose_a_third(world: World) -> None:
+    """A third of the machines end, hang or fail their tasks."""
+    names = sorted(world.workers)
+    for name in names[::9]:
+        world.workers.pop(name).terminate()
+        world.cloud.machines[name].state = "failed"
+    for name in names[1::9]:
+        world.workers[name].hung = True
+    for name in names[2::9]:
+        world.workers[name].faulty = True
+
+
 def test_a_fleet_through_one_trouble_after_the_other_is_served_on() -> None:
     """A zone cut off with its controller, refused links, a leader that stands still, a third of all lost."""
 
@@ -149,39 +210,12 @@
 
         await more(30)
         await asyncio.sleep(6)
-        # The controller keeps the workers of its zone, and nothing else.
-        west = [name for name, worker in world.workers.items() if worker.zone == "west"]
-        cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
-        set_apart(world, cut_off, True)
-        world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
-        await asyncio.sleep(10)
-        await more(5)
-        await asyncio.sleep(20)
-        set_apart(world, cut_off, False)
-        world.cut_worker_links.clear()
-        await asyncio.sleep(5)
-        # Links are refused: users at the others are told so at once, the leader serves on.
-        reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
-        assert world.leader is not None
-        leader = world.leader.node
-        for node in world.nodes:
-            asked = world.loop.now
-            status = (await world.ask("GET", f"/submissions/{ids[0]}", node=node)).status
-            assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
-        await asyncio.sleep(10)
-        world.reach = reach  # type: ignore[method-assign]
+        await cut_zone_off(world, more)
+        leader = await refuse_peer_links(world, ids[0])
         await more(5)
         await world.suspend(leader, 6.0)
-        assert world.leader.node != leader
-        # A third of the machines: dead, hung and sick, with work coming.
-        names = sorted(world.workers)
-        for name in names[::9]:
-            world.workers.pop(name).terminate()
-            world.cloud.machines[name].state = "failed"
-        for name in names[1::9]:
-            world.workers[name].hung = True
-        for name in names[2::9]:
-            world.workers[name].faulty = True
+        assert world.leader is not None and world.leader.node != leader
+        lose_a_third(world)
         await more(10)
         await asyncio.sleep(20)
         for worker in world.workers.values():
@@ -224,24 +258,15 @@
     events: list[str] = []
     submit = JobService.submit
 
-    def note(owner: type, name: str, event: str) -> None:
-        real = getattr(owner, name)
-
-        def noted(*arguments: Any) -> Any:
-            events.append(event)
-            return real(*arguments)
-
-        monkeypatch.setattr(owner, name, noted)
-
     async def answered(*arguments: Any) -> Any:
         response = await submit(*arguments)
         events.append("answer")
         return response
 
     monkeypatch.setattr(JobService, "submit", answered)
-    note(ClusterEvents, "notify_jobs_changed", "durable")
-    note(Scheduler, "run_round", "round")
-    note(Autoscaler, "run_round", "round")
+    observe_calls(monkeypatch, ClusterEvents, "notify_jobs_changed", partial(events.append, "durable"))
+    observe_calls(monkeypatch, Scheduler, "run_round", partial(events.append, "round"))
+    observe_calls(monkeypatch, Autoscaler, "run_round", partial(events.append, "round"))
 
     async def script(world: World) -> None:
         await asyncio.sleep(5)
--- a/tests/world/counting.py
+++ b/tests/world/counting.py
@@ -1,6 +1,7 @@
 """Counts calls of the code under test and changes of the store, for tests that bound work instead of time."""
 
 from collections import Counter
+from collections.abc import Callable
 from typing import Any
 
 import pytest
@@ -8,19 +9,28 @@
 from tests.world.world import World
 
 
-def count_calls(patch: pytest.MonkeyPatch, calls: Counter[str], owner: Any, name: str) -> None:
-    """Counts each call of a function and leaves it as it is."""
+def observe_calls(patch: pytest.MonkeyPatch, owner: Any, name: str, observe: Callable[[], None]) -> None:
+    """Call `observe` before each call of a function, which stays as it is."""
     real = getattr(owner, name)
 
-    def counted(*arguments: Any, **named: Any) -> Any:
-        calls[name] += 1
+    def observed(*arguments: Any, **named: Any) -> Any:
+        observe()
         return real(*arguments, **named)
 
-    patch.setattr(owner, name, counted)
+    patch.setattr(owner, name, observed)
+
+
+def count_calls(patch: pytest.MonkeyPatch, calls: Counter[str], owner: Any, name: str) -> None:
+    """Count each call of a function, by its name."""
+
+    def count() -> None:
+        calls[name] += 1
+
+    observe_calls(patch, owner, name, count)
 
 
 def count_changes(world: World, changes: Counter[int]) -> None:
-    """Counts the changes that the state service is asked for, by second."""
+    """Count the changes that the store is asked for, by second."""
     transact = world.store._transact
 
     def counted(body: Any) -> Any:
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -13,8 +13,9 @@
 from elmthread.controller import Controller
 from elmthread.net.http_messages import PRECONDITION_FAILED, Request, Response
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.links import STORE, Fault, LinkFaults, SchedulePlayer
+from tests.world.links import STORE, Fault, SchedulePlayer
 from tests.world.loop import NODE, SimLoop
+from tests.world.network_faults import NetworkFaults
 from tests.world.peer_links import simulated_peers
 from tests.world.rules import Rules
 from tests.world.service_ports import NodePorts, ServiceFaults, SimulatedClient
@@ -27,9 +28,12 @@
 T = TypeVar("T")
 
 
-class ControllerNodes:
+class ControllerNodes(NetworkFaults):
+    """The nodes and the services that they use."""
+
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         """`each` machines can be had of every type, zone and kind; `cancel` is the settings' `cancel_s`."""
+        super().__init__()
         self.cancel = cancel
         # The next limits in the settings, and nodes that run a version which knows of none: this
         # one with other settings, or really an earlier one (`tests/both.py`).
@@ -53,8 +57,7 @@
         self.workers: dict[str, Worker] = {}
         self.controllers: dict[str, Controller] = {}
         self.ports: dict[str, NodePorts] = {}
-        # Faults of single links, and who watches what starts and what is answered.
-        self.link_faults = LinkFaults()
+        # Called with each controller that starts, and each response that leaves.
         self.on_start: list[Callable[[str, Controller], None]] = []
         self.on_answer: list[Callable[[str, Request, Response], None]] = []
         # Requests that a node is at work on.
@@ -62,21 +65,6 @@
         # What runs in a node's context stands still with it.
         self.contexts: dict[str, contextvars.Context] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.cut_nodes: set[str] = set()
-        self.cut_worker_links: set[tuple[str, str]] = set()
-        # Nodes that reach neither the state service nor the others, but their workers.
-        self.isolated_nodes: set[str] = set()
-        # Workers whose reports arrive, but which no answer reaches.
-        self.workers_without_responses: set[str] = set()
-        # Nodes whose answers reach no worker.
-        self.nodes_without_responses: set[str] = set()
-        # Share of the reports of which a copy comes later, to any node, and how much later.
-        self.duplicate_share = 0.0
-        self.duplicate_delay_s = (1.0, 40.0)
-        # Copies that come to every node just as the next leader begins.
-        self.captured_requests: list[Request] | None = None
-        # Share of reports and answers that are held up, for up to 6 s each.
-        self.delayed_share = 0.0
         # Open connections of workers, and when the last answer went out on each.
         self.worker_connections: dict[str, tuple[str, timedelta]] = {}
         self.drift = {node: self.rng.uniform(-0.0005, 0.0005) for node in self.nodes}
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -58,6 +58,20 @@
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world, 6)
+        await change_versions(world, ids)
+        restore(world)
+        for node in sorted(world.earlier_nodes):
+            world.earlier_nodes.discard(node)
+            replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
+        await asyncio.sleep(5)
+        await until_level(world, SUPPORTED.highest)
+        ids += await submit_some(world, 3, 20)
+        await asyncio.sleep(14)
+        await roll_back(world)
+        states = await world.until_over(ids, 400)
+        assert all(state in ("done", "cancelled") for state in states.values()), states
+
+    async def change_versions(world: World, ids: list[str]) -> None:
         for _ in range(12):
             kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
             if kind in ("new", "earlier"):
@@ -68,14 +82,8 @@
             await asyncio.sleep(rng.uniform(0.05, 9.0))
             for job_id in ids:
                 await world.poll(job_id)
-        restore(world)
-        for node in sorted(world.earlier_nodes):
-            world.earlier_nodes.discard(node)
-            replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
-        await asyncio.sleep(5)
-        await until_level(world, SUPPORTED.highest)
-        ids += await submit_some(world, 3, 20)
-        await asyncio.sleep(14)
+
+    async def roll_back(world: World) -> None:
         # Rolled back after the activation: a version leads then if it reads the active level, and only then.
         world.earlier_nodes.update(NODES)
         for node in NODES:
@@ -89,8 +97,6 @@
         world.earlier_nodes.clear()
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
-        states = await world.until_over(ids, 400)
-        assert all(state in ("done", "cancelled") for state in states.values()), states
 
     def before(world: World) -> None:
         begin_before(world)
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -53,23 +53,12 @@
     falls: float,
     before: Callable[[World], None],
 ) -> None:
+    """An upgrade in that order beside troubles; the limits fall so many seconds after it."""
+
     async def script(world: World) -> None:
         for zone in ZONES:
             world.rent("small", zone)
-        ids = []
-        for index in range(6):
-            spec = job(
-                index,
-                crew="red" if index % 3 else "blue",
-                urgency=world.rng.choice(["high", "normal", "best_effort"]),
-                pieces=world.rng.randint(1, 9),
-                true_s=world.rng.uniform(2, 30),
-                scatter=index == 4,
-                snapshot_every_s=5.0 if index % 2 else 0.0,
-                snapshot_s=1.0 if index % 2 else 0.0,
-            )
-            if await world.submit(spec):
-                ids.append(spec["name_id"])
+        ids = await _submit_jobs(world)
         waiting = iter(troubles)
 
         async def trouble() -> None:
@@ -80,11 +69,7 @@
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
         # Nothing new is asked for before all nodes are new; then the limits fall, at any moment.
         world.loop.call_later(falls, fall, world)
-        services = []
-        for index in range(20, 23):
-            spec = daemon(index, crew="red" if index == 20 else "blue", pieces=3, true_s=world.rng.choice([25.0, 1e9]))
-            if await world.submit(spec):
-                services.append(spec["name_id"])
+        services = await _submit_services(world)
         for kind, pause in waiting:
             await befall(world, kind, ids + services)
             await asyncio.sleep(pause)
@@ -96,13 +81,42 @@
         assert all(state in ("done", "cancelled") for state in states.values()), states
         # What was not withdrawn serves again, all of it.
         for job_id in services:
-            if world.rules.reported_states.get(job_id) == "cancelled":
-                continue
-            for _ in range(600):
-                if world.rules.serving(job_id) == 3:
-                    break
-                await asyncio.sleep(0.2)
-            else:
-                raise AssertionError(f"{job_id}: {world.rules.serving(job_id)} of 3 replicas")
+            if world.rules.reported_states.get(job_id) != "cancelled":
+                await _until_serving(world, job_id)
 
     day(script, seed=number, before=before)
+
+
+async def _submit_jobs(world: World) -> list[str]:
+    ids = []
+    for index in range(6):
+        spec = job(
+            index,
+            crew="red" if index % 3 else "blue",
+            urgency=world.rng.choice(["high", "normal", "best_effort"]),
+            pieces=world.rng.randint(1, 9),
+            true_s=world.rng.uniform(2, 30),
+            scatter=index == 4,
+            snapshot_every_s=5.0 if index % 2 else 0.0,
+            snapshot_s=1.0 if index % 2 else 0.0,
+        )
+        if await world.submit(spec):
+            ids.append(spec["name_id"])
+    return ids
+
+
+async def _submit_services(world: World) -> list[str]:
+    services = []
+    for index in range(20, 23):
+        spec = daemon(index, crew="red" if index == 20 else "blue", pieces=3, true_s=world.rng.choice([25.0, 1e9]))
+        if await world.submit(spec):
+            services.append(spec["name_id"])
+    return services
+
+
+async def _until_serving(world: World, job_id: str) -> None:
+    for _ in range(600):
+        if world.rules.serving(job_id) == 3:
+            return
+        await asyncio.sleep(0.2)
+    raise AssertionError(f"{job_id}: {world.rules.serving(job_id)} of 3 replicas")
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -11,6 +11,7 @@
 from elmthread.net.http_messages import Request, Response
 from tests.world.loop import SimLoop
 from tests.world.rules import Rules
+from tests.world.simulated_cloud import SimulatedMachine
 
 
 @dataclass
@@ -22,39 +23,45 @@
     until: float = 0.0
 
 
+# Sends a worker's request to a node.
 Send = Callable[[str, str, Request], Awaitable[Response]]
 
 
+@dataclass(frozen=True)
+class WorkerSurroundings:
+    """What all workers share: the loop, the controllers that they report to, and times in seconds."""
+
+    loop: SimLoop
+    rng: random.Random
+    rules: Rules
+    nodes: list[str]
+    send: Send
+    heartbeat_interval_s: float
+
+
 class Worker:
+    """A machine's worker; it runs until it is terminated."""
+
     def __init__(
-        self,
-        loop: SimLoop,
-        rng: random.Random,
-        rules: Rules,
-        send: Send,
-        nodes: list[str],
-        name: str,
-        build: dict[str, Any],
-        zone: str,
-        spot: bool,
-        report_s: float,
-        lease_s: float,
+        self, surroundings: WorkerSurroundings, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
-        self.loop, self.rng, self.rules, self.send, self.nodes = loop, rng, rules, send, nodes
-        self.name, self.machine_type, self.zone, self.spot = name, build, zone, spot
-        self.heartbeat_interval_s, self.lease_s = report_s, lease_s
+        """Begin to report; the lease lasts as long as the worker's own clock says."""
+        self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
+        self.nodes, self.send = surroundings.nodes, surroundings.send
+        self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
+        self.heartbeat_interval_s, self.lease_s = surroundings.heartbeat_interval_s, lease_s
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], WorkerTask] = {}
         self.completed: set[str] = set()
         self.images: set[str] = set()
-        self.lease_renewed_at = loop.now
+        self.lease_renewed_at = self.loop.now
         self.alive = True
         self.hung = False
         self.faulty = False
         self.interruption_at: float | None = None
-        self.node = rng.choice(nodes)
+        self.node = self.rng.choice(self.nodes)
         self.state_changed = asyncio.Event()
-        self.background_tasks = [loop.create_task(self._report()), loop.create_task(self._work())]
+        self.background_tasks = [self.loop.create_task(self._report()), self.loop.create_task(self._work())]
 
     def terminate(self) -> None:
         self.alive = False
@@ -75,7 +82,7 @@
         self.tasks.clear()
 
     async def _work(self) -> None:
-        """Steps its tasks along, and its lease."""
+        """Step the tasks along, and the lease."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.now
@@ -88,26 +95,28 @@
             if self.hung:
                 continue
             for task in self.tasks.values():
-                if task.state == "exited" or now < task.until:
-                    continue
-                if task.state == "fetching":
-                    spec = self.rules.specs[task.name.rpartition("/")[0]]
-                    self.images.add(spec["kit"])
-                    task.state = "running"
-                    each = spec.get("each_s")
-                    takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
-                    task.until = now + (0 if task.name in self.completed else takes * self.rng.uniform(0.9, 1.1))
-                    self.rules.task_started(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
-                    if self.faulty:
-                        self._exit(task, "error")
-                else:
-                    spec = self.rules.specs[task.name.rpartition("/")[0]]
-                    ends = spec.get("ends", "done") if task.state == "running" else "halted"
-                    if ends == "done" and spec["form"] == "batch":
-                        self.completed.add(task.name)
-                        self.rules.completed(task.name)
-                    self._exit(task, ends)
-                self.state_changed.set()
+                if task.state != "exited" and now >= task.until:
+                    self._step(task)
+                    self.state_changed.set()
+
+    def _step(self, task: WorkerTask) -> None:
+        """Take a task to its next state: it runs once its image is there, and ends after its time."""
+        spec = self.rules.specs[task.name.rpartition("/")[0]]
+        if task.state == "fetching":
+            self.images.add(spec["kit"])
+            task.state = "running"
+            each = spec.get("each_s")
+            takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
+            task.until = self.loop.now + (0 if task.name in self.completed else takes * self.rng.uniform(0.9, 1.1))
+            self.rules.task_started(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
+            if self.faulty:
+                self._exit(task, "error")
+        else:
+            ends = spec.get("ends", "done") if task.state == "running" else "halted"
+            if ends == "done" and spec["form"] == "batch":
+                self.completed.add(task.name)
+                self.rules.completed(task.name)
+            self._exit(task, ends)
 
     def _exit(self, task: WorkerTask, why: str) -> None:
         task.state, task.why = "exited", why
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -12,7 +12,10 @@
 from tests.world.settings import TYPES
 from tests.world.simulated_cloud import SimulatedMachine
 from tests.world.specs import sent
-from tests.world.workers import Worker
+from tests.world.workers import Worker, WorkerSurroundings
+
+# Of workers, as in the settings.
+HEARTBEAT_INTERVAL_S, LEASE_S = 3.0, 12.0
 
 
 class World(ControllerNodes):
@@ -20,29 +23,22 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self.cloud.on_running = self._born
-        self.cloud.on_deleted = self._ended
+        self._surroundings = WorkerSurroundings(
+            self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
+        )
+        self.cloud.on_running = self._machine_up
+        self.cloud.on_deleted = self.machine_gone
 
     # Workers
 
-    def _born(self, machine: SimulatedMachine) -> None:
-        build = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self.workers[machine.name] = Worker(
-            self.loop,
-            self.rng,
-            self.rules,
-            self._send,
-            self.nodes,
-            machine.name,
-            build,
-            machine.zone,
-            machine.spot,
-            3.0,
-            # A worker's clock drifts from everybody else's.
-            12.0 * (1 + self.drift_rng.uniform(-0.0005, 0.0005)),
-        )
+    def _machine_up(self, machine: SimulatedMachine) -> None:
+        machine_type = next(one for one in TYPES if one["name"] == machine.machine_type)
+        # A worker's clock drifts from everybody else's.
+        lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
+        self.workers[machine.name] = Worker(self._surroundings, machine, machine_type, lease_s)
 
-    def _ended(self, name: str) -> None:
+    def machine_gone(self, name: str) -> None:
+        """End the worker of a machine that the cloud has taken back."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.terminate()
