--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -12,7 +12,10 @@
 from tests.world.settings import TYPES
 from tests.world.simulated_cloud import SimulatedMachine
 from tests.world.specs import sent
-from tests.world.workers import Worker
+from tests.world.workers import Worker, WorkerSurroundings
+
+# Of workers, as in the settings.
+HEARTBEAT_INTERVAL_S, LEASE_S = 3.0, 12.0
 
 
 class World(ControllerNodes):
@@ -20,64 +23,42 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self.cloud.on_running = self._born
-        self.cloud.on_deleted = self._ended
+        self._surroundings = WorkerSurroundings(
+            self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
+        )
+        self.cloud.on_running = self._machine_up
+        self.cloud.on_deleted = self.machine_gone
 
     # Workers
 
-    def _born(self, machine: SimulatedMachine) -> None:
-        build = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self.workers[machine.name] = Worker(
-            self.loop,
-            self.rng,
-            self.rules,
-            self._send,
-            self.nodes,
-            machine.name,
-            build,
-            machine.zone,
-            machine.spot,
-            3.0,
-            # A worker's clock drifts from everybody else's.
-            12.0 * (1 + self.drift_rng.uniform(-0.0005, 0.0005)),
-        )
+    def _machine_up(self, machine: SimulatedMachine) -> None:
+        machine_type = next(one for one in TYPES if one["name"] == machine.machine_type)
+        # A worker's clock drifts from everybody else's.
+        lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
+        self.workers[machine.name] = Worker(self._surroundings, machine, machine_type, lease_s)
 
-    def _ended(self, name: str) -> None:
+    def machine_gone(self, name: str) -> None:
+        """End the worker of a machine that the cloud has taken back."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.terminate()
 
     async def _send(self, worker: str, node: str, request: Request) -> Response:
-        # What is not answered on a connection ends it.
-        linked, answered_at = self.worker_connections.pop(worker, (node, None))
-        request.previous_answered_at = answered_at if linked == node else None
+        # A worker whose request is not answered ends the connection.
+        connected_to, answered_at = self.worker_connections.pop(worker, (node, None))
+        request.previous_answered_at = answered_at if connected_to == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
-        if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
-            raise ConnectionError(node)
-        await asyncio.sleep(self.link_faults.delay(zone, node))
-        if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
-            await asyncio.sleep(60)
-        if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
-        if node not in self.controllers:
-            raise ConnectionError(node)
-        if self.rng.random() < self.duplicate_share:
-            for _ in range(self.rng.randint(1, 2)):
-                late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
-        if self.captured_requests is not None:
-            self.captured_requests.append(replace(request, previous_answered_at=None))
-        if self.delayed_share and self.rng.random() < self.delayed_share:
-            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
+        await self._pass_link(worker, zone, node, request)
+        self._capture(request)
+        await self._maybe_delay()
         if node not in self.controllers:
             raise ConnectionError(node)
         response = await self.serve(node, request)
         answered_at = self.loop.clock(self.drift[node])
         await asyncio.sleep(self.link_faults.delay(node, zone))
-        if self.delayed_share and self.rng.random() < self.delayed_share:
-            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
-        # The answer may be lost on its way, and the request may have been sent before.
+        await self._maybe_delay()
+        # The response may be lost on its way.
         if self.link_faults.has("drop", node, zone):
             await asyncio.sleep(60)
         if (
@@ -91,6 +72,31 @@
         self.worker_connections[worker] = (node, answered_at)
         return response
 
+    async def _pass_link(self, worker: str, zone: str, node: str, request: Request) -> None:
+        """Return once the request has arrived at the node. Raises ConnectionError."""
+        if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
+            raise ConnectionError(node)
+        await asyncio.sleep(self.link_faults.delay(zone, node))
+        if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
+            await asyncio.sleep(60)
+        if self.link_faults.has("duplicate", zone, node):
+            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
+        if node not in self.controllers:
+            raise ConnectionError(node)
+
+    def _capture(self, request: Request) -> None:
+        """Send copies of a share of the requests later, to any node, and keep copies where a test collects them."""
+        if self.rng.random() < self.duplicate_share:
+            for _ in range(self.rng.randint(1, 2)):
+                late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
+                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
+        if self.captured_requests is not None:
+            self.captured_requests.append(replace(request, previous_answered_at=None))
+
+    async def _maybe_delay(self) -> None:
+        if self.delayed_share and self.rng.random() < self.delayed_share:
+            await asyncio.sleep(self.rng.uniform(0.5, 6.0))
+
     async def report(self, body: Any, node: str) -> Response:
         return await self.serve(node, Request("POST", "/agent/beat", {}, cbor2.dumps(body)))
 
