--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -4,10 +4,10 @@
 from functools import partial
 
 from elmthread.api import responses
+from elmthread.api.job_service import JobService
 from elmthread.api.messages import InvalidSubmissionError, read_submission
 from elmthread.api.node import ApiNode
 from elmthread.api.readiness import Readiness
-from elmthread.api.service import JobService
 from elmthread.common.clock import seconds
 from elmthread.common.overload import WorkClass
 from elmthread.net.http_messages import Response
@@ -49,7 +49,7 @@
             return self._unavailable("no leader")
         return await self._forward(leader, request)
 
-    async def answer(self, request: ForwardedRequest) -> ForwardedResponse:
+    async def handle_peer_request(self, request: ForwardedRequest) -> ForwardedResponse:
         """Return the response to another node's request, which is for the term that it knows."""
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from elmthread.api.service import JobService
+from elmthread.api.job_service import JobService
 from elmthread.common.clock import Clock
 from elmthread.common.overload import OverloadControl
 from elmthread.leadership.election import Election
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -41,9 +41,9 @@
                 return await self._ask_about(job_id, RequestVerb.CANCEL) if method == "POST" else _wrong_method()
         return responses.rejection(404, "no such path")
 
-    async def answer(self, request: ForwardedRequest) -> ForwardedResponse:
+    async def handle_peer_request(self, request: ForwardedRequest) -> ForwardedResponse:
         """Return the response to another node's request."""
-        return await self._forwarder.answer(request)
+        return await self._forwarder.handle_peer_request(request)
 
     async def _submit(self, request: Request) -> Response:
         try:
--- a/src/elmthread/api/tests/test_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -5,9 +5,9 @@
 from datetime import UTC, datetime, timedelta
 from typing import Any, cast
 
+from elmthread.api.job_service import JobService, RequestLimits
 from elmthread.api.job_writes import DURABILITY_TIMEOUT
 from elmthread.api.messages import read_submission
-from elmthread.api.service import JobService, RequestLimits
 from elmthread.cluster.job import Job, JobPolicy, JobState
 from elmthread.cluster.leases import WorkerLeases
 from elmthread.cluster.state import ClusterState
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -27,7 +27,7 @@
 # What can't be saved any more is to end within this many times the soonest possible.
 UNSAVABLE_DEADLINE_FACTOR = 1.5
 # A machine that has not reported within this many times its boot time is not counted on.
-MAX_BOOT_TIMES = 2
+MAX_BOOT_TIME_FACTOR = 2
 
 
 class _Needs(NamedTuple):
@@ -193,7 +193,7 @@
             return CoreSupply(0.0, machine.cpus - machine.service_cpus)
         boot_s = self._catalog.types[machine.machine_type].boot_s
         age_s = (view.now - machine.first_seen_at).total_seconds()
-        if age_s >= boot_s * MAX_BOOT_TIMES:
+        if age_s >= boot_s * MAX_BOOT_TIME_FACTOR:
             return None
         # In whole seconds: what comes at about the same time is judged as one.
         return CoreSupply(float(max(1, round(boot_s * BOOT_TIME_FACTOR - age_s))), machine.cpus)
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True)
-class _OrdinaryDemand:
-    """Cores of ordinary machines that services need."""
+class _OnDemandNeed:
+    """Cores of on-demand machines that services need."""
 
     booked: float
     soon: float  # booked by the time that an instance requested now is up
@@ -39,7 +39,7 @@
 
 
 class ServiceScaling:
-    """Scales out for replicas, and keeps ordinary machines in reserve for them."""
+    """Scales out for replicas, and keeps on-demand machines in reserve for them."""
 
     def __init__(self, context: ScalingContext) -> None:
         """No service is known before the first round."""
@@ -69,12 +69,12 @@
         # One more like the largest there is must find room at once, spread as it may have to be.
         largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         self._request_room([*waiting, self._whole_job(largest)], view.now)
-        ordinary = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)]
+        on_demand = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)]
         spot_excluded = [job for job in services if not job.spec.spot]
-        demand = self._ordinary_demand(waiting, ordinary, largest, view.now)
+        demand = self._on_demand_need(waiting, on_demand, largest, view.now)
         if spot_excluded:
-            self._hold_band(spot_excluded, demand, ordinary)
-        self._reserve(ordinary, demand if spot_excluded else None)
+            self._hold_band(spot_excluded, demand, on_demand)
+        self._reserve(on_demand, demand if spot_excluded else None)
 
     def _whole_job(self, job: Job) -> TaskRequest:
         """Return a request for all tasks of a job like this one, of which nothing is placed."""
@@ -131,20 +131,20 @@
             ]
         return capacities
 
-    def _ordinary_demand(
-        self, waiting: Sequence[TaskRequest], ordinary: Sequence[Machine], largest: Job, now: timedelta
-    ) -> _OrdinaryDemand:
-        booked = sum(m.service_cpus for m in ordinary)
+    def _on_demand_need(
+        self, waiting: Sequence[TaskRequest], on_demand: Sequence[Machine], largest: Job, now: timedelta
+    ) -> _OnDemandNeed:
+        booked = sum(m.service_cpus for m in on_demand)
         booked += usable_cores([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
         max_boot_s = max(machine_type.boot_s for machine_type in self._catalog.types.values())
         boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.check
         soon = booked + self._trend.growth(now, booked) * boot.total_seconds()
-        return _OrdinaryDemand(booked, soon, largest.task_count * largest.spec.cpus)
+        return _OnDemandNeed(booked, soon, largest.task_count * largest.spec.cpus)
 
-    def _hold_band(self, spot_excluded: Sequence[Job], demand: _OrdinaryDemand, ordinary: Sequence[Machine]) -> None:
-        """Request ordinary instances where the share of replicas is above the band, or will be soon."""
+    def _hold_band(self, spot_excluded: Sequence[Job], demand: _OnDemandNeed, on_demand: Sequence[Machine]) -> None:
+        """Request on-demand instances where the share of replicas is above the band, or will be soon."""
         theta, delta = self._operators.theta, self._operators.delta
-        cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in ordinary)
+        cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand)
         cores += sum(
             machine_type.cpus * pending.count
             for pending, machine_type in self._offers.pending()
@@ -157,15 +157,15 @@
             chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
             self._offers.request(chosen, for_deferrable_pool=False)
 
-    def _reserve(self, ordinary: list[Machine], demand: _OrdinaryDemand | None) -> None:
+    def _reserve(self, on_demand: list[Machine], demand: _OnDemandNeed | None) -> None:
         """Mark the machines in reserve: those that hold replicas stay in any case, then the cheapest."""
         needed = 0.0
         if demand is not None:
             booked, min_share = demand.booked, max(self._operators.theta - self._operators.delta, MIN_URGENT_SHARE)
             needed = max(booked / min_share, demand.soon, booked + demand.largest_job) - booked
-        ordinary.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
+        on_demand.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
         reserved = machines_to_reserve(
-            (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in ordinary), needed
+            (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in on_demand), needed
         )
         for machine in self._cluster.machines.values():
             machine.reserved = machine.name in reserved
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -42,5 +42,5 @@
         if machine_type is None:
             return
         machine.cpus, machine.gpus, machine.memory_gb = machine_type.cpus, machine_type.gpus, machine_type.memory_gb
-        machine.image_fetch_rate = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+        machine.image_fetch_gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         machine.price_per_hour = machine_type.spot_price if machine.spot else machine_type.price
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -66,7 +66,7 @@
     gpus: float = 0.0
     memory_gb: float = 0.0
     # In GB a second.
-    image_fetch_rate: float = 1.0
+    image_fetch_gb_per_s: float = 1.0
     price_per_hour: float = 0.0
     # Whether the cloud's list has named it.
     was_listed: bool = False
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -17,7 +17,7 @@
 # Tasks before a mean is used.
 MIN_TASKS = 5
 MIN_RUN_TIME_S = 0.5
-MIN_RATIO, MAX_RATIO = 0.02, 50.0
+MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.02, 50.0
 
 
 @dataclass
@@ -42,7 +42,7 @@
     def record(self, job_class: str, expected_s: float, ran: timedelta) -> None:
         """Take in the run time of a finished task and its owner's estimate."""
         ratio = max(ran.total_seconds(), MIN_RUN_TIME_S) / max(expected_s, MIN_RUN_TIME_S)
-        value = math.log(min(max(ratio, MIN_RATIO), MAX_RATIO))
+        value = math.log(min(max(ratio, MIN_RUN_TIME_RATIO), MAX_RUN_TIME_RATIO))
         self._classes.setdefault(job_class, _LogRatioMean()).add(value)
         self._all.add(value)
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -41,7 +41,7 @@
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform, parse_address
 from elmthread.store.client import KeyValueStore
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH
 
 
@@ -171,7 +171,7 @@
 
     async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
         """Return the response to a request of another controller."""
-        return await self.api.answer(request)
+        return await self.api.handle_peer_request(request)
 
     def handle_announcement(self, announcement: LeaderAnnouncement) -> None:
         """Note who leads as far as another controller knows, and what it says of its links."""
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from elmthread.api.service import JobService, RequestLimits
+from elmthread.api.job_service import JobService, RequestLimits
 from elmthread.api.validation import JobValidator
 from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.catalog import MachineTypeCatalog
@@ -23,7 +23,7 @@
 from elmthread.machines.client import CloudClient
 from elmthread.machines.manager import MachineManager
 from elmthread.net.http_client import HttpCaller
-from elmthread.persistence.assignments import Assignments
+from elmthread.persistence.assignments import AssignmentRecorder
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.loading import StateLoader
 from elmthread.persistence.records import empty_machine_record_bytes
@@ -37,9 +37,9 @@
 from elmthread.settings.operators import Operators
 from elmthread.settings.platform import Platform
 from elmthread.store.client import KeyValueStore
-from elmthread.store.pacing import TokenBucket
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import RecordPages, page_capacity
+from elmthread.store.token_bucket import TokenBucket
 from elmthread.store.writer import RecordWriter
 from elmthread.workers.heartbeats import HeartbeatHandler
 from elmthread.workers.reconciliation import HeartbeatReconciler
@@ -96,7 +96,7 @@
         self.run_times = RunTimeModel()
         self._factory = JobFactory(node.platform.cluster, node.operators, node.rollout.features)
         self._completions = CompletionRecorder(self.context)
-        self._assignments = Assignments(self.context)
+        self._assignments = AssignmentRecorder(self.context)
         self.machine_manager = self._make_machine_manager()
         self.job_service = self._make_job_service()
         reconciler = HeartbeatReconciler(self.context, self._completions, self.run_times)
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -3,14 +3,14 @@
 import asyncio
 import logging
 
-from elmthread.api.service import JobService
+from elmthread.api.job_service import JobService
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.limits import FOLLOWER_STORE_SHARE, LEADER_STORE_SHARE
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.monitor import PeerConnections
 from elmthread.rollout.gate import IncompatibleLevelError
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -32,7 +32,7 @@
     StoreUnavailableError,
     UnknownOutcomeError,
 )
-from elmthread.store.records import LEADER
+from elmthread.store.records import LEADER_KEY
 
 log = logging.getLogger(__name__)
 
@@ -182,8 +182,8 @@
                 await asyncio.sleep(RETRY_INTERVAL.total_seconds())
 
     async def _follow_or_campaign(self) -> None:
-        page = await self._store.read_page(LEADER, None, LEADER_PAGE_SIZE)
-        item = next((item for item in page.items if item.key == LEADER), None)
+        page = await self._store.read_page(LEADER_KEY, None, LEADER_PAGE_SIZE)
+        item = next((item for item in page.items if item.key == LEADER_KEY), None)
         if item is None:
             await self._campaign_if_allowed()
             return
@@ -201,7 +201,7 @@
     async def _follow(self, revision: int) -> None:
         """Return once the leader key has changed after that revision."""
         while True:
-            changes = await self._store.watch(LEADER, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
+            changes = await self._store.watch(LEADER_KEY, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
             if changes.events:
                 return
             revision = max(revision, changes.revision)
@@ -235,7 +235,7 @@
         value = msgspec.to_builtins(LeaderRecord(self._node, nonce, lease_id))
         try:
             mod_revision = await self._store.compare_and_swap(
-                [messages.compare(LEADER, 0)], [messages.put(LEADER, value, lease_id)]
+                [messages.compare(LEADER_KEY, 0)], [messages.put(LEADER_KEY, value, lease_id)]
             )
         except ConflictError:
             await self._store.revoke_lease(lease_id)
--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -15,7 +15,7 @@
 from elmthread.leadership.term import Term
 from elmthread.net.http_client import ClientResponse, NoResponseError
 from elmthread.store.client import KeyValueStore
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 from tests.world.loop import SimLoop, play
 
 TTL, GRACE_PERIOD, TOKEN = seconds(3), seconds(10), 20
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -13,7 +13,7 @@
 from elmthread.machines import messages
 from elmthread.net.http_client import ClientResponse, HttpCaller, NoResponseError
 from elmthread.store.machine_type import MachineType
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -28,8 +28,8 @@
 # A machine is deleted this long before the cloud takes it: by then all on it has been saved.
 INTERRUPTION_MARGIN = seconds(1)
 # A machine may take this many times its usual boot time, and the margin.
-BOOT_TIME_FACTOR = 2.5
-BOOT_MARGIN = seconds(10)
+BOOT_TIMEOUT_FACTOR = 2.5
+BOOT_TIMEOUT_MARGIN = seconds(10)
 # For a machine whose type is not known.
 DEFAULT_BOOT_TIMEOUT = seconds(300)
 
@@ -119,7 +119,7 @@
         machine_type = self._catalog.types.get(machine.machine_type)
         if machine_type is None:
             return DEFAULT_BOOT_TIMEOUT
-        return seconds(machine_type.boot_s) * BOOT_TIME_FACTOR + BOOT_MARGIN
+        return seconds(machine_type.boot_s) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN
 
     def _release_expired(self, machine: Machine, now: timedelta) -> None:
         """Release the allocations of a machine whose lease has surely expired."""
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -16,7 +16,7 @@
 from elmthread.machines.deletion import Deleter
 from elmthread.machines.failure_detection import FailureDetector
 from elmthread.machines.inventory import Inventory
-from elmthread.machines.machine_types import MachineTypeUpdater
+from elmthread.machines.machine_type_updater import MachineTypeUpdater
 from elmthread.machines.provisioning import InstanceRequest, Provisioner
 from elmthread.reachability.zone_health import ZoneHealth
 
@@ -28,9 +28,9 @@
 # handled for a while before machines are judged by their silence.
 PROCESS_STALL = seconds(1.5)
 CATCH_UP_TIME = seconds(1)
-TYPES_INTERVAL = seconds(60)
+TYPES_REFRESH_INTERVAL = seconds(60)
 # While no type is known, nothing can be placed.
-FIRST_TYPES_INTERVAL = seconds(2)
+TYPES_RETRY_INTERVAL = seconds(2)
 
 
 class MachineManager:
@@ -102,7 +102,7 @@
         rate_limit = self._rate_limit
         deletions = self._deleter.next_batch()
         types_known = self.catalog.is_known
-        if not types_known and self._is_due(self._types_read_at, FIRST_TYPES_INTERVAL) and rate_limit.take():
+        if not types_known and self._is_due(self._types_read_at, TYPES_RETRY_INTERVAL) and rate_limit.take():
             self._types_read_at = now
             self._start(self._type_updater.update())
         if deletions and rate_limit.take():
@@ -114,7 +114,7 @@
             self._start(self.inventory.refresh())
         while self._provisioner.has_ready_request() and rate_limit.take():
             self._start(self._provisioner.send(self._provisioner.take_ready_request()))
-        if types_known and self._is_due(self._types_read_at, TYPES_INTERVAL) and rate_limit.take(1, 1):
+        if types_known and self._is_due(self._types_read_at, TYPES_REFRESH_INTERVAL) and rate_limit.take(1, 1):
             self._types_read_at = now
             self._start(self._type_updater.update())
 
--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -20,7 +20,7 @@
 from elmthread.reachability.zone_counts import ZoneCounts
 from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.store.machine_type import MachineType
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.term import term_context
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -12,7 +12,7 @@
 from elmthread.store.write_queue import WritePriority
 
 
-class Assignments:
+class AssignmentRecorder:
     """Makes planned allocations durable; only then may their starts be sent."""
 
     def __init__(self, context: TermContext) -> None:
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -19,10 +19,10 @@
 from elmthread.persistence.completions import CompletionRecorder
 from elmthread.persistence.records import mark_done
 from elmthread.store import messages, records
-from elmthread.store.assignments import read_machine
 from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_prefix
 from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, read_done
 from elmthread.store.job_spec import BATCH, JobSpec
+from elmthread.store.machine_records import read_machine
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PAGE_PREFIX, UnreadableRecordError
 from elmthread.store.write_queue import WritePriority
@@ -101,24 +101,24 @@
 
     async def _read_view(self) -> dict[str, Any]:
         """Return the newest version of each record."""
-        level = await self._read_all(records.ROLLOUT) if self._level.enabled else []
+        level = await self._read_all(records.ROLLOUT_PREFIX) if self._level.enabled else []
         pages = await self._read_all(PAGE_PREFIX)
         view = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
         # On a level that this process does not read, nothing else may be interpreted.
         self._level.load(level, view)
-        view.pop(records.COMPATIBILITY_FENCE, None)
-        if records.LAYOUT not in view:
+        view.pop(records.COMPATIBILITY_FENCE_KEY, None)
+        if records.LAYOUT_KEY not in view:
             await self._migrate_earlier_layout(view)
         return view
 
     async def _load_records(self, view: dict[str, Any]) -> None:
         readers: tuple[tuple[str, Callable[[str, Any], None]], ...] = (
-            (records.JOBS, self._load_job),
-            (records.DONE_TASKS, self._load_done_tasks),
-            (records.MACHINES, self._load_machine),
-            (records.INSTANCE_REQUESTS, self._discard_instance_request),
-            (records.MACHINE_TYPES, self._load_types),
-            (records.TYPE_PARTS, self._load_types),
+            (records.JOB_PREFIX, self._load_job),
+            (records.DONE_TASKS_PREFIX, self._load_done_tasks),
+            (records.MACHINE_PREFIX, self._load_machine),
+            (records.INSTANCE_REQUEST_PREFIX, self._discard_instance_request),
+            (records.MACHINE_TYPE_PREFIX, self._load_types),
+            (records.MACHINE_TYPE_PARTS_PREFIX, self._load_types),
         )
         count = 0
         for prefix, read in readers:
@@ -137,7 +137,12 @@
         """Pack the records that an earlier version wrote under keys of their own into pages."""
         found = [
             item
-            for prefix in (records.JOBS, records.DONE_TASKS, records.MACHINES, records.MACHINE_TYPES)
+            for prefix in (
+                records.JOB_PREFIX,
+                records.DONE_TASKS_PREFIX,
+                records.MACHINE_PREFIX,
+                records.MACHINE_TYPE_PREFIX,
+            )
             for item in await self._read_all(prefix)
             if item.key not in view
         ]
@@ -147,7 +152,7 @@
             nonlocal remaining
             remaining -= 1
             if remaining <= 0:
-                self._writer.write(records.LAYOUT, WritePriority.MAINTENANCE, lambda: records.LAYOUT_OF_PAGES)
+                self._writer.write(records.LAYOUT_KEY, WritePriority.MAINTENANCE, lambda: records.PAGES_LAYOUT)
 
         for item in found:
             view[item.key] = item.value
@@ -171,7 +176,7 @@
         record = msgspec.convert(value, records.JobRecord)
         state = JobState(record.state)
         if record.spec is None:
-            spec = _finished_spec(key.removeprefix(records.JOBS), record.tasks)
+            spec = _finished_spec(key.removeprefix(records.JOB_PREFIX), record.tasks)
             policy = JobPolicy(deadline=ZERO, slack=1.0, urgent=False)
             job = Job(spec, datetime.now(UTC), self._clock(), policy, MAX_TASKS_PER_CHUNK)
         else:
@@ -205,7 +210,7 @@
     def _load_machine(self, key: str, value: Any) -> None:
         record = read_machine(value, self._supported)
         kind = InstanceKind(record.machine_type, record.zone, record.spot)
-        machine = Machine(key.removeprefix(records.MACHINES), kind, MachineState.UNCONFIRMED, self._clock())
+        machine = Machine(key.removeprefix(records.MACHINE_PREFIX), kind, MachineState.UNCONFIRMED, self._clock())
         machine.in_deferrable_pool = record.pool
         self._cluster.add_machine(machine)
         for job_id, numbers in record.holds.items():
--- a/src/elmthread/persistence/records.py
+++ b/src/elmthread/persistence/records.py
@@ -5,8 +5,8 @@
 from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.machine import Machine
 from elmthread.common.features import ActiveFeatures, Feature
-from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, as_runs
 from elmthread.store.done_marks import done_tasks
+from elmthread.store.machine_records import AssignmentRunsRecord, MachineRecord, as_runs
 from elmthread.store.pages import json_text, record_bytes
 from elmthread.store.records import DoneBitmapRecord, DoneRecord, JobRecord, machine_key
 
--- a/src/elmthread/persistence/tests/test_records.py
+++ b/src/elmthread/persistence/tests/test_records.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import ZERO
 from elmthread.common.features import SUPPORTED, ActiveFeatures, SupportedLevels
 from elmthread.persistence.records import machine_record
-from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord, read_machine
+from elmthread.store.machine_records import AssignmentRunsRecord, MachineRecord, read_machine
 from elmthread.store.pages import json_text
 
 BEFORE = SupportedLevels(1, 1)
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -186,7 +186,7 @@
                         capacity.machine_type,
                         capacity.spot,
                         capacity.price_per_core,
-                        capacity.image_fetch_rate,
+                        capacity.image_fetch_gb_per_s,
                     ),
                     [],
                 ).append(capacity)
@@ -226,7 +226,7 @@
                 continue
             if group.capacities[-1].cpus + EPSILON < request.cpus:
                 continue
-            fetch_s = request.image_gb / sample.image_fetch_rate
+            fetch_s = request.image_gb / sample.image_fetch_gb_per_s
             penalty_s = price_penalty_s(request, sample.price_per_core, self._cheapest)
             ranks += [
                 (sample.draining, IMAGE_ACCESS_COST[access] * fetch_s + penalty_s, index, access)
--- a/src/elmthread/placement/capacity.py
+++ b/src/elmthread/placement/capacity.py
@@ -24,7 +24,7 @@
     gpus: float
     memory_gb: float
     price_per_core: float = 0.0  # per hour and core
-    image_fetch_rate: float = 1.0  # GB per second
+    image_fetch_gb_per_s: float = 1.0  # GB per second
     cached_images: Collection[str] = frozenset()
     # Images that the machine fetches now, or will for tasks that it has been given.
     images_being_fetched: set[str] = field(default_factory=set)
@@ -43,7 +43,7 @@
         gpus=machine.gpus - machine.gpus_used,
         memory_gb=machine.memory_gb - machine.memory_gb_used,
         price_per_core=machine.price_per_core,
-        image_fetch_rate=machine.image_fetch_rate,
+        image_fetch_gb_per_s=machine.image_fetch_gb_per_s,
         cached_images=machine.cached_images,
         images_being_fetched={
             allocation.job.spec.image
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -13,7 +13,7 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
-from elmthread.placement.moore_hodgson import JobWork, jobs_to_put_off
+from elmthread.placement.moore_hodgson import JobWork, jobs_to_postpone
 from elmthread.placement.quotas import TeamQuotas
 from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
 
@@ -23,7 +23,7 @@
 # all others. One that is put off has tasks in turn with the others again, within a share of
 # the cores that all such jobs divide among themselves.
 STARVATION_AGE = seconds(150)
-PUT_OFF_CORE_SHARE = 0.1
+POSTPONED_CORE_SHARE = 0.1
 
 
 def is_starving(job: Job, now: timedelta) -> bool:
@@ -53,7 +53,7 @@
         self._requests = requests
         self._run_times = run_times
         self._guaranteed: set[str] = set()
-        self._put_off: set[str] = set()
+        self._postponed: set[str] = set()
         self._judged_at: timedelta | None = None
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
@@ -61,9 +61,9 @@
         if self._events.take_jobs_changed() or self._judged_at is None or now - self._judged_at >= REORDER_INTERVAL:
             self._judged_at = now
             self._guaranteed = self._quotas.guaranteed_jobs()
-            self._put_off = self._jobs_to_put_off(now)
+            self._postponed = self._jobs_to_postpone(now)
         requests: list[TaskRequest] = []
-        put_off: list[tuple[timedelta, TaskRequest]] = []
+        postponed: list[tuple[timedelta, TaskRequest]] = []
         for job in self._cluster.open_jobs.values():
             count = len(job.pending_tasks)
             if not count or job.durable_state is not JobState.OPEN or job.retry_at > now:
@@ -76,10 +76,10 @@
                 # Whatever the load, something of every job begins.
                 first_task = SortKey(PlacementClass.FIRST_TASK, job.priority_rank, sort_key.due_s)
                 requests.append(request.split_off(1, first_task))
-            if sort_key.placement_class is PlacementClass.PUT_OFF and now - job.submitted_at > STARVATION_AGE:
-                put_off.append((job.submitted_at, request))
-        if put_off:
-            requests += self._share_of_put_off(put_off)
+            if sort_key.placement_class is PlacementClass.POSTPONED and now - job.submitted_at > STARVATION_AGE:
+                postponed.append((job.submitted_at, request))
+        if postponed:
+            requests += self._share_of_postponed(postponed)
         requests.sort(key=lambda request: request.sort_key)
         return requests
 
@@ -89,17 +89,17 @@
             return SortKey(PlacementClass.URGENT, job.priority_rank, due_s)
         if job.id in self._guaranteed:
             return SortKey(PlacementClass.GUARANTEED, 0, due_s)
-        if job.id in self._put_off:
-            return SortKey(PlacementClass.PUT_OFF, 0, due_s)
+        if job.id in self._postponed:
+            return SortKey(PlacementClass.POSTPONED, 0, due_s)
         return SortKey(PlacementClass.ON_TIME, 0, due_s)
 
-    def _share_of_put_off(self, put_off: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
+    def _share_of_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
         """Split off tasks of jobs put off for long, so that they go in turn with the others."""
         requests = []
-        cores = PUT_OFF_CORE_SHARE * sum(
+        cores = POSTPONED_CORE_SHARE * sum(
             machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable
         )
-        for _, request in sorted(put_off, key=lambda entry: entry[0]):
+        for _, request in sorted(postponed, key=lambda entry: entry[0]):
             cores -= len(self._cluster.jobs[request.job_id].allocations) * request.cpus
             count = min(request.count, int(cores / request.cpus))
             if count > 0:
@@ -107,7 +107,7 @@
                 requests.append(request.split_off(count, SortKey(PlacementClass.ON_TIME, 0, request.sort_key.due_s)))
         return requests
 
-    def _jobs_to_put_off(self, now: timedelta) -> set[str]:
+    def _jobs_to_postpone(self, now: timedelta) -> set[str]:
         """Choose the deferrable jobs that wait behind the others, so that the most end in time.
 
         Where the work does not fit, which jobs are late is a matter of order alone. A team gets
@@ -115,17 +115,17 @@
         coming. Urgent work goes first.
         """
         backlog = self._backlog(now)
-        put_off: set[str] = set()
+        postponed: set[str] = set()
         for team, jobs in backlog.deferrable.items():
             cores = self._quotas.teams[team].cpu_quota - backlog.service_cpus.get(team, 0.0)
             if cores > 0:
-                put_off |= jobs_to_put_off(jobs, cores, backlog.urgent_core_seconds.get(team, 0.0))
+                postponed |= jobs_to_postpone(jobs, cores, backlog.urgent_core_seconds.get(team, 0.0))
         cores = sum(machine.cpus for machine in self._cluster.machines.values() if machine.provides_capacity(now))
         cores -= sum(backlog.service_cpus.values())
         if cores > 0:
-            others = [job for jobs in backlog.deferrable.values() for job in jobs if job.job_id not in put_off]
-            put_off |= jobs_to_put_off(others, cores, sum(backlog.urgent_core_seconds.values()))
-        return put_off
+            others = [job for jobs in backlog.deferrable.values() for job in jobs if job.job_id not in postponed]
+            postponed |= jobs_to_postpone(others, cores, sum(backlog.urgent_core_seconds.values()))
+        return postponed
 
     def _backlog(self, now: timedelta) -> _Backlog:
         """Sum up the work that is left, and set the deadline by which each job is ordered."""
--- a/src/elmthread/placement/moore_hodgson.py
+++ b/src/elmthread/placement/moore_hodgson.py
@@ -14,18 +14,18 @@
     min_duration_s: float  # the soonest that it can end
 
 
-def jobs_to_put_off(jobs: Sequence[JobWork], cores: float, core_seconds_ahead: float = 0.0) -> set[str]:
+def jobs_to_postpone(jobs: Sequence[JobWork], cores: float, core_seconds_ahead: float = 0.0) -> set[str]:
     """Return the jobs to put last so that the most others end in time, on `cores` shared by all.
 
     By deadline; whenever one would end late, the one with the most work so far is put last
     (Moore and Hodgson's rule, which leaves the fewest jobs late on one server).
     """
-    put_off: set[str] = set()
+    postponed: set[str] = set()
     scheduled: list[JobWork] = []
     total = core_seconds_ahead
     for job in sorted(jobs, key=lambda job: job.due_s):
         if job.min_duration_s > job.due_s:
-            put_off.add(job.job_id)
+            postponed.add(job.job_id)
             continue
         scheduled.append(job)
         total += job.core_seconds
@@ -33,5 +33,5 @@
             largest = max(scheduled, key=lambda job: job.core_seconds)
             scheduled.remove(largest)
             total -= largest.core_seconds
-            put_off.add(largest.job_id)
-    return put_off
+            postponed.add(largest.job_id)
+    return postponed
--- a/src/elmthread/placement/preemption.py
+++ b/src/elmthread/placement/preemption.py
@@ -18,7 +18,7 @@
 # Looking for victims walks over all that runs, so it is not done in every round.
 PREEMPTION_INTERVAL = seconds(0.5)
 # Bounds the work of one round.
-MAX_REQUESTS_PREEMPTING = 8
+MAX_PREEMPTING_REQUESTS = 8
 
 
 class Preemption:
@@ -44,7 +44,7 @@
         }
         candidates = {name: self._candidates(capacity, remaining_quotas, now) for name, capacity in capacities.items()}
         place(urgent, capacities.values(), remaining_quotas)
-        for request in urgent[:MAX_REQUESTS_PREEMPTING]:
+        for request in urgent[:MAX_PREEMPTING_REQUESTS]:
             if request.count <= 0:
                 continue
             for candidate in preempt(request, capacities, candidates, remaining_quotas[request.team]):
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -24,7 +24,7 @@
     URGENT = 1
     GUARANTEED = 2
     ON_TIME = 3
-    PUT_OFF = 4
+    POSTPONED = 4
 
 
 class SortKey(NamedTuple):
--- a/src/elmthread/placement/tests/clusters.py
+++ b/src/elmthread/placement/tests/clusters.py
@@ -41,7 +41,7 @@
                 gpus=0.0,
                 memory_gb=cores * 2,
                 price_per_core=price if spot else price * 2.5,
-                image_fetch_rate=rate,
+                image_fetch_gb_per_s=rate,
                 cached_images={f"i{n}": 1.0 for n in range(6) if rng.random() < 0.2},
                 images_being_fetched={f"i{n}" for n in range(6, 8) if rng.random() < 0.2},
                 record_bytes_left=rng.choice([math.inf, 60]),
--- a/src/elmthread/placement/tests/reference.py
+++ b/src/elmthread/placement/tests/reference.py
@@ -23,7 +23,7 @@
 
     Draining machines come last; then by the time to fetch the image and the price; then the fullest first.
     """
-    fetch = IMAGE_ACCESS_COST[image_access(request, capacity)] * request.image_gb / capacity.image_fetch_rate
+    fetch = IMAGE_ACCESS_COST[image_access(request, capacity)] * request.image_gb / capacity.image_fetch_gb_per_s
     return (
         capacity.draining,
         fetch + price_penalty_s(request, capacity.price_per_core, cheapest),
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -12,7 +12,7 @@
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
 from elmthread.placement.attempts import AttemptCounter
-from elmthread.placement.job_order import PUT_OFF_CORE_SHARE, STARVATION_AGE
+from elmthread.placement.job_order import POSTPONED_CORE_SHARE, STARVATION_AGE
 from elmthread.placement.requests import PlacementClass
 from elmthread.placement.scheduler import Scheduler, SchedulerSettings
 from elmthread.settings.platform import Team
@@ -75,7 +75,7 @@
         PlacementClass.URGENT,
         PlacementClass.GUARANTEED,
         PlacementClass.ON_TIME,
-        PlacementClass.PUT_OFF,
+        PlacementClass.POSTPONED,
     ]
 
 
@@ -116,10 +116,12 @@
         assert [request.sort_key for request in requests] == sorted(request.sort_key for request in requests)
         # Jobs put off that go in turn all the same share a part of the cores.
         cores = sum(machine.cpus for machine in cluster.machines.values())
-        put_off = {request.job_id for request in requests if request.sort_key.placement_class is PlacementClass.PUT_OFF}
+        postponed = {
+            request.job_id for request in requests if request.sort_key.placement_class is PlacementClass.POSTPONED
+        }
         in_turn = [
             request
             for request in requests
-            if request.job_id in put_off and request.sort_key.placement_class is PlacementClass.ON_TIME
+            if request.job_id in postponed and request.sort_key.placement_class is PlacementClass.ON_TIME
         ]
-        assert sum(request.count * request.cpus for request in in_turn) <= PUT_OFF_CORE_SHARE * cores
+        assert sum(request.count * request.cpus for request in in_turn) <= POSTPONED_CORE_SHARE * cores
--- a/src/elmthread/placement/tests/test_moore_hodgson.py
+++ b/src/elmthread/placement/tests/test_moore_hodgson.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from elmthread.placement.moore_hodgson import JobWork, jobs_to_put_off
+from elmthread.placement.moore_hodgson import JobWork, jobs_to_postpone
 
 steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
@@ -15,7 +15,7 @@
     st.lists(st.tuples(st.integers(1, 30), st.integers(1, 20)), min_size=1, max_size=7),
     st.integers(1, 3),
 )
-def test_jobs_to_put_off_leave_the_fewest_late(work: list[tuple[int, int]], cores: int) -> None:
+def test_postponed_jobs_leave_the_fewest_late(work: list[tuple[int, int]], cores: int) -> None:
     all_jobs = [JobWork(str(n), float(due), float(core_seconds), 0.0) for n, (due, core_seconds) in enumerate(work)]
 
     def feasible(subset: tuple[JobWork, ...]) -> bool:
@@ -31,4 +31,4 @@
         for count in range(len(all_jobs) + 1)
         if any(feasible(subset) for subset in itertools.combinations(all_jobs, count))
     )
-    assert len(all_jobs) - len(jobs_to_put_off(all_jobs, float(cores))) == most
+    assert len(all_jobs) - len(jobs_to_postpone(all_jobs, float(cores))) == most
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -13,7 +13,7 @@
 from elmthread.settings.platform import Platform
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.client import KeyValueStore, StoreError
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 
 OK, FAILED = 0, 1
 MAX_STORE_RPS = 10.0
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -16,12 +16,12 @@
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.client import KeyValueStore, PrefixRecords, read_prefix
 from elmthread.store.messages import KeyValue
-from elmthread.store.records import COMPATIBILITY_FENCE, ROLLOUT
+from elmthread.store.records import COMPATIBILITY_FENCE_KEY, ROLLOUT_PREFIX
 
-PREFIX = ROLLOUT
+PREFIX = ROLLOUT_PREFIX
 LEVEL_KEY = f"{PREFIX}level"
 NODES_PREFIX = f"{PREFIX}nodes/"
-FENCE_KEY = COMPATIBILITY_FENCE
+FENCE_KEY = COMPATIBILITY_FENCE_KEY
 PAGE_SIZE = 200
 
 Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=LAST_LEVEL)]
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -25,7 +25,7 @@
 from elmthread.rollout.membership import Membership
 from elmthread.store import messages as store_messages
 from elmthread.store.client import ConflictError, StoreError
-from elmthread.store.records import LEADER
+from elmthread.store.records import LEADER_KEY
 from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
@@ -138,7 +138,7 @@
             await asyncio.sleep(WATCH_TIMEOUT.total_seconds())
             return
         comparisons = [
-            store_messages.compare(LEADER, self._fencing_token),
+            store_messages.compare(LEADER_KEY, self._fencing_token),
             store_messages.compare(records.LEVEL_KEY, plan.level_mod_revision),
         ]
         comparisons += [
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass, field
 
 from elmthread.common.clock import ZERO, Clock, seconds
-from elmthread.store.pacing import TokenBucket
 from elmthread.store.pages import RecordPage, RecordPages, json_text, record_bytes
+from elmthread.store.token_bucket import TokenBucket
 from elmthread.store.write_queue import PendingWrite, WriteQueue
 
 log = logging.getLogger(__name__)
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -14,49 +14,49 @@
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import json_text, record_bytes
 
-LEADER = "leader"
-LAYOUT = "layout"
-LAYOUT_OF_PAGES = 2
-JOBS = "j/"
-DONE_TASKS = "d/"
-MACHINES = "m/"
-INSTANCE_REQUESTS = "r/"
-MACHINE_TYPES = "t/"
-TYPES = "t/types"
+LEADER_KEY = "leader"
+LAYOUT_KEY = "layout"
+PAGES_LAYOUT = 2
+JOB_PREFIX = "j/"
+DONE_TASKS_PREFIX = "d/"
+MACHINE_PREFIX = "m/"
+INSTANCE_REQUEST_PREFIX = "r/"
+MACHINE_TYPE_PREFIX = "t/"
+MACHINE_TYPES_KEY = "t/types"
 # Parts of the machine types, where all of them together are more than a value may hold. An earlier
 # version ignores them and asks the cloud, as it does at its first start.
-TYPE_PARTS = "y/"
+MACHINE_TYPE_PARTS_PREFIX = "y/"
 # The records of a staged rollout, which have keys of their own, and the packed record that keeps
 # versions without compatibility levels from leading: they read its key, and refuse its form.
-ROLLOUT = "rollout/"
-COMPATIBILITY_FENCE = "t/compatibility"
+ROLLOUT_PREFIX = "rollout/"
+COMPATIBILITY_FENCE_KEY = "t/compatibility"
 
 
 def job_key(job_id: str) -> str:
     """Return the key of a job."""
-    return f"{JOBS}{job_id}"
+    return f"{JOB_PREFIX}{job_id}"
 
 
 def done_key(job_id: str, chunk: int) -> str:
     """Return the key of a chunk of a job's done tasks."""
-    return f"{DONE_TASKS}{job_id}/{chunk:04d}"
+    return f"{DONE_TASKS_PREFIX}{job_id}/{chunk:04d}"
 
 
 def machine_key(name: str) -> str:
     """Return the key of a machine's assignments."""
-    return f"{MACHINES}{name}"
+    return f"{MACHINE_PREFIX}{name}"
 
 
 def instance_request_key(name: str) -> str:
     """Return the key of an instance request."""
-    return f"{INSTANCE_REQUESTS}{name}"
+    return f"{INSTANCE_REQUEST_PREFIX}{name}"
 
 
 def types_records(types: list[MachineType], max_bytes: int) -> dict[str, list[MachineType]]:
     """Return the machine types as one record, or as one for each if that is more than `max_bytes`."""
-    if record_bytes(TYPES, json_text(types)) <= max_bytes:
-        return {TYPES: types}
-    return {f"{TYPE_PARTS}{number:04d}": [machine_type] for number, machine_type in enumerate(types)}
+    if record_bytes(MACHINE_TYPES_KEY, json_text(types)) <= max_bytes:
+        return {MACHINE_TYPES_KEY: types}
+    return {f"{MACHINE_TYPE_PARTS_PREFIX}{number:04d}": [machine_type] for number, machine_type in enumerate(types)}
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -15,7 +15,6 @@
 from elmthread.store import messages
 from elmthread.store.client import KeyValueStore
 from elmthread.store.done_marks import marks_per_chunk
-from elmthread.store.pacing import TokenBucket
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import (
     PAGE_OVERHEAD_BYTES,
@@ -27,7 +26,8 @@
     page_capacity,
     record_bytes,
 )
-from elmthread.store.records import LEADER
+from elmthread.store.records import LEADER_KEY
+from elmthread.store.token_bucket import TokenBucket
 from elmthread.store.write_queue import WritePriority
 from elmthread.store.writer import RecordWriter
 from tests.world.faults import errors_logged
@@ -50,10 +50,10 @@
         self.loop = SimLoop()
         asyncio.set_event_loop(self.loop)
         self.store = SimulatedStore(self.loop, random.Random(1), 8, VALUE)
-        self.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "a"})))
+        self.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "a"})))
         self.trouble = ServiceFaults()
         client = KeyValueStore(SimulatedClient(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
-        self.term = SureTerm(self.store.items[LEADER][1])
+        self.term = SureTerm(self.store.items[LEADER_KEY][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
@@ -160,7 +160,7 @@
     bench = Bench()
 
     async def script() -> None:
-        bench.store.apply("POST", "/txn", wire(messages.put(LEADER, {"node": "b"})))
+        bench.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "b"})))
         bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
         assert bench.term.step_down_reasons and bench.read() == {}
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -27,7 +27,7 @@
 )
 from elmthread.store.page_batch import BatchPacker, PageBatch, PageWrite, WriteLimits
 from elmthread.store.pages import PageRecord, RecordPages, pack_records
-from elmthread.store.records import LEADER
+from elmthread.store.records import LEADER_KEY
 from elmthread.store.write_queue import MakeValue, WritePriority, WriteQueue
 
 log = logging.getLogger(__name__)
@@ -158,7 +158,7 @@
 
     async def _commit(self, batch: PageBatch) -> None:
         """Send the batch as one transaction until its outcome is known, or the term has ended."""
-        comparisons = [messages.compare(LEADER, self._term.fencing_token)]
+        comparisons = [messages.compare(LEADER_KEY, self._term.fencing_token)]
         comparisons += [messages.compare(write.page.key, write.page.mod_revision) for write in batch.pages]
         puts = [
             messages.put(write.page.key, PageRecord(write.number, pack_records(write.texts))) for write in batch.pages
@@ -232,7 +232,7 @@
 
     async def _resolve_conflict(self, batch: PageBatch, conflict: ConflictError) -> None:
         """Commit a batch that an earlier sending of it has written; step down if another leader has written."""
-        revision = None if LEADER in conflict.failed else await self._revision_if_written(batch.pages[0])
+        revision = None if LEADER_KEY in conflict.failed else await self._revision_if_written(batch.pages[0])
         if revision is None:
             log.info("leadership lost: the keys %s were changed by another leader", conflict.failed)
             self._term.end_after_conflict()
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -11,7 +11,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body, retry_later
-from elmthread.persistence.assignments import Assignments
+from elmthread.persistence.assignments import AssignmentRecorder
 from elmthread.workers import messages
 from elmthread.workers.commands import MAX_COMMANDS_PER_RESPONSE, CommandPlanner, removals
 from elmthread.workers.messages import Command, Heartbeat, HeartbeatResponse, StartCommand
@@ -32,7 +32,7 @@
         self,
         context: TermContext,
         reconciler: HeartbeatReconciler,
-        assignments: Assignments,
+        assignments: AssignmentRecorder,
         catalog: MachineTypeCatalog,
         leases: WorkerLeases,
     ) -> None:
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -130,9 +130,9 @@
         assert world.leader is not None
         leader = world.leader
         asked = ForwardedRequest(1, "status", "run-000001", leader.election.fencing_token)
-        assert (await leader.api.answer(asked)).status == 200
+        assert (await leader.api.handle_peer_request(asked)).status == 200
         for fencing_token in (asked.fencing_token - 1, asked.fencing_token + 1, 0):
-            reply = await leader.api.answer(ForwardedRequest(1, "status", "run-000001", fencing_token))
+            reply = await leader.api.handle_peer_request(ForwardedRequest(1, "status", "run-000001", fencing_token))
             assert reply.status == 503 and reply.retry_after_s
         # A follower that has heard of a newer leadership passes on nothing of the older one.
         other = next(one for one in world.controllers.values() if one is not leader)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from elmthread.api.service import JobService
+from elmthread.api.job_service import JobService
 from elmthread.autoscaling.autoscaler import Autoscaler
 from elmthread.cluster.events import ClusterEvents
 from elmthread.placement import bin_packing
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -19,8 +19,8 @@
 from elmthread.peers import messages as peers
 from elmthread.reachability.messages import read_view
 from elmthread.rollout.records import FENCE_KEY, AnnouncementRecord, FenceRecord, LevelRecord, read_level
-from elmthread.store.assignments import read_machine
 from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, done_tasks, read_done
+from elmthread.store.machine_records import read_machine
 from tests.world.day import day
 from tests.world.earlier import newest
 from tests.world.rollouts import begin_before, replace, until_level
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -97,7 +97,7 @@
         election = controller.election
         # What an earlier process had is no right of this one.
         self._sure_until.pop(node, None)
-        answer = controller.api.answer
+        answer = controller.api.handle_peer_request
         state, cloud = self.world.ports[node]
         controller.store._caller = RecordingPort(state, node, self)
         runner = controller.leader_runner
@@ -111,7 +111,7 @@
 
         # Before the leader acts on it.
         election._listeners.insert(0, TermRecorder(self, node))
-        controller.api.answer = answered  # type: ignore[method-assign]
+        controller.api.handle_peer_request = answered  # type: ignore[method-assign]
 
     def _answered(self, node: str, request: Request, response: Response) -> None:
         controller = self.world.controllers.get(node)
--- a/tests/world/peer_links.py
+++ b/tests/world/peer_links.py
@@ -30,7 +30,7 @@
             heard = world.carried(request, other)
             try:
                 async with asyncio.timeout(timeout.total_seconds()):
-                    reply = await world.within(other, world.controllers[other].api.answer(heard))
+                    reply = await world.within(other, world.controllers[other].api.handle_peer_request(heard))
             except TimeoutError:
                 raise unreachable(other) from None
             await asyncio.sleep(world.link_faults.delay(other, node))
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -18,7 +18,7 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement
 from elmthread.reachability.messages import LinkViewMessage
 from elmthread.rollout.records import AnnouncementRecord, FenceRecord, LevelRecord
-from elmthread.store.assignments import AssignmentRunsRecord, MachineRecord
+from elmthread.store.machine_records import AssignmentRunsRecord, MachineRecord
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PageRecord
 from elmthread.store.records import DoneBitmapRecord, DoneRecord, InstanceRequestRecord, JobRecord
