--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -11,7 +11,7 @@
 from elmthread.autoscaling.instance_offers import InstanceOffers, MachineControl
 from elmthread.autoscaling.service_scaling import ServiceScaling
 from elmthread.autoscaling.urgent_band import UrgentBand
-from elmthread.cluster.machine import Machine
+from elmthread.cluster.machine import InstanceKind, Machine
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.leadership.context import TermContext
 from elmthread.placement.scheduler import Scheduler
@@ -55,8 +55,8 @@
 
     def _view(self) -> RoundView:
         now = self._clock()
-        serving: dict[tuple[str, str, bool], list[Machine]] = {}
+        serving: dict[InstanceKind, list[Machine]] = {}
         for machine in self._cluster.machines.values():
             if machine.provides_capacity(now):
-                serving.setdefault((machine.machine_type, machine.zone, machine.spot), []).append(machine)
+                serving.setdefault(machine.kind, []).append(machine)
         return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), serving)
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from elmthread.autoscaling.instance_offers import InstanceOffers, MachineControl
-from elmthread.cluster.machine import Machine
+from elmthread.cluster.machine import InstanceKind, Machine
 from elmthread.cluster.state import ClusterState
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
@@ -32,8 +32,8 @@
     # What waits, in the order in which it gets room, and what each team may still use.
     requests: list[TaskRequest]
     remaining_quotas: Mapping[str, RemainingQuota]
-    # Machines that take work now or soon, by type, zone and spot.
-    serving: Mapping[tuple[str, str, bool], list[Machine]]
+    # Machines that take work now or soon, by kind.
+    serving: Mapping[InstanceKind, list[Machine]]
 
     def usable_cores(self, requests: Iterable[TaskRequest]) -> float:
         """Return the cores that these could use at once within their teams' quotas."""
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -104,7 +104,7 @@
         return tuple(
             machine.name
             for kind, machines in view.serving.items()
-            if is_allowed(request, *kind)
+            if is_allowed(request, kind.machine_type, kind.zone, kind.spot)
             and request.cpus <= machines[0].cpus
             and request.gpus <= machines[0].gpus
             and request.memory_gb <= machines[0].memory_gb
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import Enum, auto
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NamedTuple
 
 from elmthread.common.clock import seconds
 from elmthread.common.states import transition
@@ -48,6 +48,17 @@
         return f"{self.machine_type} in {self.zone}{' (spot)' if self.spot else ''}"
 
 
+class HeartbeatId(NamedTuple):
+    """What identifies a heartbeat of a machine; a later heartbeat compares as greater."""
+
+    incarnation: int
+    sequence: int
+
+
+# Older than every heartbeat.
+NO_HEARTBEAT = HeartbeatId(0, 0)
+
+
 @dataclass(slots=True, eq=False, repr=False)
 class Machine:
     """One machine: what it is, what may run on it, and what its heartbeats have reported."""
@@ -82,13 +93,13 @@
     # Allocations by job, and the bytes that the machine's stored record takes at most.
     task_counts: dict[str, int] = field(default_factory=dict)
     record_bytes: int = 0
-    # By attempt, the job and task that exited as done; the worker may forget them once that is durable.
-    uncommitted_completions: dict[int, tuple[str, int]] = field(default_factory=dict)
+    # Attempts that completed; the worker is to remove them once the completions are durable.
+    uncommitted_completions: set[int] = field(default_factory=set)
     # Images in its cache, with their sizes in GB.
     cached_images: dict[str, float] = field(default_factory=dict)
 
-    # Incarnation and sequence number of the last heartbeat, and when it came.
-    last_heartbeat_id: tuple[int, int] = (0, 0)
+    # The last heartbeat, and when it came.
+    last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
     last_heartbeat_at: timedelta | None = None
     incarnation_since: timedelta = field(init=False)
     # The incarnation whose lease has expired: its heartbeats are ignored.
--- a/src/elmthread/machines/deletion.py
+++ b/src/elmthread/machines/deletion.py
@@ -6,7 +6,7 @@
 
 import logging
 
-from elmthread.cluster.machine import InstanceKind, MachineState
+from elmthread.cluster.machine import MachineState
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import MAX_DELETIONS_PER_CALL, CloudClient, CloudError, NoCapacityError
 from elmthread.machines.inventory import Inventory
@@ -60,7 +60,7 @@
                 continue
             machine.transition_to(MachineState.DELETED)
             self._cluster.remove_machine(machine, now)
-            self._provisioner.forget_refusal(InstanceKind(machine.machine_type, machine.zone, machine.spot))
+            self._provisioner.forget_refusal(machine.kind)
             self._inventory.forget(name)
             self._writer.delete(machine_key(name))
         self._events.notify_changed()
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -125,6 +125,6 @@
         """Release the allocations of a machine whose lease has surely expired."""
         if machine.allocations and now > self._leases.expires_by(machine):
             log.info("the worker lease of %s has expired; its tasks are released", machine.name)
-            machine.expired_incarnation = machine.last_heartbeat_id[0]
+            machine.expired_incarnation = machine.last_heartbeat_id.incarnation
             self._cluster.release_all(machine, now)
             self._events.notify_changed()
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -7,7 +7,7 @@
 from elmthread.cluster.allocation import AllocationState
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.cluster.machine import InstanceKind, Machine, MachineState
+from elmthread.cluster.machine import HeartbeatId, InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body, retry_later
@@ -63,7 +63,7 @@
             # Late: the cloud has confirmed the machine's deletion.
             return retry_later(503, RETRY_AFTER, "machine is gone")
         machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
-        heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+        heartbeat_id = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
         if heartbeat_id <= machine.last_heartbeat_id or heartbeat.incarnation <= machine.expired_incarnation:
             self._rejected_count += 1
             return retry_later(503, RETRY_AFTER, "an older report")
@@ -73,13 +73,15 @@
             # earlier leader has had: it is no sign of life.
             machine.last_heartbeat_id = heartbeat_id
             return self._respond(machine, self._commands.stops_of_closed_jobs(heartbeat))
-        return await self._handle_current(machine, heartbeat, request)
+        return await self._handle_current(machine, heartbeat, heartbeat_id, request)
 
-    async def _handle_current(self, machine: Machine, heartbeat: Heartbeat, request: Request) -> Response:
+    async def _handle_current(
+        self, machine: Machine, heartbeat: Heartbeat, heartbeat_id: HeartbeatId, request: Request
+    ) -> Response:
         """Handle the newest heartbeat of a machine that has seen this term's token."""
         now = self._clock()
         self._responsiveness.observe_heartbeat(machine, heartbeat, request.previous_answered_at, now)
-        machine.last_heartbeat_id = (heartbeat.incarnation, heartbeat.sequence)
+        machine.last_heartbeat_id = heartbeat_id
         machine.last_heartbeat_at = now
         machine.heartbeat_overdue = False
         found = self._reconciler.reconcile(machine, heartbeat, now)
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -137,8 +137,8 @@
         job.mark_done(number)
         if allocation is None and number in job.pending_tasks:
             job.pending_tasks.remove(number)
-        machine.uncommitted_completions[attempt] = (job.id, number)
-        self._completions.record(job, number, partial(_completion_is_durable, machine, attempt))
+        machine.uncommitted_completions.add(attempt)
+        self._completions.record(job, number, partial(machine.uncommitted_completions.discard, attempt))
 
     def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
         """Record what an exit says about the health of the machine and about the job's run time."""
@@ -173,10 +173,6 @@
     return [allocation for attempt, allocation in machine.allocations.items() if attempt not in listed]
 
 
-def _completion_is_durable(machine: Machine, attempt: int) -> None:
-    machine.uncommitted_completions.pop(attempt, None)
-
-
 def _log_start(allocation: Allocation, now: timedelta) -> None:
     job = allocation.job
     waited_s = (now - job.submitted_at).total_seconds()
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -36,7 +36,7 @@
         `answered_at`: when the last response was sent on the same connection, if any was.
         """
         machine.receives_responses = answered_at is not None or _follows_at_once(machine, heartbeat, now)
-        if heartbeat.incarnation != machine.last_heartbeat_id[0]:
+        if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info("%s has let its lease expire; it gets no new tasks until it receives responses", machine.name)
                 machine.responses_lost_since = machine.responses_lost_since or now
@@ -73,6 +73,6 @@
     """
     return (
         machine.last_heartbeat_at is not None
-        and heartbeat.sequence == machine.last_heartbeat_id[1] + 1
+        and heartbeat.sequence == machine.last_heartbeat_id.sequence + 1
         and now - machine.last_heartbeat_at < HEARTBEAT_RESPONSE_TIMEOUT
     )
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -12,6 +12,7 @@
 
 import pytest
 
+from elmthread.cluster.machine import NO_HEARTBEAT
 from elmthread.leadership.role import Role
 from tests.world.day import day
 from tests.world.random_troubles import restore
@@ -177,7 +178,8 @@
         world.kill(old.node)
         await asyncio.sleep(5)
         assert world.leader is not None and world.leader is not old
-        world.leader.leader.cluster.machines[body["loom"]].last_heartbeat_id = (0, 0)  # type: ignore[union-attr]
+        machine = world.leader.leader.cluster.machines[body["loom"]]  # type: ignore[union-attr]
+        machine.last_heartbeat_id = NO_HEARTBEAT
         answer = await world.report(body, world.leader.node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
         told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
