--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -1,8 +1,8 @@
-"""Which task may be on which machine.
+"""Allocations: which task may be on which machine.
 
-An allocation says that a task may be on a machine. It is made before a start can be sent, and released
-only once the task is proven not to be there, so the allocations never count less than what really runs.
-Quotas, zones and the rule of one copy for each task are all judged by allocations.
+An allocation is made before a start command can be sent, and released only once the task is proven not to
+be on the machine, so allocations never count less than what really runs. Quotas, the rules on zones and the
+rule of one copy of each task are checked against allocations.
 """
 
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
 
 
 class AllocationState(Enum):
-    """How far a task has come on its machine."""
+    """The state of a task on its machine, as far as the leader knows it."""
 
     PLANNED = auto()  # not yet durable: its start must not be sent
     COMMITTED = auto()  # durable: its start is sent with each response until a heartbeat lists the task
@@ -56,7 +56,7 @@
     # How the task is to be stopped, None while it is not.
     stop_mode: StopMode | None = None
     start_sent: bool = False
-    # When the task was first seen running.
+    # When a heartbeat first listed the task as running.
     started_at: timedelta | None = None
 
     def transition_to(self, new: AllocationState) -> None:
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers, and what each machine has by its type."""
+"""The machine types that the cloud offers, and the size and price that they give each machine."""
 
 from collections.abc import Iterable
 
@@ -32,7 +32,7 @@
         self._events.notify_changed()
 
     def add_machine(self, machine: Machine) -> None:
-        """Add a machine to the cluster, with what its type gives it."""
+        """Add a machine to the cluster, with the size and price of its type."""
         self._apply_to(machine)
         self._cluster.add_machine(machine)
 
--- a/src/elmthread/cluster/events.py
+++ b/src/elmthread/cluster/events.py
@@ -1,9 +1,9 @@
-"""What wakes the leader's loops: changes that decisions may act on, and shortages of machines."""
+"""Events that wake the leader's loops: changes that decisions may act on, and shortages of machines."""
 
 import asyncio
 
-# Passes of the event loop until a response has left for what has just become durable. The scheduling
-# round that the change causes takes longer than all of them, so it waits for that.
+# Passes of the event loop until the response about a change that has just become durable has left. The
+# scheduling round that the change causes takes longer than these passes, so it is delayed until then.
 PASSES_BEFORE_ROUND = 6
 
 
@@ -11,21 +11,21 @@
     """Events of one term; the loops of the leader wait for them and clear them."""
 
     def __init__(self) -> None:
-        """Start with nothing to act on."""
+        """Start with no event set."""
         self.changed = asyncio.Event()
         self.capacity_short = asyncio.Event()
         self._jobs_changed = False
 
     def notify_changed(self) -> None:
-        """Report a change that placement may act on."""
+        """Signal a change that placement may act on."""
         self.changed.set()
 
     def notify_capacity_short(self) -> None:
-        """Report that requested machines are not to be had, so that others are requested at once."""
+        """Signal that the cloud refused requested machines, so that others are requested at once."""
         self.capacity_short.set()
 
     def notify_jobs_changed(self) -> None:
-        """Report that a job was submitted or ended; decisions start once its response has left."""
+        """Signal that a job was submitted or ended; decisions start once its response has left."""
         self._jobs_changed = True
         self._notify_after(PASSES_BEFORE_ROUND)
 
--- a/src/elmthread/cluster/health.py
+++ b/src/elmthread/cluster/health.py
@@ -1,10 +1,10 @@
-"""Tells faulty machines from faulty jobs.
+"""Task failures: attributes them to the machine or to the job.
 
-Failing tasks of different jobs on one machine speak against the machine, as does a job that fails there
-while it runs elsewhere: the machine is quarantined. A job that fails on several machines and runs on no
-more is itself suspect: it is tried again after ever longer pauses, and no machine is blamed. In either
-case a job avoids the machines where it has failed for a while: a machine on which tasks fail at once
-always has room, and would be given the same tasks again and again.
+A machine is quarantined when tasks of different jobs fail on it, or when a job fails on it that runs
+elsewhere. A job that fails on several machines and runs on no more than those is itself suspect: it is
+retried with exponential backoff, and no machine is quarantined. In both cases the job avoids the machines
+where it has failed for a while, because a machine on which tasks fail at once always has room and would be
+given the same tasks again.
 """
 
 from datetime import timedelta
@@ -18,7 +18,7 @@
 MIN_BACKOFF = seconds(2)
 MAX_BACKOFF = seconds(120)
 REFUSAL_BACKOFF = seconds(1)
-# A job that has failed on this many machines, and runs on no more than that, is suspect.
+# A job that has failed on this many machines, and runs on no more than those, is suspect.
 MACHINES_FOR_SUSPECT_JOB = 3
 # A machine is quarantined once this many jobs have failed there, or one that runs elsewhere this often.
 FAILURES_FOR_QUARANTINE = 2
@@ -32,7 +32,7 @@
 
 
 def record_failure(machine: Machine, job: Job, now: timedelta) -> None:
-    """Judge a failed task: quarantine the machine, let the job pause, or only let it avoid the machine."""
+    """Record a failed task: quarantine the machine, back off the job, or only let it avoid the machine."""
     if len(job.failed_machines) >= MAX_AVOIDED_MACHINES:
         job.failed_machines.clear()
     job.failed_machines.add(machine.name)
@@ -51,7 +51,7 @@
 
 
 def record_success(machine: Machine, job: Job) -> None:
-    """Note that a task of the job is done on the machine, which clears both of earlier failures there."""
+    """Record a completed task, which clears the earlier failures of the job on the machine and of the machine."""
     job.backoff = ZERO
     job.failed_machines.discard(machine.name)
     machine.failures_by_job.clear()
@@ -63,9 +63,9 @@
 
 
 def record_replica_end(allocation: Allocation, now: timedelta) -> None:
-    """Note that a replica ended by itself, which is no fault of the machine.
+    """Record that a replica ended without being stopped, which is no fault of the machine.
 
-    It is started again at once, or after a pause if it ended soon after its start.
+    It is restarted at once, or after a pause if it ended soon after its start.
     """
     if has_run_steadily(allocation, now):
         allocation.job.backoff = ZERO
@@ -74,25 +74,25 @@
 
 
 def record_refusal(job: Job, now: timedelta) -> None:
-    """Note that a machine refused a task; the reason is soon over (room being freed), so the pause is short."""
+    """Record that a machine refused a task; the pause is short, as its room is usually being freed."""
     job.retry_at = max(job.retry_at, now + REFUSAL_BACKOFF)
 
 
 def release_avoided_machines(job: Job, now: timedelta) -> None:
-    """Let the job use the machines again where it has failed, once its last failure is long enough ago."""
+    """Let the job use the machines on which it has failed again, once its last failure is long enough ago."""
     if job.failed_machines and now - job.last_failure_at > AVOIDANCE_TIME:
         job.failed_machines.clear()
 
 
 def _back_off(job: Job, now: timedelta) -> None:
-    """Let the job pause for twice as long as before; tasks that fail together count once."""
+    """Double the job's pause; tasks that fail during a pause do not extend it."""
     if now >= job.retry_at:
         job.backoff = min(max(job.backoff * 2, MIN_BACKOFF), MAX_BACKOFF)
         job.retry_at = now + job.backoff
 
 
 def _count_healthy_machines(job: Job, now: timedelta) -> int:
-    """Return on how many machines the job runs past its start and has not failed; counts few more than needed."""
+    """Return on how many machines the job runs past its start and has not failed; stops once above the failed ones."""
     healthy: set[str] = set()
     for allocation in job.allocations.values():
         if (
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -15,7 +15,7 @@
 
 
 class JobState(Enum):
-    """The state of a job; the values stand in its stored record."""
+    """The state of a job; the values are those of its stored record."""
 
     OPEN = "open"
     DONE = "done"
@@ -49,7 +49,7 @@
     """A job and its tasks: each task is done, allocated to machines, or pending."""
 
     spec: JobSpec
-    # When it was submitted, by the calendar and by the leader's clock.
+    # When it was submitted, by the calendar and by this process's clock.
     submission_time: datetime
     submitted_at: timedelta
     policy: InitVar[JobPolicy]
@@ -63,8 +63,8 @@
     machine_types: frozenset[str] | None = field(init=False)
     priority_rank: int = field(init=False)
     urgent: bool = field(init=False)
-    # Times after the submission: the deadline, the later one that holds once that can't be met, and the
-    # one of the two that the job is ordered by now.
+    # Times after the submission: the deadline, the later one that applies once the first can't be met, and
+    # the one of the two that placement uses now.
     deadline: timedelta = field(init=False)
     latest_deadline: timedelta = field(init=False)
     target_deadline: timedelta = field(init=False)
@@ -83,10 +83,10 @@
     allocations: "dict[int, Allocation]" = field(default_factory=dict)
     allocation_counts: dict[int, int] = field(default_factory=dict)
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    # Tasks that a heartbeat has reported as running.
+    # Tasks that heartbeats list as running.
     running_count: int = 0
 
-    # Machines on which it failed lately, which it avoids, and when it failed last.
+    # Machines on which it failed recently, which it avoids, and when it failed last.
     failed_machines: set[str] = field(default_factory=set)
     last_failure_at: timedelta = ZERO
     # No task is started before `retry_at`; `backoff` is the last pause.
@@ -118,7 +118,7 @@
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
-            # The end of a job is kept for ever, the bits of its tasks are not.
+            # The record of an ended job is never deleted, so the bits of its tasks are not kept in it.
             self.done_bits = bytearray()
 
     def is_done(self, task: int) -> bool:
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -1,4 +1,4 @@
-"""Jobs made from their specifications, with the deadlines and the urgency that they are ordered by."""
+"""Makes jobs from their specifications, with the deadlines and the urgency that placement orders them by."""
 
 from datetime import UTC, datetime, timedelta
 from typing import Any
@@ -50,7 +50,7 @@
 
 
 class JobFactory:
-    """Makes jobs of submissions and of what the store has."""
+    """Makes jobs from submissions and from stored records."""
 
     def __init__(self, cluster: ClusterSettings, operators: Operators, features: ActiveFeatures) -> None:
         """`operators` give deadlines and urgency; `features` the form of records of done tasks."""
@@ -62,7 +62,7 @@
         self._objectives = ClassObjectives(cluster.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Return an open job, submitted at that time of this process's clock, and by the calendar now or then."""
+        """Return an open job, submitted at `submitted_at` by this process's clock; `submission_time` is now if None."""
         tasks_per_chunk = self._tasks_per_chunk
         if self._features.is_active(Feature.DONE_BITMAPS):
             tasks_per_chunk = self._tasks_per_bitmap_chunk
@@ -78,7 +78,7 @@
         )
 
     def _expression_variables(self, spec: JobSpec) -> dict[str, Any]:
-        """Return the job in the words that the operators' expressions use."""
+        """Return the job's fields under the names that the operators' expressions use."""
         return {
             "job_class": spec.job_class,
             "team": spec.team,
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -1,4 +1,4 @@
-"""The workers' leases: when a machine that can't be reached has surely ended its tasks."""
+"""Worker leases: by when a machine that can't be reached is guaranteed to have ended its tasks."""
 
 from datetime import timedelta
 
@@ -10,7 +10,7 @@
 
 
 class WorkerLeases:
-    """Lease times of all machines, as this leader and every earlier one may have renewed them."""
+    """The worker leases of all machines, with every renewal that this or an earlier leader may have sent."""
 
     def __init__(self, duration: timedelta, unconfirmed_until: timedelta) -> None:
         """Take `unconfirmed_until` as the time until which a machine may run what an earlier leader started."""
@@ -18,10 +18,10 @@
         self._unconfirmed_until = unconfirmed_until
 
     def expires_by(self, machine: Machine) -> timedelta:
-        """Return when the machine's lease has surely expired, if no response reaches it from now on.
+        """Return the latest time at which the machine's lease can expire, if no response reaches it from now on.
 
-        An earlier leader may have answered it for as long as its own lease could hold, so a machine that
-        has sent no heartbeat to this leader is counted from there.
+        An earlier leader may have renewed it for as long as that leader's own lease lasted. For a machine
+        that has sent no heartbeat to this leader, the time is counted from there.
         """
         if machine.last_response_at is None:
             return self._unconfirmed_until
@@ -29,7 +29,7 @@
         return max(until, self._unconfirmed_until) if machine.state is MachineState.UNCONFIRMED else until
 
     def silence(self, machine: Machine, now: timedelta) -> timedelta:
-        """Return how long ago the last heartbeat came; without one, since this leader could receive one."""
+        """Return the time since the last heartbeat, or since this leader could first receive one."""
         last = machine.last_heartbeat_at
         if last is None:
             last = self._unconfirmed_until - self.duration
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -1,4 +1,4 @@
-"""A machine: what it is, what may run on it, and what its heartbeats have reported."""
+"""A machine in the leader's memory: its type, its allocations and its last heartbeat."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -18,7 +18,7 @@
     BOOTING = auto()  # provided by the cloud, has sent no heartbeat yet
     UNCONFIRMED = auto()  # may hold what the store says; has sent no heartbeat to this term
     UP = auto()
-    DELETING = auto()  # its deletion is requested until it is answered
+    DELETING = auto()  # its deletion is requested until the cloud confirms it
     DELETED = auto()
 
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class InstanceKind:
-    """What a request for machines names: a machine type in a zone, as spot or ordinary instance."""
+    """What an instance request names: a machine type in a zone, as spot or on-demand instance."""
 
     machine_type: str
     zone: str
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True, eq=False, repr=False)
 class Machine:
-    """One machine: what it is, what may run on it, and what its heartbeats have reported."""
+    """One machine: its kind and size, its allocations, and what its heartbeats have shown."""
 
     name: str
     kind: InstanceKind
@@ -76,7 +76,6 @@
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    # In GB a second.
     image_fetch_gb_per_s: float = 1.0
     price_per_hour: float = 0.0
     # Whether the cloud's list has named it.
@@ -106,13 +105,13 @@
     expired_incarnation: int = 0
     # Its heartbeat is overdue: it may hang or be dead, so it gets nothing new.
     heartbeat_overdue: bool = False
-    # Its whole zone seems to be cut off: its capacity is not counted, but it may well return.
+    # Its whole zone seems to be cut off: its capacity is not counted, but the machine is kept for a while.
     zone_unreachable: bool = False
     last_response_at: timedelta | None = None
     # Its last heartbeat came on a connection on which our response to the one before had arrived.
     receives_responses: bool = False
-    # Since when our responses have not been seen to arrive: heartbeats alone do not prove that commands
-    # get through, so it gets nothing new until they are.
+    # Since when there is evidence that our responses get lost. Heartbeats alone do not prove that commands
+    # arrive, so the machine gets nothing new until its heartbeats show that responses do.
     responses_lost_since: timedelta | None = None
     # Starts in a row that were sent and did not arrive.
     undelivered_starts: int = 0
@@ -121,17 +120,17 @@
     # When the cloud is going to take back a spot instance.
     interruption_at: timedelta | None = None
     in_deferrable_pool: bool = False
-    # Not needed at present: gets tasks only where no other machine has room.
+    # Draining: gets tasks only where no other machine has room.
     draining: bool = False
     draining_since: timedelta | None = None
     # Kept in reserve for services that may use no spot instance: not deleted when idle.
     reserved: bool = False
     failures_by_job: dict[str, int] = field(default_factory=dict)
-    # Judged faulty: gets nothing new.
+    # Considered faulty: gets nothing new.
     quarantined: bool = False
 
     def __post_init__(self) -> None:
-        """Unpack the kind; the machine is idle from when it is first seen."""
+        """Unpack the kind; the machine is idle from `first_seen_at` on."""
         self.machine_type = self.kind.machine_type
         self.zone = self.kind.zone
         self.spot = self.kind.spot
@@ -168,13 +167,13 @@
         return self.state in (MachineState.UP, MachineState.UNCONFIRMED)
 
     def is_silent(self, now: timedelta, term_began_at: timedelta) -> bool:
-        """Return whether the machine should have sent a heartbeat to the present leader lately and has not."""
+        """Return whether the machine has sent the present leader no heartbeat for longer than it should."""
         if self.state is MachineState.UNCONFIRMED:
             return now - max(self.first_seen_at, term_began_at) > FIRST_HEARTBEAT_GRACE
         return self.heartbeat_overdue
 
     def provides_capacity(self, now: timedelta) -> bool:
-        """Return whether the machine takes tasks now, or will once it has booted or has sent a heartbeat."""
+        """Return whether the machine accepts tasks now, or will once it has booted or sent a heartbeat."""
         if self.zone_unreachable:
             return False
         if self.state is MachineState.UNCONFIRMED:
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -1,8 +1,8 @@
-"""How long tasks really run compared with what their owners expect, by class of job.
+"""Run-time estimates: the owners' expectations, corrected by the run times observed for each class of job.
 
-Chiron (section 5.3) fits a distribution to what earlier requests produced. Here the mean logarithm of the
-ratio of run time to estimate is kept for each class, and recent tasks weigh more. A class with too few
-tasks borrows the correction of all classes together, as on some days all owners err in the same way.
+The mean logarithm of the ratio of run time to estimate is kept for each class, with more weight on recent
+tasks. A class with too few tasks uses the mean of all classes, as owners often err in the same way. (Chiron,
+section 5.3, fits a distribution to earlier requests instead.)
 """
 
 import math
@@ -40,7 +40,7 @@
         self._all = _LogRatioMean()
 
     def record(self, job_class: str, expected_s: float, ran: timedelta) -> None:
-        """Take in the run time of a finished task and its owner's estimate."""
+        """Record the run time of a finished task with its owner's estimate."""
         ratio = max(ran.total_seconds(), MIN_RUN_TIME_S) / max(expected_s, MIN_RUN_TIME_S)
         value = math.log(min(max(ratio, MIN_RUN_TIME_RATIO), MAX_RUN_TIME_RATIO))
         self._classes.setdefault(job_class, _LogRatioMean()).add(value)
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -33,7 +33,7 @@
         self.jobs: dict[str, Job] = {}
         self.open_jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
-        # When each machine was deleted that is still remembered.
+        # When machines were deleted, by name, for DELETED_MACHINE_RETENTION.
         self.deleted_machines: dict[str, timedelta] = {}
         self.cpus_by_team: dict[str, float] = {}
         self.gpus_by_team: dict[str, float] = {}
@@ -58,7 +58,7 @@
             self.open_jobs[job.id] = job
 
     def remove_machine(self, machine: Machine, now: timedelta) -> None:
-        """Remove a machine that certainly does not exist any more, and release all its allocations."""
+        """Remove a machine whose deletion is confirmed, and release all its allocations."""
         self.machines.pop(machine.name, None)
         self.release_all(machine, now)
         for name in [name for name, at in self.deleted_machines.items() if now - at > DELETED_MACHINE_RETENTION]:
@@ -66,7 +66,7 @@
         self.deleted_machines[machine.name] = now
 
     def close_job(self, job: Job, state: JobState) -> None:
-        """Let a job end in that state."""
+        """Move an open job to the state in which it ends."""
         job.transition_to(state)
         self.open_jobs.pop(job.id, None)
 
@@ -79,7 +79,7 @@
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation whose task is certainly not on the machine; without another one the task is pending."""
+        """Release an allocation whose task is proven to be off the machine; a task without another one is pending."""
         machine, job, task = allocation.machine, allocation.job, allocation.task
         del machine.allocations[allocation.attempt]
         del job.allocations[allocation.attempt]
@@ -87,7 +87,7 @@
         if allocation.state is AllocationState.RUNNING:
             job.running_count -= 1
         if not machine.allocations:
-            # Sums of fractions need not come back to 0 by themselves.
+            # Sums of fractions may not come back to exactly 0.
             machine.cpus_used = machine.gpus_used = machine.memory_gb_used = 0.0
             machine.urgent_cpus = machine.service_cpus = 0.0
             machine.idle_since = now
--- a/src/elmthread/persistence/__init__.py
+++ b/src/elmthread/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader makes durable, and how a new leader rebuilds its state from that."""
+"""Durable state: records made of the cluster state, and the state rebuilt from them by a new leader."""
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -1,4 +1,4 @@
-"""Assignments on their way to the store, and the heartbeats that wait for them."""
+"""Makes assignments durable, and lets heartbeats wait for that."""
 
 import asyncio
 from datetime import timedelta
@@ -16,10 +16,10 @@
     """Makes planned allocations durable; only then may their starts be sent."""
 
     def __init__(self, context: TermContext) -> None:
-        """Nothing is on its way at first."""
+        """`context` is that of the term in which the tasks are assigned."""
         self._writer = context.writer
         self._features = context.features
-        # Heartbeats that wait for starts, by machine.
+        # Set once assignments are durable for which a heartbeat waits, by machine.
         self._waiting: dict[str, asyncio.Event] = {}
 
     def assign(self, machine: Machine) -> None:
@@ -47,7 +47,7 @@
                 del self._waiting[machine.name]
 
     def _mark_committed(self, machine: Machine, planned: list[Allocation]) -> None:
-        """Mark what the written record held; later plans wait for a record of their own."""
+        """Mark the allocations that the written record holds; later ones are in a later record."""
         for allocation in planned:
             if (
                 allocation.state is AllocationState.PLANNED
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -1,4 +1,4 @@
-"""The ends of tasks and jobs on their way to the store."""
+"""Makes completed tasks and the ends of jobs durable."""
 
 from collections.abc import Callable
 from functools import partial
@@ -12,13 +12,13 @@
 
 
 def make_job_record(job: Job) -> Any:
-    """Return the job's record as it is to be written now, and note which state goes into it."""
+    """Return the job's record for a write that starts now, and keep which state it holds."""
     job.state_being_written = job.state
     return job_record(job)
 
 
 class CompletionRecorder:
-    """Records done tasks: only once that is durable may the worker remove them and users see the job as done."""
+    """Records done tasks; workers may remove them, and users see the job as done, only once that is durable."""
 
     def __init__(self, context: TermContext) -> None:
         """`context` is that of the term in which the tasks ended."""
@@ -50,7 +50,7 @@
         )
 
     def _mark_durable(self, job: Job, on_durable: Callable[[], None]) -> None:
-        """Note that the job's end is in the store, where it replaces the records of done tasks."""
+        """Mark the job's end as durable; it replaces the records of done tasks, which are deleted."""
         job.durable_state = job.state_being_written
         on_durable()
         for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -32,15 +32,15 @@
 RETRY_PAUSE = seconds(0.2)
 # Keys in one read of the store.
 READ_PAGE_SIZE = 400
-# Records loaded before other work gets a turn: lease renewals must not wait for a large load.
+# Records loaded before the event loop runs other work: lease renewals must not wait for a large load.
 RECORDS_PER_TURN = 100
 
 
 class JobMaker(Protocol):
-    """Makes a job of what its user submitted."""
+    """Makes a job from its specification."""
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Return the job, submitted at that time of the clock and of the calendar."""
+        """Return the job, submitted at `submitted_at` by the clock and `submission_time` by the calendar."""
 
 
 class CompatibilityLevel(Protocol):
@@ -104,7 +104,7 @@
         level = await self._read_all(records.ROLLOUT_PREFIX) if self._level.enabled else []
         pages = await self._read_all(PAGE_PREFIX)
         view = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
-        # On a level that this process does not read, nothing else may be interpreted.
+        # Nothing else may be interpreted on a level that this process does not read.
         self._level.load(level, view)
         view.pop(records.COMPATIBILITY_FENCE_KEY, None)
         if records.LAYOUT_KEY not in view:
@@ -164,7 +164,7 @@
         return (await read_prefix(self._read_page, prefix, READ_PAGE_SIZE)).items
 
     async def _read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
-        """Return one page, requested until the key-value store answers."""
+        """Return one page, requested until the key-value store responds."""
         while True:
             try:
                 return await self._store.read_page(prefix, after, page_size)
@@ -200,7 +200,7 @@
             self._writer.delete(key)
 
     def _discard_instance_request(self, key: str, value: Any) -> None:
-        # Whether it was carried out shows in the machine list; the name is never used again.
+        # The machine list shows whether it was carried out; its name is never used again.
         self._writer.delete(key)
 
     def _load_types(self, key: str, value: Any) -> None:
--- a/src/elmthread/persistence/records.py
+++ b/src/elmthread/persistence/records.py
@@ -14,13 +14,13 @@
 def job_record(job: Job) -> JobRecord:
     """Return the job's record."""
     if job.state is JobState.DONE:
-        # Kept for ever, so it is kept small.
+        # Never deleted, so it is kept small.
         return JobRecord(job.state.value, job.task_count)
     spec = job.spec
     if job.state is JobState.CANCELLED:
-        # Its tasks may be on machines for a while: the resources that they take, and the team whose quota
-        # they count for, must outlive the leader. Where they may run does not matter any more: without its
-        # list of machine types, the job can be cancelled even where values may no longer be as large.
+        # Its tasks may stay on machines for a while, so their resources and their team's quota must outlive
+        # the leader. Where they may run no longer matters: without its list of machine types, the record is
+        # small enough to be written even where the limit on values has been lowered.
         spec = msgspec.structs.replace(spec, job_class="-", image="-", machine_types=None, zone=None)
     return JobRecord(job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, spec)
 
--- a/src/elmthread/store/bitmaps.py
+++ b/src/elmthread/store/bitmaps.py
@@ -1,7 +1,7 @@
 """Compressed bitmaps as text: sparse ones as the numbers of their bits, dense ones bit by bit.
 
-Tasks of a job are done roughly in order, so a chunk is mostly empty at first and mostly full later.
-A full chunk is as small as an empty one, as the rarer of the two kinds of bits is kept.
+Tasks of a job complete roughly in order, so a chunk is mostly empty at first and mostly full later. The rarer
+of the two bit values is stored, so a full chunk is as small as an empty one.
 """
 
 import base64
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -35,7 +35,7 @@
 
 
 class RejectedTransactionError(StoreError):
-    """The store takes the transaction for malformed or too large: it was not executed, and never will be."""
+    """The store rejects the transaction as malformed or too large: it was not executed, and never will be."""
 
 
 class UnknownOutcomeError(StoreError):
@@ -50,12 +50,12 @@
 class ConflictError(StoreError):
     """A comparison of the transaction failed, so nothing was changed."""
 
-    # The keys whose revision was another one.
+    # The keys whose revision differed.
     failed: list[str]
 
 
 class RequestObserver(Protocol):
-    """Observes which requests were executed, and when they were sent: the link to the store."""
+    """Observes the link to the store: which requests were executed, and when they were sent."""
 
     def begin(self) -> timedelta:
         """Return the time at which a request is sent."""
@@ -89,13 +89,13 @@
 
 
 class KeyValueStore:
-    """One way to the key-value store, within a rate of requests.
+    """A client of the key-value store that keeps to a rate of requests.
 
     Each method raises StoreUnavailableError or UnknownOutcomeError if the request fails.
     """
 
     def __init__(self, caller: HttpCaller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
-        """Send requests by `caller` within the rate of `requests`; `observer` learns which were executed."""
+        """Send requests by `caller` within the rate of `requests`; `observer` is notified of executed ones."""
         self._observer = observer
         self._caller = caller
         self._requests = requests
@@ -121,7 +121,7 @@
     ) -> int:
         """Execute the operations if all comparisons hold, and return the revision.
 
-        Raises ConflictError if one does not hold, RejectedTransactionError if the store never takes this transaction.
+        Raises ConflictError if one does not hold, RejectedTransactionError if the store never accepts it.
         """
         transaction = messages.Transaction(list(comparisons), list(operations))
         response = await self._call("POST", "/txn", msgspec.to_builtins(transaction), timeout)
@@ -138,7 +138,7 @@
 
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         """Renew a lease. Raises ExpiredError if it has ended."""
-        # Renewals are not held to the rate: everything else leaves room for them.
+        # Renewals are exempt from the rate: all other requests leave room for them.
         response = await self._send("POST", f"/grants/{lease_id}/extend", {}, timeout)
         if response.status == 404:
             raise ExpiredError(f"lease {lease_id}")
@@ -151,7 +151,7 @@
             _require_status(response, 200)
 
     async def watch(self, prefix: str, since: int, block: timedelta) -> messages.WatchEvents:
-        """Return what changed under a prefix after revision `since`, as soon as something has or `block` is over.
+        """Return what changed under a prefix after revision `since`; wait up to `block` for a first change.
 
         Raises ExpiredError if changes since then are no longer kept.
         """
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -1,4 +1,4 @@
-"""How many done tasks go into one record, and how either form of it is read."""
+"""Chunks of done tasks: how many tasks go into one record, and reading both forms of it."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -9,19 +9,19 @@
 from elmthread.store.records import DoneBitmapRecord, DoneRecord
 
 MAX_TASKS_PER_CHUNK = 1024
-# Each finished task writes its chunk anew, so a chunk takes a small part of a page only.
+# Each finished task rewrites its chunk, so a chunk takes only a small part of a page.
 MAX_MARKS_PART_OF_VALUE = 1 / 32
-# Compressed bitmaps seldom come near their largest size, so that one may take more.
+# Compressed bitmaps seldom reach their largest size, so they may take more.
 MAX_BITMAP_PART_OF_VALUE = 1 / 11
 
 
 def marks_per_chunk(value_kb: float) -> int:
-    """Return the tasks in a chunk of plain marks, where a hexadecimal digit stands for four."""
+    """Return the tasks in a chunk of plain marks, where a hexadecimal digit holds four tasks."""
     return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_MARKS_PART_OF_VALUE) * 4 // 8 * 8))
 
 
 def bits_per_chunk(value_kb: float) -> int:
-    """Return the tasks in a chunk of a compressed bitmap, where four characters stand for 24 at the worst."""
+    """Return the tasks in a chunk of a compressed bitmap, where four characters hold 24 tasks at the worst."""
     return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_BITMAP_PART_OF_VALUE) * 6 // 8 * 8))
 
 
--- a/src/elmthread/store/job_spec.py
+++ b/src/elmthread/store/job_spec.py
@@ -43,7 +43,7 @@
     id: Name
     job_class: Name
     team: Name
-    # The tasks of a batch run to completion; those of a daemon are replicas that run until it is cancelled.
+    # The tasks of a batch run to completion; those of a daemon (a service) are replicas that run until cancelled.
     form: Literal["batch", "daemon"]
     priority: Literal["production", "high", "normal", "best_effort"]
     tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
--- a/src/elmthread/store/machine_records.py
+++ b/src/elmthread/store/machine_records.py
@@ -1,8 +1,8 @@
 """The stored forms of a machine's assignments: which tasks may be on it, with which attempts.
 
-They are most of what a leader writes. The first form lists each task with its attempt. The second one
-(`Feature.ASSIGNMENT_RUNS`) lists runs: tasks that are placed together mostly have consecutive numbers and
-consecutive attempts. It lacks a field of the first form (`build`), so a version that does not read it refuses it.
+These records are most of what a leader writes. The first form lists each task with its attempt. The second
+one (`Feature.ASSIGNMENT_RUNS`) lists runs, as tasks that are placed together mostly have consecutive numbers
+and consecutive attempts. It lacks a field of the first form (`build`), so versions that can't read it reject it.
 """
 
 from collections.abc import Iterator
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -61,7 +61,7 @@
 
 
 class BatchPacker:
-    """Chooses what goes into the next transaction, within the rate and the limits of the store."""
+    """Chooses the writes for the next transaction, within the rate and the limits of the store."""
 
     def __init__(self, queue: WriteQueue, pages: RecordPages, limits: WriteLimits, clock: Clock) -> None:
         """Take writes from `queue` and pages that may be overwritten from `pages`."""
@@ -97,7 +97,7 @@
                 continue
             size = record_bytes(write.key, text)
             if size > capacity:
-                # Never confirmed as durable: what depends on it stays undone, and all else goes on.
+                # Never confirmed as durable, so what depends on it is not done; all other work continues.
                 log.error("record %s takes %s bytes, more than a page can hold; it is not written", write.key, size)
                 self._queue.remove(write)
                 continue
@@ -126,14 +126,14 @@
         """Return the record as JSON, None if it is deleted and was never written or is deleted already."""
         value = write.make_value()
         if value is None and write.key not in self._pages:
-            # Nothing to change, which is durable.
+            # There is nothing to delete, which needs no transaction to be durable.
             self._queue.remove(write)
             write.notify_durable()
             return None
         return json_text(value)
 
     def _compact(self, last: PageWrite) -> None:
-        """Move current records of nearly empty and of oversized pages into the last page, to free theirs."""
+        """Move current records of nearly empty and of oversized pages into the last page, which frees those pages."""
         while True:
             excluded, room = self._queue.keys(), self._pages.capacity - last.size
             moved = self._pages.oversized_records(excluded, room)
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -1,4 +1,4 @@
-"""Pages of packed records: many small records are written as the one change that their page costs.
+"""Pages of packed records: writing many small records costs the store one change for each page.
 
 A page is a key `s/NNNN` whose value holds a sequence number and the text of many records. Each
 transaction fills pages that hold no current record, so the newest version of a record is the one
@@ -70,9 +70,9 @@
 
     key: str
     mod_revision: int = 0
-    # All records in it, current or not.
+    # The keys of all records in it, current or not.
     keys: frozenset[str] = frozenset()
-    # The records of which no newer version is durable, and the bytes that they take.
+    # The keys of records of which no newer version is durable, and the bytes that these records take.
     current: set[str] = field(default_factory=set)
     current_bytes: int = 0
 
@@ -81,7 +81,7 @@
     """Where the newest durable version of each record is stored, and which pages may be overwritten."""
 
     def __init__(self, capacity: int) -> None:
-        """Know no page; `capacity` bytes of records go into one (`page_capacity`)."""
+        """Start without pages; each holds up to `capacity` bytes of records (`page_capacity`)."""
         self.capacity = capacity
         self.last_number = 0
         self._pages: dict[str, RecordPage] = {}
@@ -89,10 +89,10 @@
         self._allocated: set[str] = set()
         self._page_of: dict[str, RecordPage] = {}
         self._texts: dict[str, str] = {}
-        # Bytes of all current records, and the pages written when values were allowed to be larger.
+        # Bytes of all current records, and the keys of pages written when values were allowed to be larger.
         self._current_bytes = 0
         self._oversized: set[str] = set()
-        # In how many pages a version of each record stands.
+        # The number of pages that hold a version of each record.
         self._copies: dict[str, int] = {}
 
     def load(self, items: Iterable[tuple[str, Any, int]]) -> dict[str, Any]:
@@ -108,7 +108,7 @@
             except msgspec.MsgspecError as error:
                 raise UnreadableRecordError(f"{key}: {error}") from error
             read.append((page.number, key, mod_revision, {name: bytes(raw).decode() for name, raw in records.items()}))
-        read.sort(key=lambda one: one[0])
+        read.sort(key=lambda entry: entry[0])
         for number, key, mod_revision, texts in read:
             self._record_content(self._pages.setdefault(key, RecordPage(key)), mod_revision, texts)
             self.last_number = max(self.last_number, number)
@@ -127,9 +127,9 @@
     def _create(self) -> RecordPage:
         """Return a page under the first key that none has.
 
-        There may be gaps: of two transactions under way, the one for the earlier page can be lost with
-        its leader. The number of pages would then name one that exists, and the comparison with its
-        revision would fail for every leader.
+        There may be gaps: of two concurrent transactions, the one for the earlier page can be lost with its
+        leader. Numbering by the count of pages would then choose an existing page, and the comparison with
+        its revision would fail for every leader.
         """
         keys = (f"{PAGE_PREFIX}{number:04d}" for number in count())
         key = next(key for key in keys if key not in self._pages)
@@ -204,9 +204,8 @@
     def oversized_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
         """Return as many current records of a page larger than `capacity` as fit into `room` bytes.
 
-        What larger values were allowed to hold is moved a few records at a time, as the whole would
-        never fit. A record that is itself too large stays, readable, until a newer version of it is
-        written.
+        A page from the time of larger values is emptied a few records at a time, as the whole never fits. A
+        record that is itself too large stays, readable, until a newer version of it is written.
         """
         moved: dict[str, str] = {}
         for name in self._oversized:
@@ -221,7 +220,7 @@
         return moved
 
     def smallest_page_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
-        """Return the current records of the page with the fewest bytes of them, if they fit into `room` bytes."""
+        """Return the current records of the page that has the fewest bytes of them, if these fit into `room` bytes."""
         smallest: RecordPage | None = None
         for page in self._pages.values():
             if (
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -1,9 +1,9 @@
-"""The keys of the store, and the records that stand under them.
+"""The keys of the store, and the records stored under them.
 
 `j/ID` is a job, `d/ID/CHUNK` its done tasks, `m/NAME` a machine's assignments, `r/NAME` an instance
 request, `t/types` the machine types. All of them are packed into pages (`pages.py`); the leader key and
-the records of a rollout are not. An earlier layout had one key for each record; the record `layout` says
-that none of these is left.
+the records of a rollout are not. An earlier layout had one key for each record; the record `layout` marks
+that all of these have been migrated.
 """
 
 from datetime import UTC, datetime
@@ -23,11 +23,11 @@
 INSTANCE_REQUEST_PREFIX = "r/"
 MACHINE_TYPE_PREFIX = "t/"
 MACHINE_TYPES_KEY = "t/types"
-# Parts of the machine types, where all of them together are more than a value may hold. An earlier
-# version ignores them and asks the cloud, as it does at its first start.
+# Parts of the machine types, where one value can't hold them all. Earlier versions ignore the parts and
+# read the types from the cloud.
 MACHINE_TYPE_PARTS_PREFIX = "y/"
-# The records of a staged rollout, which have keys of their own, and the packed record that keeps
-# versions without compatibility levels from leading: they read its key, and refuse its form.
+# The records of a staged rollout, which are not packed, and the packed record that keeps versions without
+# compatibility levels from leading: they read its key and reject its form.
 ROLLOUT_PREFIX = "rollout/"
 COMPATIBILITY_FENCE_KEY = "t/compatibility"
 
@@ -97,5 +97,5 @@
     """Done tasks of a chunk as a compressed bitmap (`Feature.DONE_BITMAPS`)."""
 
     bits: str
-    # The bits stand for tasks that are not done.
+    # Whether the set bits mark the tasks that are not done.
     inverted: bool = False
--- a/src/elmthread/store/token_bucket.py
+++ b/src/elmthread/store/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: keeps calls within a rate, and leaves room for those that matter more."""
+"""A token bucket: keeps calls within a rate, with tokens held back for more important calls."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -40,6 +40,6 @@
         return seconds(max(0.0, (count + keep - self.level()) / self.rate))
 
     def drain(self) -> None:
-        """Empty the bucket, as the other side says that the rate is exceeded."""
+        """Empty the bucket, as the server has refused a call as beyond its rate."""
         self.level()
         self._tokens = min(self._tokens, 0.0)
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -1,4 +1,4 @@
-"""Records that wait to be written, by key, and the records that are on their way to the store."""
+"""The queue of records to be written, and the keys of records that a transaction is writing."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -11,7 +11,7 @@
 
 
 class WritePriority(IntEnum):
-    """What is written first, and (see MAX_GATHERING_TIME) how long it may wait for more."""
+    """The order in which records are written, and (see MAX_GATHERING_TIME) how long they may wait for others."""
 
     USER = 0
     ASSIGNMENT = 1
@@ -19,7 +19,7 @@
     MAINTENANCE = 3
 
 
-# A record that has waited for this long starts a transaction; whatever else waits goes into it.
+# A record that has waited for this long starts a transaction, which takes other waiting records along.
 MAX_GATHERING_TIME = {
     WritePriority.USER: ZERO,
     WritePriority.ASSIGNMENT: seconds(0.1),
@@ -43,7 +43,7 @@
     on_durable: list[Callable[[], None]] = field(default_factory=list)
 
     def notify_durable(self) -> None:
-        """Call what waits for the record to be durable."""
+        """Call the functions that wait for the record to be durable."""
         for call in self.on_durable:
             call()
 
@@ -66,7 +66,7 @@
     def add(
         self, key: str, priority: WritePriority, make_value: MakeValue, on_durable: Callable[[], None] | None
     ) -> None:
-        """Let the record be written; a write of it that waits already takes the newer value and the higher priority."""
+        """Queue a write of the record; one that is queued already takes the newer value and the higher priority."""
         write = self.pending.get(key)
         if write is None:
             write = self.pending[key] = PendingWrite(key, priority, make_value, self._clock())
@@ -78,7 +78,7 @@
         self.changed.set()
 
     def requeue(self, writes: Iterable[PendingWrite]) -> None:
-        """Let writes wait again whose transaction was not executed and never will be."""
+        """Queue writes again whose transaction was not executed and never will be."""
         for write in writes:
             newer = self.pending.get(write.key)
             if newer is None:
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -1,9 +1,9 @@
 """Group commit: records that changed are packed into few pages and written within the settings' rates.
 
 Every transaction compares the revision of the leader key and of each page that it writes. The first
-keeps a former leader from writing. The second keeps a transaction that is applied late, or twice,
-from putting old records over newer ones, as a page's revision only grows. A transaction whose
-outcome is unknown is sent again unchanged until the store answers it.
+comparison keeps a former leader from writing. The second keeps a transaction that is applied late or twice
+from overwriting newer records, as a page's revision only grows. A transaction whose outcome is unknown is
+sent again unchanged until the store responds to it.
 """
 
 import asyncio
@@ -32,15 +32,15 @@
 
 log = logging.getLogger(__name__)
 
-# Two, so that one slow answer does not hold up all writing.
+# Two, so that one slow response does not delay all writes.
 CONCURRENT_TRANSACTIONS = 2
 RETRY_PAUSE = seconds(0.25)
-# Least time between two looks at the queue: what comes meanwhile is written together.
+# Minimum time between two checks of the queue: writes added in between go into one transaction.
 MIN_GATHERING_TIME = seconds(0.05)
 
 
 class WriterStoppedError(ElmthreadError):
-    """The writer of a term has stopped: what still waited was not confirmed as durable."""
+    """The writer of a term has stopped before the record was confirmed as durable."""
 
 
 class WriterTerm(Protocol):
@@ -70,7 +70,7 @@
         self._packer = BatchPacker(self.queue, pages, limits, clock)
         self._futures: set[asyncio.Future[None]] = set()
         self._stopped = False
-        # Since when the store has accepted no transaction; users are refused at once while it does not.
+        # Since when the store has accepted no transaction, None while it does; users' requests are refused meanwhile.
         self.failing_since: timedelta | None = None
 
     @property
@@ -85,20 +85,20 @@
         make_value: MakeValue,
         on_durable: Callable[[], None] | None = None,
     ) -> None:
-        """Write the record soon; `on_durable` is called once its value, or a newer one, is durable."""
+        """Queue a write of the record; `on_durable` is called once its value, or a newer one, is durable."""
         self.queue.add(key, priority, make_value, on_durable)
 
     def delete(self, key: str) -> None:
-        """Delete the record soon, if it exists or is about to."""
+        """Queue the deletion of the record, if it exists or a write of it is queued or in flight."""
         if key in self.pages or key in self.queue:
             self.write(key, WritePriority.MAINTENANCE, lambda: None)
 
     def write_and_wait(
         self, key: str, priority: WritePriority, make_value: MakeValue, on_durable: Callable[[], None]
     ) -> asyncio.Future[None]:
-        """Return a future that is done once the record is durable; `on_durable` is called at that very moment.
+        """Return a future that is done once the record is durable; `on_durable` is called right before that.
 
-        The future fails with WriterStoppedError if the term ends before.
+        The future fails with WriterStoppedError if the term ends first.
         """
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self._stopped:
@@ -140,7 +140,7 @@
                 self.queue.finish(*(page.texts for page in batch.pages))
 
     async def _wait_until_due(self) -> None:
-        """Wait until a record has gathered for long enough and the rate allows to write it."""
+        """Wait until a record has been queued for its gathering time and the rate allows a change."""
         while True:
             now = self._clock()
             due = self.queue.next_due()
@@ -173,8 +173,8 @@
                 if isinstance(error, RateLimitedError) and self._split_after_rate_limit(batch, may_be_applied):
                     return
             except UnknownOutcomeError as error:
-                # It may have been applied, or may still be. Sent again unchanged, it is applied once,
-                # or the comparisons with the pages' revisions show that it was.
+                # It may have been applied, or may still be. Sent again unchanged, it is applied only if it was
+                # not before: otherwise the comparisons with the pages' revisions fail.
                 log.info("outcome of a transaction is unknown, sending it again: %s", error)
                 may_be_applied = True
                 await self._pause_after_failure()
@@ -183,7 +183,7 @@
                     "the key-value store refuses a transaction with pages of %s bytes: %s", batch.page_sizes, error
                 )
                 if may_be_applied:
-                    # An earlier sending of it may still be applied, which only a new token prevents.
+                    # An earlier attempt may still be applied; only a new fencing token prevents that.
                     raise
                 self._requeue_rejected(batch)
                 return
@@ -200,7 +200,7 @@
         await asyncio.sleep(RETRY_PAUSE.total_seconds())
 
     def _split_after_rate_limit(self, batch: PageBatch, may_be_applied: bool) -> bool:
-        """Requeue a batch of several pages, as more changes than the rate allows at once would never pass.
+        """Requeue a batch of several pages, as one that exceeds the store's rate would be refused every time.
 
         Returns whether it was requeued; one that may be applied must be sent again unchanged.
         """
@@ -212,11 +212,11 @@
         return True
 
     def _requeue_rejected(self, batch: PageBatch) -> None:
-        """Let what was not executed wait again, each record for a transaction of its own.
+        """Queue the rejected writes again, each record for a transaction of its own.
 
-        A record that is rejected alone is given up, as one that is known to be too large: what
-        depends on it stays undone, and all else goes on. Giving up leadership for it would bring
-        the next leader to the same transaction.
+        A record that is rejected alone is dropped, like one that is too large: what depends on it is not
+        done, and all other work continues. Stepping down would not help, as the next leader would send the
+        same transaction.
         """
         if len(batch.writes) == 1 and self._packer.isolates_records:
             log.error("record %s can't be stored: the key-value store refuses it", batch.writes[0].key)
@@ -231,7 +231,7 @@
         self.queue.requeue(batch.writes)
 
     async def _resolve_conflict(self, batch: PageBatch, conflict: ConflictError) -> None:
-        """Commit a batch that an earlier sending of it has written; step down if another leader has written."""
+        """Commit a batch that an earlier attempt has written; end the term if another leader has written."""
         revision = None if LEADER_KEY in conflict.failed else await self._revision_if_written(batch.pages[0])
         if revision is None:
             log.info("leadership lost: the keys %s were changed by another leader", conflict.failed)
@@ -240,7 +240,7 @@
         self._committed(batch, revision)
 
     async def _revision_if_written(self, write: PageWrite) -> int | None:
-        """Return the revision of the page if it holds what we sent, None if another leader wrote it."""
+        """Return the revision of the page if it holds what was sent, None if another leader wrote it."""
         while not self._stopped:
             try:
                 item = await self._client.get(write.page.key)
