--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -24,7 +24,9 @@
 CLASS = re.compile(r"([A-Z][a-z]\w*)(?:\.(\w+))?(?:\(.*\))?")
 CONSTANT = re.compile(r"_?[A-Z][A-Z_]+[A-Z]")
 # Files that operators write, keys of the store, and environment variables.
-NOT_IN_THE_REPOSITORY = {"settings.toml", "LOG_LEVEL", "NODE", "KNOWN-RED.txt", "rollout/", "target/app"}
+NOT_IN_THE_REPOSITORY = {"settings.toml", "LOG_LEVEL", "NODE", "KNOWN-RED.txt", "rollout/", "target/app", "t/", "y/"}
+# A file for each level; each package has its own; a class of a library, and one of an earlier version.
+NOT_IN_THE_REPOSITORY |= {"schemas/level-N.json", "messages.py", "EvalWithCompoundTypes", "Misread"}
 
 
 @cache
@@ -87,3 +89,58 @@
     text = (ROOT / "docs" / "architecture.md").read_text()
     packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
     assert {package for package in packages if f"`{package}/`" not in text} == set()
+
+
+# Tables whose header names a column of log lines.
+LOG_TABLE = re.compile(r"^(\|.*\b(?:line|in the log)\b.*)\n\|[- |]+\|\n((?:\|.*\n)+)", re.MULTILINE)
+# What stands for a value in a line of a page: a capital word, a number, an ellipsis.
+VALUE = re.compile(r"…|: |\b[A-Z][A-Z0-9]*\b|\b\d+(?:\.\d+)?\b")
+FORMAT = re.compile(r"%(?:\.\d)?[sdfr]")
+LEVELS = {"info", "warning", "error", "exception"}
+
+
+def logged_lines(page: str) -> list[str]:
+    """Return the log lines in the tables of a page."""
+    lines: list[str] = []
+    for header, rows in LOG_TABLE.findall((ROOT / "docs" / page).read_text()):
+        names = [name.strip() for name in header.split("|")]
+        column = next(number for number, name in enumerate(names) if name in ("line", "in the log"))
+        for row in rows.splitlines():
+            lines += QUOTED.findall(row.split("|")[column])
+    return lines
+
+
+def strings_of_the_sources() -> list[str]:
+    """Return all strings of the sources, with an ellipsis for each value."""
+    return [
+        FORMAT.sub("…", node.value)
+        for path in PACKAGE.rglob("*.py")
+        for node in ast.walk(ast.parse(path.read_text()))
+        if isinstance(node, ast.Constant) and isinstance(node.value, str)
+    ]
+
+
+def log_calls() -> set[str]:
+    """Return the lines that the sources log at one of the LEVELS, with an ellipsis for each value."""
+    found: set[str] = set()
+    for path in PACKAGE.rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text())):
+            match node:
+                case ast.Call(
+                    func=ast.Attribute(value=ast.Name(id="log"), attr=level), args=[ast.Constant(value=str(text)), *_]
+                ) if level in LEVELS:
+                    found.add(FORMAT.sub("…", text))
+    return found
+
+
+def test_the_operations_page_lists_each_log_line() -> None:
+    # A line that is all value has its words elsewhere.
+    assert set(logged_lines("operations.md")) == log_calls() - {"…"}
+
+
+@pytest.mark.parametrize("page", ["operations.md", "rollout.md", "reachability.md"])
+def test_log_lines_in_a_page_are_those_of_the_sources(page: str) -> None:
+    known = "\n".join(strings_of_the_sources())
+    parts = [part.strip(" :,()") for line in logged_lines(page) for part in VALUE.split(line)]
+    assert logged_lines(page) != []
+    assert [part for part in parts if len(part) > 3 and part not in known] == []
