--- a/tests/test_cut_links.py
+++ b/tests/test_cut_links.py
@@ -29,7 +29,7 @@
         server = await asyncio.start_server(echo, HOST, 0)
         faults = LinkFaults()
         target = f"{HOST}:{server.sockets[0].getsockname()[1]}"
-        address = await Forwarder(faults, "a", "b", HOST, lambda: target).start()
+        address = await Forwarder(faults, "a", "b", HOST, target).start()
         reader, writer = await asyncio.open_connection(HOST, int(address.split(":")[1]))
         for source, other in (("a", "b"), ("b", "a")):
             begun = faults.begin(source, other, {"kind": "drop"})
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -33,15 +33,15 @@
 MACHINES, MAX_CONNECTIONS = 8, 200
 # Before the first fault: until the views of the links are exchanged and some jobs run.
 SETTLE_S, SOAK_S = 8.0, 1.0
-PATIENCE_S = 120.0
-LOOK_EVERY_S = 0.5
+TIMEOUT_S = 120.0
+CHECK_INTERVAL_S = 0.5
 
 
 class CutWorkers(StandIns):
     """Stand-ins whose workers reach each controller through the forwarder of their zone."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
-        """The forwarders' addresses, by zone and node, are entered as they start."""
+        """Begin without routes: the forwarders' addresses are added, by zone and node, as they start."""
         super().__init__(loop, controllers, machines)
         self.routes: dict[tuple[str, str], str] = {}
 
@@ -54,7 +54,7 @@
     """Controllers, stand-ins, and a forwarder on each link."""
 
     def __init__(self, loop: RealLoop, folder: Path) -> None:
-        """Settings are written to the folder."""
+        """Write settings to the folder; nothing is started yet."""
         self._loop, self.folder = loop, folder
         self._began = time.monotonic()
         ports = free_ports(2 * len(NODES))
@@ -65,14 +65,14 @@
         self.nodes = {node: Node(node, folder, self._began) for node in NODES}
         self.waits = Waits()
         self.users = Users(self.stand_ins, self.addresses, lambda: list(NODES), lambda: self.waits)
-        self._told: dict[str, list[str]] = {}
+        self._logged: dict[str, list[str]] = {}
 
-    def say(self, what: str) -> None:
-        """One line of the timeline."""
+    def log(self, what: str) -> None:
+        """Print one line of the timeline."""
         print(f"{time.monotonic() - self._began:7.2f} s  {what}", flush=True)
 
     async def start(self) -> None:
-        """Starts everything, and waits until the controllers say that they are ready."""
+        """Start everything; the controllers may need a few seconds until they are ready."""
         await self.stand_ins.start()
         for node in NODES:
             for zone in ZONES:
@@ -93,15 +93,15 @@
         self.nodes[node].settings.write_text(text.replace(store, await self._forward(node, STORE, store)))
 
     async def _forward(self, source: str, target: str, address: str) -> str:
-        return await Forwarder(self.faults, source, target, HOST, lambda: address).start()
+        return await Forwarder(self.faults, source, target, HOST, address).start()
 
     async def stop(self) -> None:
-        """Ends every process."""
+        """End every process."""
         for node in self.nodes.values():
             await node.kill()
 
-    def learn_jobs(self) -> None:
-        """Tells the workers of jobs that were submitted from outside, as they would fetch them from their users."""
+    def adopt_jobs(self) -> None:
+        """Let the workers run jobs that were submitted from outside."""
         rules = self.stand_ins.rules
         for key, record in newest(self.stand_ins.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
@@ -110,7 +110,7 @@
                 rules.submitted(open_fields | spec | {"true_s": spec["expected_s"] or float("inf")})
 
     async def watch(self) -> None:
-        """Prints each change of what a controller says of its links, and who leads."""
+        """Print each change of a controller's links and of the leader that it knows, until cancelled."""
         while True:
             for node in NODES:
                 found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
@@ -119,18 +119,18 @@
                 # Without the ages, which change all the time.
                 lines = [line.split(", last")[0].split(", token")[0].strip() for line in describe(node, found)]
                 lines = [lines[0], *(line for line in lines[1:] if "confirmed" not in line.split(": ")[-1])]
-                if lines != self._told.get(node):
-                    self._told[node] = lines
-                    self.say("; ".join(lines))
-            await asyncio.sleep(LOOK_EVERY_S)
+                if lines != self._logged.get(node):
+                    self._logged[node] = lines
+                    self.log("; ".join(lines))
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def play(self, faults: list[Fault]) -> None:
-        """Plays a schedule."""
+        """Play a schedule."""
 
         def changed(what: str, fault: Fault, pairs: list[tuple[str, str]]) -> None:
             arrow = "<->" if fault.get("both") else "->"
             links = ", ".join(f"{one} {arrow} {other}" for one, other in pairs)
-            self.say(f"{what}: {fault.get('kind', 'drop')} {fault['from']} {arrow} {fault['to']} ({links})")
+            self.log(f"{what}: {fault.get('kind', 'drop')} {fault['from']} {arrow} {fault['to']} ({links})")
 
         await SchedulePlayer(self.faults, NODES, self._leader, changed).play(faults)
 
@@ -138,18 +138,18 @@
         terms = [(at, node.name) for node in self.nodes.values() if (at := node.when("leading with token")) is not None]
         return max(terms)[1] if terms else NODES[0]
 
-    async def until_over(self) -> bool:
-        """Whether every job that was submitted comes to an end."""
-        end = time.monotonic() + PATIENCE_S
+    async def until_finished(self) -> bool:
+        """Return whether every job that was submitted comes to an end."""
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
-            if len(self.users.ends) == self.users.count and set(self.users.ends.values()) <= {"done"}:
+            if len(self.users.states) == self.users.count and set(self.users.states.values()) <= {"done"}:
                 return True
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         return False
 
 
-async def try_out(cluster: Cluster) -> int:
-    """A cluster that runs until it is interrupted."""
+async def run_until_interrupted(cluster: Cluster) -> int:
+    """Run the cluster until interrupted."""
     node = NODES[0]
     print(f"settings file:     {cluster.nodes[node].settings}")
     for verb, what in (("submit", "job.json"), ("status", "run-000001"), ("cancel", "run-000001")):
@@ -157,22 +157,22 @@
     print(f"elmthread links --config {cluster.nodes[node].settings}")
     print("Ctrl-C ends it.", flush=True)
     while True:
-        cluster.learn_jobs()
-        await asyncio.sleep(LOOK_EVERY_S / 2)
+        cluster.adopt_jobs()
+        await asyncio.sleep(CHECK_INTERVAL_S / 2)
 
 
 async def play(cluster: Cluster, faults: list[Fault]) -> int:
-    """Submits jobs, plays the schedule, and tells what became of each job."""
+    """Submit jobs, play the schedule and print the final state of each job; return the exit code."""
     watching = asyncio.create_task(cluster.watch())
     await asyncio.sleep(SETTLE_S / 2)
     submitting = asyncio.create_task(cluster.users.submit())
     await asyncio.sleep(SETTLE_S / 2)
     await cluster.play(faults)
     submitting.cancel()
-    cluster.say("the schedule is over; waiting for the jobs")
-    over = await cluster.until_over()
+    cluster.log("the schedule is over; waiting for the jobs")
+    finished = await cluster.until_finished()
     watching.cancel()
-    ends = cluster.users.ends
+    ends = cluster.users.states
     states: Counter[str] = Counter(ends.values())
     print(f"{cluster.users.count} jobs: {', '.join(f'{count} {state}' for state, count in states.items())}")
     for job_id, state in sorted(ends.items()):
@@ -180,21 +180,21 @@
     print("\n".join(cluster.waits.lines()))
     rules = cluster.stand_ins.rules
     print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
-    return 0 if over and not rules.broken else 1
+    return 0 if finished and not rules.broken else 1
 
 
 async def run(loop: RealLoop, folder: Path, faults: list[Fault] | None) -> int:
-    """Starts the cluster and does what is asked; no process is left, whatever ends it."""
+    """Start the cluster, play the schedule if there is one, and end all processes."""
     cluster = Cluster(loop, folder)
     try:
         await cluster.start()
-        return await (try_out(cluster) if faults is None else play(cluster, faults))
+        return await (run_until_interrupted(cluster) if faults is None else play(cluster, faults))
     finally:
         await cluster.stop()
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command."""
+    """Run the command."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("schedule", nargs="?", type=Path, metavar="SCHEDULE.toml")
     given = parser.parse_args(arguments)
--- a/tools/forwarder.py
+++ b/tools/forwarder.py
@@ -1,13 +1,12 @@
 """A TCP forwarder on one link, each of whose directions can be cut, slowed, reset or refused."""
 
 import asyncio
-from collections.abc import Callable
 
 from tests.world.links import LinkFaults
 
-CHUNK = 65536
-# How often a direction that is cut looks whether it has healed.
-LOOK_S = 0.02
+CHUNK_BYTES = 65536
+# While a direction is dropped, its fault is checked this often.
+CHECK_INTERVAL_S = 0.02
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -18,22 +17,22 @@
     Duplicates don't exist on a connection: that kind of fault changes nothing here.
     """
 
-    def __init__(self, faults: LinkFaults, source: str, target: str, host: str, address: Callable[[], str]) -> None:
-        """`address` says where the target listens."""
+    def __init__(self, faults: LinkFaults, source: str, target: str, host: str, address: str) -> None:
+        """The target listens at `address`; the forwarder is to listen on `host`."""
         self._faults, self._source, self._target = faults, source, target
         self._host, self._address = host, address
         self._server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Begins to listen; the address that stands for the target."""
+        """Begin to listen and return the address that stands for the target."""
         self._server = await asyncio.start_server(self._serve, self._host, 0)
         return f"{self._host}:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         onward: asyncio.StreamWriter | None = None
         try:
-            await self._passage(self._source, self._target)
-            host, _, port = self._address().rpartition(":")
+            await self._until_passable(self._source, self._target)
+            host, _, port = self._address.rpartition(":")
             back, onward = await asyncio.open_connection(host, int(port))
             await asyncio.gather(
                 self._pump(reader, onward, self._source, self._target, writer),
@@ -54,23 +53,23 @@
         target: str,
         caller: asyncio.StreamWriter,
     ) -> None:
-        while data := await reader.read(CHUNK):
-            await self._passage(source, target)
+        while data := await reader.read(CHUNK_BYTES):
+            await self._until_passable(source, target)
             if self._faults.has("refuse", source, target):
                 caller.write(REFUSAL)
                 await caller.drain()
                 break
             writer.write(data)
             await writer.drain()
-        # One side has closed: so does the other, and what it still had to say is of no use.
+        # One side has closed, so both do; what the other still sends is of no use.
         raise ConnectionResetError
 
-    async def _passage(self, source: str, target: str) -> None:
-        """Returns when what waits may pass. Raises ConnectionResetError."""
+    async def _until_passable(self, source: str, target: str) -> None:
+        """Return once data may pass in that direction. Raises ConnectionResetError."""
         delay = self._faults.delay(source, target)
         if delay:
             await asyncio.sleep(delay)
         while self._faults.has("drop", source, target):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
         if self._faults.has("reset", source, target):
             raise ConnectionResetError
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -23,15 +23,14 @@
 from typing import Any
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
+from tools.users import UserLoad, Users, Waits
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE = "loom-0"
 TICKS = os.sysconf("SC_CLK_TCK")
 READY_TIME = 60.0
-# Tasks of each job, and how long one runs.
-TASKS, TASK_S = 40, 20.0
+LOAD = UserLoad(tasks=40, task_s=20.0, poll_interval_s=5.0, polls=100, idle_connections=16)
 OUTAGE_S = 8.0
 
 DUTIES = (
@@ -59,7 +58,7 @@
 
 @dataclass
 class Phase:
-    """What one phase took, and what was asked of the controller in it."""
+    """The time that a phase took, and the requests that the controller got in it."""
 
     name: str
     wall_s: float
@@ -69,10 +68,10 @@
 
 
 class ControllerProcess:
-    """The controller under measurement: a process of its own."""
+    """The measured controller, a process of its own."""
 
     def __init__(self, settings: Path, output: Path | None) -> None:
-        """With `output`, profiles are written there."""
+        """Start the process; with `output`, profiles are written there."""
         command = [sys.executable, "-m", "tools.profiled_controller", str(output), str(settings)]
         if output is None:
             command = [sys.executable, "-S", str(ROOT / "target/app/run.py"), "--config", str(settings)]
@@ -82,18 +81,18 @@
         self._phases = 0
 
     def cpu_s(self) -> float:
-        """Processor seconds so far."""
+        """Return the processor time used so far, in seconds."""
         fields = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
 
     def memory_mb(self) -> float:
-        """The most memory held so far."""
+        """Return the largest resident memory so far."""
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) / 1024
 
     async def end_phase(self) -> Path | None:
-        """The profile of the phase that ends here, where one is made."""
+        """Return the profile of the phase that ends here, if profiles are made."""
         if self._output is None:
             return None
         written = self._output / f"{self._phases}.prof"
@@ -104,32 +103,33 @@
         return written
 
     def kill(self) -> None:
-        """Ends it without notice."""
+        """Kill the process."""
         self._process.kill()
         self._process.wait()
 
 
-class Cluster:
-    """The stand-ins around the controller, and the phases they take it through."""
+class Measurement:
+    """The stand-ins around the controller, and the phases through which they take it."""
 
     def __init__(self, loop: RealLoop, machines: int, jobs: int, output: Path | None) -> None:
-        """`output` is where profiles go, None for figures without them."""
+        """Write profiles to `output`; None measures without them."""
         self._machines, self._jobs, self._output = machines, jobs, output
         self._address = f"{HOST}:18080"
         self._stand_ins = StandIns(loop, {NODE: self._address}, machines)
         self._counts = self._stand_ins.counts
-        self._user = HttpClient(self._address, max_idle=16)
-        self._next_job = 1
+        self._client = HttpClient(self._address)
+        self._waits = Waits()
+        self._users = Users(self._stand_ins, {NODE: self._address}, lambda: [NODE], lambda: self._waits, LOAD)
         self.phases: list[tuple[Phase, Path | None]] = []
 
     async def run(self) -> None:
-        """All phases, one after the other."""
+        """Run all phases, one after the other."""
         with tempfile.TemporaryDirectory() as folder:
             settings = await self._serve(Path(folder))
             controller = self._start(settings, "first")
             await self._phase(controller, "start", self._until_ready())
             await self._phase(controller, "opening rush, all workers come at once", self._opening())
-            await self._phase(controller, "steady", self._submit(self._jobs, TASK_S))
+            await self._phase(controller, "steady", self._submit(self._jobs, LOAD.task_s))
             await self._phase(controller, "outage of the state service", self._outage())
             await self._phase(controller, "end of the outage", asyncio.sleep(5))
             controller.kill()
@@ -153,10 +153,12 @@
 
     async def _phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
         self._counts.clear()
+        self._waits = Waits()
         began, cpu = time.monotonic(), controller.cpu_s()
         await work
         took, used = time.monotonic() - began, controller.cpu_s() - cpu
-        phase = Phase(name, took, used, controller.memory_mb(), Counter(self._counts))
+        requests = Counter(self._counts) + Counter({f"users' {what}": n for what, n in self._waits.counts.items()})
+        phase = Phase(name, took, used, controller.memory_mb(), requests)
         self.phases.append((phase, await controller.end_phase()))
 
     # What happens in the phases
@@ -165,7 +167,7 @@
         end = time.monotonic() + READY_TIME
         while time.monotonic() < end:
             try:
-                if (await self._user.call("GET", "/ready", timeout=CALL_TIME)).status == 200:
+                if (await self._client.call("GET", "/ready", timeout=CALL_TIME)).status == 200:
                     return
             except NoResponseError:
                 pass
@@ -173,32 +175,16 @@
         raise TimeoutError("the controller does not get ready")
 
     async def _opening(self) -> None:
-        """Half of the jobs wait when all machines come up; the others come while they start."""
+        """Submit half of the jobs before all machines start, and the others while they do."""
         await self._submit(self._jobs // 2, 5.0)
         self._stand_ins.add_machines(self._machines)
         await self._submit(self._jobs // 2, 5.0)
 
     async def _submit(self, jobs: int, over_s: float) -> None:
         for _ in range(jobs):
-            spec = job(self._next_job, pieces=TASKS, expected_s=TASK_S, true_s=TASK_S)
-            self._next_job += 1
-            self._stand_ins.rules.submitted(spec)
-            asyncio.get_running_loop().create_task(self._follow(spec))
+            self._users.submit_one()
             await asyncio.sleep(over_s / jobs)
 
-    async def _follow(self, spec: dict[str, Any]) -> None:
-        await self._ask("POST", "/submissions", sent(spec))
-        for _ in range(100):
-            await asyncio.sleep(5)
-            await self._ask("GET", f"/submissions/{spec['name_id']}", None)
-
-    async def _ask(self, method: str, path: str, body: Any) -> None:
-        self._counts["users' requests"] += 1
-        try:
-            await self._user.call(method, path, body, timeout=CALL_TIME)
-        except NoResponseError:
-            self._counts["users without an answer"] += 1
-
     async def _outage(self) -> None:
         self._stand_ins.store.outage(True)
         await asyncio.sleep(OUTAGE_S)
@@ -206,14 +192,14 @@
 
 
 def duty_of(path: str) -> str | None:
-    """The duty that a source file serves; None for what is charged to its callers."""
+    """Return the duty that a source file serves, or None for built-in functions, which count for their callers."""
     if path == "~":
         return None
     return next((duty for part, duty in DUTIES if part in path), "the rest")
 
 
 def shares(profile: Path) -> list[tuple[str, float]]:
-    """Each duty's part of the processor time; built-in functions count for their callers."""
+    """Return each duty's part of the processor time."""
     stats: Any = pstats.Stats(str(profile))
     times: Counter[str] = Counter()
     for (path, _, name), (_, _, own, _, callers) in stats.stats.items():
@@ -234,7 +220,7 @@
 
 
 def report(phase: Phase, profile: Path | None) -> None:
-    """Prints one phase."""
+    """Print one phase."""
     load = phase.cpu_s / phase.wall_s * 100
     print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({load:.1f}% of a core)")
     print(f"  memory so far: {phase.memory_mb:.1f} MB at the most")
@@ -248,19 +234,19 @@
 
 
 def main() -> None:
-    """Runs all phases and prints them."""
+    """Run all phases and print them."""
     arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     arguments.add_argument("--machines", type=int, default=600)
     arguments.add_argument(
-        "--jobs", type=int, default=150, help=f"submitted at the opening, and again each {TASK_S:.0f} s"
+        "--jobs", type=int, default=150, help=f"submitted at the opening, and again each {LOAD.task_s:.0f} s"
     )
     arguments.add_argument("--profile", type=Path, metavar="DIR", help="write profiles to this new directory")
     options = arguments.parse_args()
     loop = RealLoop()
     asyncio.set_event_loop(loop)
-    cluster = Cluster(loop, options.machines, options.jobs, options.profile)
-    loop.run_until_complete(cluster.run())
-    for phase, profile in cluster.phases:
+    measurement = Measurement(loop, options.machines, options.jobs, options.profile)
+    loop.run_until_complete(measurement.run())
+    for phase, profile in measurement.phases:
         report(phase, profile)
 
 
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -147,11 +147,11 @@
     async def _until_over(self) -> None:
         end = time.monotonic() + PATIENCE_S
         while time.monotonic() < end:
-            if len(self._users.ends) == self._users.count and set(self._users.ends.values()) == {"done"}:
+            if len(self._users.states) == self._users.count and set(self._users.states.values()) == {"done"}:
                 self._note(f"all {self._users.count} jobs are done")
                 return
             await asyncio.sleep(0.5)
-        open_jobs = sorted(job_id for job_id, state in self._users.ends.items() if state != "done")
+        open_jobs = sorted(job_id for job_id, state in self._users.states.items() if state != "done")
         raise TimeoutError(f"{len(open_jobs)} of {self._users.count} jobs have not ended: {open_jobs[:5]}")
 
     # Report
--- a/tools/users.py
+++ b/tools/users.py
@@ -13,25 +13,23 @@
 from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, StandIns
 
-# A user submits a job each so many seconds, of so many tasks, which take so long.
-JOB_EVERY_S, TASKS, TASK_S = 0.5, 8, 6.0
 # Bounds of the histograms, in milliseconds, and their significant digits.
-SHORTEST_MS, LONGEST_MS, DIGITS = 1, 60_000, 3
-# Attempts of a user, a second apart; the protocol lets one try for 60 s.
-ATTEMPTS = 60
-LATE_MS = 1000
+MIN_WAIT_MS, MAX_WAIT_MS, DIGITS = 1, 60_000, 3
+# Attempts of a submission, a second apart: the protocol allows 60 s.
+MAX_ATTEMPTS = 60
+SLOW_SUBMISSION_MS = 1000
 
 
 @dataclass
 class Waits:
-    """What users noticed in one phase."""
+    """How long users waited in one phase, and what else they noticed."""
 
-    submissions: Any = field(default_factory=lambda: HdrHistogram(SHORTEST_MS, LONGEST_MS, DIGITS))
-    polls: Any = field(default_factory=lambda: HdrHistogram(SHORTEST_MS, LONGEST_MS, DIGITS))
+    submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
+    polls: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
     counts: Counter[str] = field(default_factory=Counter)
 
     def lines(self) -> list[str]:
-        """For the report."""
+        """Return lines for a report."""
         found = []
         for name, histogram in (("submissions", self.submissions), ("polls", self.polls)):
             total = histogram.get_total_count()
@@ -41,36 +39,60 @@
         return found
 
 
+@dataclass(frozen=True)
+class UserLoad:
+    """What users submit and how they follow it."""
+
+    # Time between two submissions of `Users.submit`.
+    submit_interval_s: float = 0.5
+    tasks: int = 8
+    task_s: float = 6.0
+    poll_interval_s: float = 2.0
+    # So many polls, whatever the state; None: until the job is done.
+    polls: int | None = None
+    # Connections that are kept open to each node; 0: a new one for each request.
+    idle_connections: int = 0
+
+
+USUAL_LOAD = UserLoad()
+
+
 class Users:
-    """Submissions and polls through a stand-in load balancer."""
+    """Users that submit jobs and poll their state through a stand-in load balancer."""
 
     def __init__(
         self,
         stand_ins: StandIns,
         addresses: dict[str, str],
-        up: Callable[[], list[str]],
+        healthy: Callable[[], list[str]],
         waits: Callable[[], Waits],
+        load: UserLoad = USUAL_LOAD,
     ) -> None:
-        """`up` names the nodes that the load balancer takes for healthy, `waits` says what to count in now."""
-        self._stand_ins, self._addresses = stand_ins, addresses
-        self._up, self._waits = up, waits
-        # Jobs submitted, and the last state that was told of each.
+        """`healthy` names the nodes to which requests may go now, `waits` says where they are counted now."""
+        self._stand_ins, self._load = stand_ins, load
+        self._healthy, self._waits = healthy, waits
+        self._clients = {node: HttpClient(address, load.idle_connections) for node, address in addresses.items()}
+        # Jobs submitted, and the last state that was returned for each.
         self.count = 0
-        self.ends: dict[str, str] = {}
+        self.states: dict[str, str] = {}
 
     async def submit(self) -> None:
-        """Submits a job every now and then, for ever, and follows each to its end."""
+        """Submit a job at each interval, until cancelled, and follow each."""
         while True:
-            spec = job(self.count, pieces=TASKS, expected_s=TASK_S, true_s=TASK_S)
-            self.count += 1
-            self._stand_ins.rules.submitted(spec)
-            asyncio.get_running_loop().create_task(self._follow(spec))
-            await asyncio.sleep(JOB_EVERY_S)
+            self.submit_one()
+            await asyncio.sleep(self._load.submit_interval_s)
+
+    def submit_one(self) -> None:
+        """Submit a job and follow it in the background."""
+        spec = job(self.count, pieces=self._load.tasks, expected_s=self._load.task_s, true_s=self._load.task_s)
+        self.count += 1
+        self._stand_ins.rules.submitted(spec)
+        asyncio.get_running_loop().create_task(self._follow(spec))
 
     async def _follow(self, spec: dict[str, Any]) -> None:
         job_id, waits = spec["name_id"], self._waits()
         began = time.monotonic()
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             answer = await self._ask(job_id, "POST", "/submissions", sent(spec))
             if answer is not None and answer.status in (200, 201):
                 break
@@ -80,11 +102,13 @@
             waits.counts["submissions given up"] += 1
             return
         took_ms = (time.monotonic() - began) * 1000
-        waits.submissions.record_value(max(SHORTEST_MS, round(took_ms)))
-        waits.counts["submissions that took over 1 s"] += took_ms > LATE_MS
-        while self.ends.get(job_id) != "done":
-            await asyncio.sleep(2)
+        waits.submissions.record_value(max(MIN_WAIT_MS, round(took_ms)))
+        waits.counts["submissions that took over 1 s"] += took_ms > SLOW_SUBMISSION_MS
+        polled = 0
+        while self.states.get(job_id) != "done" if self._load.polls is None else polled < self._load.polls:
+            await asyncio.sleep(self._load.poll_interval_s)
             await self._poll(job_id)
+            polled += 1
 
     async def _poll(self, job_id: str) -> None:
         waits, began = self._waits(), time.monotonic()
@@ -92,16 +116,17 @@
         if answer is None or answer.status != 200:
             waits.counts["polls without an answer"] += 1
             return
-        waits.polls.record_value(max(SHORTEST_MS, round((time.monotonic() - began) * 1000)))
-        self.ends[job_id] = answer.body["status"]
+        waits.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - began) * 1000)))
+        self.states[job_id] = answer.body["status"]
 
     async def _ask(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
-        """As through a load balancer: another node is asked where one refuses the connection or is not ready."""
+        """Ask as through a load balancer: another node where one refuses the connection or is not ready."""
+        self._waits().counts["requests"] += 1
         asked = asyncio.get_running_loop().time()
         answer = None
-        for node in self._up():
+        for node in self._healthy():
             try:
-                answer = await HttpClient(self._addresses[node]).call(method, path, body, timeout=CALL_TIME)
+                answer = await self._clients[node].call(method, path, body, timeout=CALL_TIME)
             except NoResponseError:
                 continue
             if answer.status != 503:
