--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers, and what each machine has by its type."""
+"""The machine types that the cloud offers, and the size and price that they give each machine."""
 
 from collections.abc import Iterable
 
@@ -32,7 +32,7 @@
         self._events.notify_changed()
 
     def add_machine(self, machine: Machine) -> None:
-        """Add a machine to the cluster, with what its type gives it."""
+        """Add a machine to the cluster, with the size and price of its type."""
         self._apply_to(machine)
         self._cluster.add_machine(machine)
 
@@ -42,5 +42,5 @@
         if machine_type is None:
             return
         machine.cpus, machine.gpus, machine.memory_gb = machine_type.cpus, machine_type.gpus, machine_type.memory_gb
-        machine.image_fetch_rate = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
+        machine.image_fetch_gb_per_s = max(machine_type.fetch_gb_per_s, MIN_FETCH_GB_PER_S)
         machine.price_per_hour = machine_type.spot_price if machine.spot else machine_type.price
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -3,20 +3,20 @@
 import asyncio
 import logging
 
-from elmthread.api.service import JobService
+from elmthread.api.job_service import JobService
 from elmthread.leader import Leader, NodeServices
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.limits import FOLLOWER_STORE_SHARE, LEADER_STORE_SHARE
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.monitor import PeerConnections
 from elmthread.rollout.gate import IncompatibleLevelError
-from elmthread.store.pacing import TokenBucket
+from elmthread.store.token_bucket import TokenBucket
 
 log = logging.getLogger(__name__)
 
 
 class LeaderRunner:
-    """Begins and ends this node's terms; a `leadership.election.LeadershipListener`."""
+    """Begins and ends this node's terms; a `leadership.listener.LeadershipListener`."""
 
     def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
         """`store_requests` paces this node's requests to the key-value store: a leader has a larger share of them."""
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -13,7 +13,6 @@
 import secrets
 from dataclasses import dataclass
 from datetime import timedelta
-from typing import Protocol
 
 import msgspec
 
@@ -21,6 +20,7 @@
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
+from elmthread.leadership.listener import LeadershipListener
 from elmthread.leadership.role import ROLE_STEPS, Role
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.store import messages
@@ -32,7 +32,7 @@
     StoreUnavailableError,
     UnknownOutcomeError,
 )
-from elmthread.store.records import LEADER
+from elmthread.store.records import LEADER_KEY
 
 log = logging.getLogger(__name__)
 
@@ -48,16 +48,6 @@
 LEADER_PAGE_SIZE = 10
 
 
-class LeadershipListener(Protocol):
-    """Who acts on the beginning and the end of this node's terms."""
-
-    def on_elected(self, fencing_token: int) -> None:
-        """Begin the term of that token."""
-
-    def on_lost(self) -> None:
-        """End the present term: nothing more may be done under its token."""
-
-
 @dataclass(frozen=True)
 class ElectionSettings:
     """The node that takes part, and the times of its terms."""
@@ -182,8 +172,8 @@
                 await asyncio.sleep(RETRY_INTERVAL.total_seconds())
 
     async def _follow_or_campaign(self) -> None:
-        page = await self._store.read_page(LEADER, None, LEADER_PAGE_SIZE)
-        item = next((item for item in page.items if item.key == LEADER), None)
+        page = await self._store.read_page(LEADER_KEY, None, LEADER_PAGE_SIZE)
+        item = next((item for item in page.items if item.key == LEADER_KEY), None)
         if item is None:
             await self._campaign_if_allowed()
             return
@@ -201,7 +191,7 @@
     async def _follow(self, revision: int) -> None:
         """Return once the leader key has changed after that revision."""
         while True:
-            changes = await self._store.watch(LEADER, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
+            changes = await self._store.watch(LEADER_KEY, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
             if changes.events:
                 return
             revision = max(revision, changes.revision)
@@ -235,7 +225,7 @@
         value = msgspec.to_builtins(LeaderRecord(self._node, nonce, lease_id))
         try:
             mod_revision = await self._store.compare_and_swap(
-                [messages.compare(LEADER, 0)], [messages.put(LEADER, value, lease_id)]
+                [messages.compare(LEADER_KEY, 0)], [messages.put(LEADER_KEY, value, lease_id)]
             )
         except ConflictError:
             await self._store.revoke_lease(lease_id)
