--- a/src/elmthread/api/__init__.py
+++ b/src/elmthread/api/__init__.py
@@ -1,1 +1,1 @@
-"""The users' interface: submissions, status and cancellations, on every node and at the leader."""
+"""The HTTP API: submission, status and cancellation of jobs, on every node and at the leader."""
--- a/src/elmthread/api/cancellation.py
+++ b/src/elmthread/api/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations at the leader, which are idempotent."""
+"""Cancellation of jobs by the leader, which is idempotent."""
 
 from elmthread.api import responses
 from elmthread.api.job_writes import JobWrites
@@ -13,7 +13,7 @@
     """Cancels jobs that have not ended."""
 
     def __init__(self, context: TermContext, writes: JobWrites, status: StatusReporter) -> None:
-        """Cancel by `writes`, which makes an end durable before it is answered."""
+        """`writes` makes the end of a job durable before it is confirmed; `status` makes the responses."""
         self._cluster = context.cluster
         self._term = context.term
         self._events = context.events
--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -14,7 +14,7 @@
 
 
 class ApiCall(NamedTuple):
-    """One request to a controller."""
+    """A request to a controller."""
 
     method: str
     path: str
@@ -29,14 +29,14 @@
         print(f"elmthread: {error}", file=sys.stderr)
         return 2
     try:
-        answer = asyncio.run(_send(args.server, call))
+        response = asyncio.run(_send(args.server, call))
     except (NoResponseError, ValueError) as error:
         print(f"elmthread: no answer: {error}", file=sys.stderr)
         return 1
-    print(json.dumps(answer.body))
-    if answer.status in (200, 201):
+    print(json.dumps(response.body))
+    if response.status in (200, 201):
         return 0
-    print(f"elmthread: status {answer.status}", file=sys.stderr)
+    print(f"elmthread: status {response.status}", file=sys.stderr)
     return 1
 
 
--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -1,4 +1,4 @@
-"""Users' requests on any node: carried out where the leader is, whichever node took them."""
+"""Forwarding of users' requests: any node accepts them, and only the leader executes them."""
 
 from datetime import timedelta
 from functools import partial
@@ -14,13 +14,13 @@
 from elmthread.peers.connection import PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 
-# Users wait 5 s for a submission and 2 s for a status; the response must be on its way before.
+# Users wait 5 s for a submission and 2 s for a status; the response must be sent before that.
 FORWARDING_TIMEOUTS: dict[str, timedelta] = {
     RequestVerb.SUBMIT: seconds(4),
     RequestVerb.CANCEL: seconds(4),
     RequestVerb.STATUS: seconds(1.5),
 }
-# What an overloaded node refuses.
+# The class of each request, by which an overloaded node refuses it.
 WORK_CLASSES: dict[str, WorkClass] = {
     RequestVerb.SUBMIT: WorkClass.SUBMISSION,
     RequestVerb.CANCEL: WorkClass.STATUS_REQUEST,
@@ -29,10 +29,10 @@
 
 
 class RequestForwarder:
-    """Carries requests out on the leader, and forwards them to it from the other nodes."""
+    """Executes requests on the leader, and forwards them to it from the other nodes."""
 
     def __init__(self, node: ApiNode, readiness: Readiness) -> None:
-        """`readiness` says whether users may as well come back to this node."""
+        """`readiness` says whether users are to retry on this node."""
         self._node = node
         self._readiness = readiness
 
@@ -50,7 +50,7 @@
         return await self._forward(leader, request)
 
     async def handle_peer_request(self, request: ForwardedRequest) -> ForwardedResponse:
-        """Return the response to another node's request, which is for the term that it knows."""
+        """Return the response to another node's request, which names the term that it is for."""
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
             return _reply(request, Response(200 if confirmed else 503))
@@ -79,11 +79,11 @@
         )
 
     def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
-        """Return whether this node has neither been suspended with the reply nor learnt of a newer leader."""
+        """Return whether the reply is in time, and this node knows of no newer leader than the one that sent it."""
         return self._node.clock() <= until and reply.fencing_token >= self._node.election.highest_seen_token
 
     async def _carry_out(self, request: ForwardedRequest) -> Response:
-        """Carry the request out as the leader, with a complete state and a lease that surely holds."""
+        """Execute the request as the leader, with a complete state and a valid leader lease."""
         service = self._node.leading_service()
         if service is None or not self._node.election.holds_lease():
             return responses.not_leading()
@@ -93,10 +93,10 @@
         return response
 
     def _unavailable(self, reason: str) -> Response:
-        """Return a response that asks the user to come back; to another node, if this one is not ready.
+        """Return a response to retry the request later; it closes the connection if this node is not ready.
 
-        The load balancer sends new connections elsewhere by then, but leaves open ones where they
-        are for seconds more, on which the user would ask here again and again.
+        The load balancer then sends new connections to other nodes, but keeps open ones for seconds more, on
+        which the user would retry on this node.
         """
         response = responses.retry(reason)
         response.close = self._readiness.check().status != 200
--- a/src/elmthread/api/job_service.py
+++ b/src/elmthread/api/job_service.py
@@ -1,4 +1,4 @@
-"""The users' requests as the leader carries them out: from a complete state, and only what is durable."""
+"""The leader's side of the API: executes users' requests, and confirms only what is durable."""
 
 from dataclasses import dataclass
 from datetime import timedelta
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """What users' requests are held to."""
+    """Limits on users' requests."""
 
-    # Submissions and cancellations that may wait for the store at a time.
+    # Submissions and cancellations that may wait for the store at the same time.
     max_waiting: int
-    # How soon after a confirmed cancellation no task may run any more.
+    # Within this time after a confirmed cancellation, all tasks of the job must have ended.
     cancellation_time: timedelta
 
 
 class JobService:
-    """All that users can ask of the leader, in one term."""
+    """Executes the users' requests of one term."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         leases: WorkerLeases,
         limits: RequestLimits,
     ) -> None:
-        """`leases` says when a machine that is not reached has ended its tasks."""
+        """`leases` says by when a machine that can't be reached has ended its tasks."""
         self._term = context.term
         writes = JobWrites(context, limits.max_waiting)
         self._status = StatusReporter(context, leases, limits.cancellation_time)
@@ -45,15 +45,15 @@
 
     @property
     def fencing_token(self) -> int:
-        """The term's token."""
+        """The fencing token of the term."""
         return self._term.fencing_token
 
     def holds_lease(self) -> bool:
-        """Return whether responses may still leave; asked right before one does."""
+        """Return whether the leader lease is valid; checked right before a response is sent."""
         return self._term.holds_lease()
 
     async def submit(self, job_id: str, spec: JobSpec | None, fault: str | None) -> Response:
-        """Accept a job, or answer for one that was accepted before; without `spec`, `fault` says why."""
+        """Accept a job, or respond with the status of one accepted before; without `spec`, `fault` says why."""
         return await self._submissions.submit(job_id, spec, fault)
 
     def status(self, job_id: str) -> Response:
@@ -61,5 +61,5 @@
         return self._status.status(job_id)
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancel a job, or answer for one that has ended."""
+        """Cancel a job, or respond with the status of one that has ended."""
         return await self._cancellations.cancel(job_id)
--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -1,4 +1,4 @@
-"""Jobs on their way to the store, and the requests that wait for them."""
+"""Writes of jobs to the store, and the requests that wait for them."""
 
 import asyncio
 import logging
@@ -16,9 +16,9 @@
 
 log = logging.getLogger(__name__)
 
-# Users give a request up after 5 s; the response must leave well before.
+# Users abandon a request after 5 s; the response must be sent well before.
 DURABILITY_TIMEOUT = seconds(3.5)
-# After this time without a change taken by the store, requests are refused instead of waiting.
+# After this time without a transaction accepted by the store, requests are refused instead of waiting.
 MAX_STORE_FAILURE_TIME = seconds(1)
 
 
@@ -26,12 +26,12 @@
     """Makes jobs durable whose submission or cancellation a user waits for."""
 
     def __init__(self, context: TermContext, max_waiting: int) -> None:
-        """At most `max_waiting` writes may be under way."""
+        """At most `max_waiting` writes may be pending."""
         self._writer = context.writer
         self._events = context.events
         self._clock = context.clock
         self._max_waiting = max_waiting
-        # Writes under way, by job.
+        # Pending writes, by job.
         self._pending: dict[str, asyncio.Future[None]] = {}
 
     def refuse_more(self) -> Response | None:
@@ -45,11 +45,11 @@
         return None
 
     def is_pending(self, job_id: str) -> bool:
-        """Return whether a write of the job is under way."""
+        """Return whether a write of the job is pending."""
         return job_id in self._pending
 
     def write(self, job: Job) -> None:
-        """Begin to make the job durable as it is when the write leaves."""
+        """Queue a write of the job, in the state that it has when the write is sent."""
         written = self._writer.write_and_wait(
             job_key(job.id), WritePriority.USER, partial(make_job_record, job), partial(self._mark_durable, job)
         )
@@ -57,7 +57,7 @@
         written.add_done_callback(partial(self._end, job.id))
 
     async def wait_until_durable(self, job_id: str) -> Response | None:
-        """Return None once no write of the job is under way, or the response if that takes too long."""
+        """Wait for a pending write of the job; return None, or the response if that takes too long."""
         written = self._pending.get(job_id)
         if written is None:
             return None
@@ -76,5 +76,5 @@
         if self._pending.get(job_id) is written:
             del self._pending[job_id]
         if not written.cancelled():
-            # Retrieved, as nobody may be waiting for it.
+            # Retrieved, as asyncio logs exceptions that nobody has retrieved.
             written.exception()
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -1,4 +1,4 @@
-"""What users send and what they are answered, in the words of the wire."""
+"""The users' requests and the responses to them, in the words of the wire."""
 
 import math
 import re
@@ -15,10 +15,10 @@
 
 
 class InvalidSubmissionError(ElmthreadError):
-    """The body can't be a submission; says which field is wrong."""
+    """The body is no valid submission; the message names the field."""
 
 
-# Amounts that must be finite, by the name that an error gives them.
+# Fields that must be finite numbers, by the names that error messages use.
 _AMOUNTS = {
     "cpus": "cpus",
     "cards": "gpus",
@@ -32,7 +32,7 @@
 
 
 def job_id_of(body: Any) -> str:
-    """Return the job's id alone, as a known job is answered before the rest is read.
+    """Return the job's id alone, as the response for a known job does not depend on the rest.
 
     Raises InvalidSubmissionError.
     """
@@ -45,7 +45,7 @@
 
 
 def read_submission(body: Any) -> JobSpec:
-    """Return the job that a decoded body asks for. Raises InvalidSubmissionError."""
+    """Return the specification in a decoded body. Raises InvalidSubmissionError."""
     job_id_of(body)
     try:
         spec = msgspec.convert(body, JobSpec)
@@ -61,7 +61,7 @@
 
 
 class StatusName(StrEnum):
-    """A job's state by the name that users know."""
+    """The state of a job in responses to users."""
 
     QUEUED = "queued"
     RUNNING = "running"
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -1,4 +1,4 @@
-"""What the users' interface uses of its node, whoever leads."""
+"""The parts of a node that the API uses, whether the node leads or not."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -1,4 +1,4 @@
-"""Whether the load balancer is to send users to this node."""
+"""Readiness: whether the load balancer is to send users to this node."""
 
 from datetime import timedelta
 
@@ -7,10 +7,10 @@
 from elmthread.common.clock import seconds
 from elmthread.net.http_messages import Response
 
-# A node that can't reach the leader it knows leaves users to nodes that can, after this time.
+# A node that can't reach the leader is no longer ready after this time, as other nodes may reach it.
 UNREACHED_LEADER_GRACE = seconds(2.8)
-# Where nobody leads, no node is better than another: users are asked at once to come back,
-# and a node taken out of service would be missing for a while after the trouble ends.
+# Without a leader no node can serve better than another. A node that the load balancer takes out of service
+# would be missing for a while after a leader is elected.
 NO_LEADER_GRACE = seconds(60)
 
 
@@ -18,7 +18,7 @@
     """Remembers when this node could last serve users."""
 
     def __init__(self, node: ApiNode) -> None:
-        """Begin as a node that has not reached a leader yet."""
+        """Start not ready, until a leader has been reached."""
         self._node = node
         self._could_serve_at: timedelta | None = None
 
--- a/src/elmthread/api/responses.py
+++ b/src/elmthread/api/responses.py
@@ -1,4 +1,4 @@
-"""Responses that several kinds of requests share."""
+"""Responses that several handlers of requests share."""
 
 from datetime import timedelta
 
@@ -10,12 +10,12 @@
 
 
 def rejection(status: int, reason: str) -> Response:
-    """Return a response to a request that can't be carried out, now or later."""
+    """Return a response to a request that can never be executed."""
     return Response(status, {"error": reason})
 
 
 def retry(reason: str, after: timedelta = RETRY_AFTER) -> Response:
-    """Return a response to a request that may be carried out later."""
+    """Return a response to a request that may succeed later."""
     return retry_later(503, after, reason)
 
 
@@ -25,7 +25,7 @@
 
 
 def not_leading() -> Response:
-    """Return the response of a node that does not lead, or does not surely lead any more."""
+    """Return the response of a node that does not lead, or whose leader lease may have expired."""
     return retry("not leading")
 
 
@@ -35,5 +35,5 @@
 
 
 def overloaded(reason: str) -> Response:
-    """Return the response to a request that is one too many."""
+    """Return the response to a request beyond what the node can handle."""
     return retry_later(429, RETRY_AFTER_OVERLOAD, reason)
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -1,4 +1,4 @@
-"""The paths that every node serves."""
+"""The HTTP paths that every node serves, and the handler of each."""
 
 from collections.abc import Awaitable, Callable
 
@@ -55,7 +55,7 @@
         try:
             submission.body = msgspec.to_builtins(read_submission(body))
         except InvalidSubmissionError as error:
-            # Left to the leader, which answers for a job that it knows whatever the body is.
+            # Left to the leader: for a job that it knows, it responds with the status whatever the body is.
             submission.fault = str(error)
         return await self._forwarder.handle(submission)
 
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -1,4 +1,4 @@
-"""Responses that state a job's state: only what is durable, and only what can't change back."""
+"""Responses with the status of jobs: only states that are durable and can't change back."""
 
 import logging
 from datetime import timedelta
@@ -19,10 +19,10 @@
 
 
 class StatusReporter:
-    """Answers with the state of jobs."""
+    """Makes the responses that state the status of jobs."""
 
     def __init__(self, context: TermContext, leases: WorkerLeases, cancellation_time: timedelta) -> None:
-        """`cancellation_time`: within it after a confirmed cancellation all tasks of the job must have ended."""
+        """`cancellation_time`: within it after a confirmed cancellation, all tasks of the job must have ended."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._leases = leases
@@ -34,17 +34,17 @@
         if job is None:
             return responses.unknown_job()
         if job.durable_state is None:
-            # Submitted, but not durable: neither known nor unknown.
+            # Not durable yet, so it may still be lost.
             return responses.not_durable_yet()
         return self.respond(job, 200, describe(job))
 
     def respond(self, job: Job, status: int, body: JobStatus) -> Response:
-        """Return the response that states the job's state, or when to ask again while it can't be stated yet.
+        """Return the response with the job's status, or one to retry later while the status can't be sent.
 
-        Once `cancelled` has been sent to a user, all tasks must end within `cancel_s`. A machine
-        that can't be reached is empty once its lease has expired, as this leader and every earlier
-        one can have renewed it; where that might be later, the cancellation is not confirmed yet.
-        Nor is an older state: an earlier leader may have confirmed the cancellation.
+        Once a cancellation has been confirmed to a user, all tasks must end within `cancel_s`. A machine that
+        can't be reached is empty once its worker lease has expired, with every renewal by this or an earlier
+        leader. While that may be too late, the cancellation is not confirmed. An older status is not sent
+        either, as an earlier leader may have confirmed the cancellation.
         """
         if job.durable_state is not JobState.CANCELLED:
             return Response(status, body.body())
--- a/src/elmthread/api/validation.py
+++ b/src/elmthread/api/validation.py
@@ -1,4 +1,4 @@
-"""Whether a submitted job can run at all on this platform."""
+"""Validation of submitted jobs: rejects those that can never run on this platform."""
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.job_factory import JobFactory
@@ -13,10 +13,10 @@
 
 
 class JobValidator:
-    """Judges jobs by their teams' quotas, the machine types and the size of a stored value."""
+    """Checks jobs against their teams' quotas, the machine types and the size of a stored value."""
 
     def __init__(self, cluster: ClusterSettings, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
-        """Judge with these; `factory` makes the job whose record is measured."""
+        """`factory` makes the job whose record is measured; `catalog` has the machine types."""
         self._teams = {team.name: team for team in cluster.teams}
         self._max_record_bytes = page_capacity(cluster.store.strictest().value_kb)
         self._factory = factory
@@ -24,7 +24,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the machine types are known, without which no job can be judged."""
+        """Whether the machine types are known, which validation needs."""
         return self._catalog.is_known
 
     def rejection_reason(self, spec: JobSpec) -> str | None:
@@ -44,7 +44,7 @@
         job_id=spec.id,
         team=spec.team,
         sort_key=SortKey(PlacementClass.ON_TIME),
-        # Tasks of a batch may run one after the other, replicas can't.
+        # Tasks of a batch may run one after the other, replicas must run together.
         count=spec.tasks if spec.form == SERVICE else 1,
         cpus=spec.cpus,
         gpus=spec.gpus,
--- a/src/elmthread/cluster/machine_deletion.py
+++ b/src/elmthread/cluster/machine_deletion.py
@@ -9,7 +9,7 @@
 
 
 class DeletionReason(StrEnum):
-    """Why a machine is deleted, as the log says it."""
+    """Why a machine is deleted; the values are for the log."""
 
     NO_HEARTBEATS = "no heartbeats"
     REPLICAS_TO_RESTART = "no heartbeats, and its replicas are to be restarted"
@@ -24,7 +24,7 @@
 
 
 def request_deletion(machine: Machine, reason: DeletionReason) -> None:
-    """Have the machine deleted, unless that was requested before."""
+    """Request the deletion of the machine, unless that was done before."""
     if machine.state in (MachineState.DELETING, MachineState.DELETED):
         return
     log.info("deleting %s: %s", machine.name, reason)
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -29,7 +29,7 @@
 
 
 class NoCapacityError(ElmthreadError):
-    """The cloud has none of this type, zone and kind now."""
+    """The cloud has no capacity for this kind of instance now."""
 
 
 class CloudClient:
@@ -38,11 +38,11 @@
     def __init__(
         self, caller: HttpCaller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
     ) -> None:
-        """`may_change` is asked right before a call that changes something leaves: the cloud knows no leaders."""
+        """`may_change` is checked right before each changing call is sent, as the cloud does no fencing."""
         self._caller = caller
         self._may_change = may_change
         self.rate_limit = rate_limit
-        # How late the cloud's list is.
+        # How far the cloud's list may lag behind.
         self.list_lag = list_lag
 
     async def machine_types(self) -> list[MachineType]:
@@ -58,7 +58,7 @@
         return _read(response, messages.ProvisionedMachines).machines
 
     async def delete(self, names: list[str]) -> None:
-        """Delete the machines: once this returns, all that was on them has ended. Raises CloudError."""
+        """Delete the machines: once this returns, all tasks on them have ended. Raises CloudError."""
         body = messages.encode_body(messages.DeletionBody(names))
         await self._call("POST", "/hosts/delete", body, self._may_change)
 
--- a/src/elmthread/machines/deletion.py
+++ b/src/elmthread/machines/deletion.py
@@ -1,7 +1,7 @@
-"""Deletion of machines.
+"""Deletes machines whose deletion was requested.
 
-The response to a machine's deletion proves that it and all on it are gone. So a machine in doubt
-is deleted, and what is on it counts as there until the deletion is confirmed.
+The cloud's response to a deletion proves that the machine and all tasks on it are gone. So a machine whose
+state is unknown is deleted, and its allocations are kept until the deletion is confirmed.
 """
 
 import logging
@@ -22,7 +22,7 @@
     def __init__(
         self, context: TermContext, cloud: CloudClient, provisioner: Provisioner, inventory: Inventory
     ) -> None:
-        """Delete through `cloud`; `provisioner` and `inventory` forget machines that are gone."""
+        """`provisioner` and `inventory` are notified of deleted machines."""
         self._cluster = context.cluster
         self._writer = context.writer
         self._events = context.events
@@ -41,7 +41,7 @@
         ][:MAX_DELETIONS_PER_CALL]
 
     def start(self, names: list[str]) -> None:
-        """Mark the machines as on their way, so that the next batch leaves them out."""
+        """Mark the machines as being deleted, so that the next batch leaves them out."""
         self._in_progress.update(names)
 
     async def delete(self, names: list[str]) -> None:
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -1,4 +1,4 @@
-"""Failure detection: which machines are overdue, lost or faulty, and what they may still hold."""
+"""Failure detection: finds overdue, lost and faulty machines, and releases what expired worker leases held."""
 
 import logging
 from datetime import timedelta
@@ -13,21 +13,21 @@
 
 log = logging.getLogger(__name__)
 
-# Parts and multiples of the workers' lease.
-# Silent for this long, a machine has missed heartbeats and gets nothing new.
+# In durations of the worker lease.
+# A machine without a heartbeat for this long gets no new tasks.
 HEARTBEAT_OVERDUE_LEASES = 0.4
-# Silent for this long while hardly any others are, a machine is most likely dead. Where it holds
-# replicas it is deleted, as they can be restarted once the deletion is confirmed, before the lease
-# expires; that outweighs that some machines only hang.
+# A machine without a heartbeat for this long, while hardly any others are silent, is most likely dead. If it
+# holds replicas it is deleted, as they can be restarted once the deletion is confirmed, before the lease
+# expires; this is worth deleting a few machines that only hang.
 PROBABLY_DEAD_LEASES = 0.6
 # A machine that has not received responses for this long is deleted.
 RESPONSES_LOST_LEASES = 3
-# Machines of a zone that seems to be cut off may be back sooner than others would boot: for so
-# long they are not deleted for their silence.
+# Machines in a zone that seems to be cut off are not deleted for missing heartbeats this much longer, as
+# they may be back sooner than others would boot.
 ZONE_OUTAGE_ALLOWANCE = seconds(90)
-# A machine is deleted this long before the cloud takes it: by then all on it has been saved.
+# An interrupted machine is deleted this long before the cloud reclaims it: its tasks have been stopped by then.
 INTERRUPTION_MARGIN = seconds(1)
-# A machine may take this many times its usual boot time, and the margin.
+# A machine may take this many times the boot time of its type, plus the margin.
 BOOT_TIMEOUT_FACTOR = 2.5
 BOOT_TIMEOUT_MARGIN = seconds(10)
 # For a machine whose type is not known.
@@ -35,7 +35,7 @@
 
 
 class FailureDetector:
-    """Judges each machine by its silence, its interruption notice and its health."""
+    """Checks each machine's heartbeats, interruption notice and health."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         zones: ZoneHealth,
         list_lag: timedelta,
     ) -> None:
-        """`zones` says which zones seem to be cut off; `list_lag` is how late the cloud's list is."""
+        """`zones` says which zones seem to be cut off; `list_lag` is how far the cloud's list may lag behind."""
         self._cluster = context.cluster
         self._events = context.events
         self._clock = context.clock
@@ -71,7 +71,7 @@
                 and machine.responses_lost_since is None
                 and not machine.quarantined
             ):
-                # Healthy, as most machines are most of the time.
+                # The usual case: healthy.
                 machine.heartbeat_overdue = False
             else:
                 self._check_machine(machine, now)
@@ -93,7 +93,7 @@
             request_deletion(machine, reason)
 
     def _deletion_reason(self, machine: Machine, now: timedelta, allowance: timedelta) -> DeletionReason | None:
-        """Return why a machine that has booted is to be deleted, if it is."""
+        """Return why a machine that has booted is to be deleted, None if it is not."""
         lease = self._leases.duration
         lost_since = machine.responses_lost_since
         silence = self._leases.silence(machine, now)
@@ -122,7 +122,7 @@
         return seconds(machine_type.boot_s) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN
 
     def _release_expired(self, machine: Machine, now: timedelta) -> None:
-        """Release the allocations of a machine whose lease has surely expired."""
+        """Release the allocations of a machine whose worker lease has expired by now at the latest."""
         if machine.allocations and now > self._leases.expires_by(machine):
             log.info("the worker lease of %s has expired; its tasks are released", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id.incarnation
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -1,7 +1,7 @@
-"""The cloud's list of machines.
+"""Reconciliation of the known machines with the cloud's list.
 
-The list lags and can be older than the one before it, so absence from it proves nothing: a
-machine that several lists leave out and that sends no heartbeats is deleted to make sure.
+The list lags, and can be older than the one before it, so a machine missing from it may still exist: one that
+several lists leave out and that sends no heartbeats is deleted explicitly.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that this many lists in a row leave out is deleted, if it sends no heartbeats either.
+# A machine that this many consecutive lists leave out is deleted, if it sends no heartbeats either.
 MAX_MISSED_LISTS = 3
-# Reading the list takes at most one call of so many that the cloud allows.
+# Of the calls that the cloud allows, at most one in this many reads the list.
 CALLS_PER_LIST_CALL = 3
 
 
@@ -34,7 +34,7 @@
         self._clock = context.clock
         self._cloud = cloud
         self._catalog = catalog
-        # Lists in a row that left a machine out, by its name.
+        # The number of consecutive lists that left a machine out, by its name.
         self._missed_lists: dict[str, int] = {}
 
     def refresh_interval(self) -> timedelta:
@@ -84,7 +84,7 @@
         machine.was_listed = True
         self._missed_lists.pop(listed.name, None)
         if listed.state == InstanceState.FAILED:
-            # It is not known when it stopped; the response to its deletion proves that it did.
+            # Its tasks may still run; only the response to its deletion proves that they ended.
             request_deletion(machine, DeletionReason.LISTED_AS_FAILED)
 
     def _observe_missing(self, machine: Machine, now: timedelta) -> None:
--- a/src/elmthread/machines/machine_type_updater.py
+++ b/src/elmthread/machines/machine_type_updater.py
@@ -1,4 +1,4 @@
-"""The cloud's machine types: read now and then, and kept in the store for the next leader."""
+"""Reads the cloud's machine types regularly, and stores them for the next leader."""
 
 import logging
 from functools import partial
@@ -16,13 +16,13 @@
     """Keeps the catalog up to date with the cloud."""
 
     def __init__(self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog) -> None:
-        """`catalog` may hold the types that the store had."""
+        """`catalog` may hold the types that were loaded from the store."""
         self._writer = context.writer
         self._cloud = cloud
         self._catalog = catalog
 
     async def update(self) -> None:
-        """Read the types into the catalog; the first that become known are also stored."""
+        """Read the types into the catalog; if it was empty, store them too."""
         try:
             types = await self._cloud.machine_types()
         except (CloudError, NoCapacityError) as error:
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -1,4 +1,4 @@
-"""The loop that paces all calls to the cloud, and what other parts ask of the machines."""
+"""The loop that paces all calls to the cloud, and the interface for requesting and deleting machines."""
 
 import asyncio
 import logging
@@ -24,17 +24,17 @@
 
 PASS_INTERVAL = seconds(0.2)
 FAILURE_CHECK_INTERVAL = seconds(0.5)
-# A process that was not run for this long has heartbeats waiting that it has not read: these are
-# handled for a while before machines are judged by their silence.
+# A process that was suspended for this long has unread heartbeats, which are handled for a while before
+# machines are checked for missing ones.
 PROCESS_STALL = seconds(1.5)
 CATCH_UP_TIME = seconds(1)
 TYPES_REFRESH_INTERVAL = seconds(60)
-# While no type is known, nothing can be placed.
+# While no type is known, as no task can be placed until then.
 TYPES_RETRY_INTERVAL = seconds(2)
 
 
 class MachineManager:
-    """Runs all work on machines; one call to the cloud at a time is started, the most pressing first."""
+    """Runs failure detection, and starts calls to the cloud within its rate, the most urgent first."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
 
     @property
     def instance_requests(self) -> dict[str, InstanceRequest]:
-        """All requests that are not answered yet, by name."""
+        """All requests without a response yet, by name."""
         return self._provisioner.requests
 
     def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> None:
@@ -73,7 +73,7 @@
         return self._provisioner.is_unavailable(kind)
 
     def delete_machine(self, machine: Machine, reason: DeletionReason) -> None:
-        """Have the machine deleted."""
+        """Request the deletion of the machine."""
         request_deletion(machine, reason)
 
     async def run(self) -> None:
--- a/src/elmthread/machines/messages.py
+++ b/src/elmthread/machines/messages.py
@@ -38,7 +38,7 @@
         "age_s": "held_s",
     },
 ):
-    """One machine in the cloud's list; `state` may be a word that InstanceState does not have."""
+    """One machine in the cloud's list; `state` may have values that InstanceState lacks."""
 
     name: str
     machine_type: str
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -1,4 +1,4 @@
-"""Instance requests: durable before they are sent, and paused where the cloud has no capacity."""
+"""Instance requests, which are durable before they are sent, and paused for kinds without capacity."""
 
 import logging
 from collections import deque
@@ -17,8 +17,8 @@
 
 log = logging.getLogger(__name__)
 
-# After a refusal for want of capacity, the same kind of instance is not requested for this long;
-# the pause doubles with each refusal in a row.
+# After a refusal for lack of capacity, the same kind of instance is not requested for this long; the pause
+# doubles with each consecutive refusal.
 MIN_REFUSAL_PAUSE = seconds(40)
 MAX_REFUSAL_PAUSE = seconds(160)
 # A request whose outcome is unknown is repeated until it is this old.
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class InstanceRequest:
-    """A request for machines of one kind, which count as coming until it is answered."""
+    """A request for machines of one kind, which count as pending until the cloud responds."""
 
     name: str
     kind: InstanceKind
@@ -51,7 +51,7 @@
     def __init__(
         self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog, zones: ZoneHealth
     ) -> None:
-        """`zones` says where new machines could not send heartbeats: none are requested there."""
+        """`zones` says which zones seem to be cut off: no machines are requested there."""
         self._cluster = context.cluster
         self._term = context.term
         self._writer = context.writer
@@ -61,7 +61,7 @@
         self._catalog = catalog
         self._zones = zones
         self._request_count = 0
-        # Requests that are not answered yet, by name.
+        # Requests without a response yet, by name.
         self.requests: dict[str, InstanceRequest] = {}
         # Requests that are durable and may be sent, or sent again.
         self._ready: deque[InstanceRequest] = deque()
@@ -75,14 +75,14 @@
             count -= MAX_INSTANCES_PER_REQUEST
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
-        """Return whether that kind is not to be requested now."""
+        """Return whether that kind can't be requested now: its zone is cut off, or the cloud had no capacity."""
         if kind.zone in self._zones.unreachable or self._zones.is_in_doubt(kind.zone):
             return True
         refusal = self._refusals.get(kind)
         return refusal is not None and self._clock() < refusal.paused_until
 
     def forget_refusal(self, kind: InstanceKind) -> None:
-        """Allow requests of that kind at once: a machine of it was returned, or given."""
+        """Allow requests of that kind at once, as a machine of it was deleted or provisioned."""
         self._refusals.pop(kind, None)
 
     def has_ready_request(self) -> bool:
@@ -107,7 +107,7 @@
         except CloudError as error:
             log.info("instance request %s failed: %s", request.name, error)
             if self._clock() - request.requested_at < MAX_REQUEST_AGE:
-                # Under the same name it is carried out once at most.
+                # Repeated under the same name, it is carried out at most once.
                 self._ready.append(request)
             else:
                 self._close(request)
@@ -120,7 +120,7 @@
             self.forget_refusal(request.kind)
 
     def _add_to_unsent(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> int:
-        """Enlarge requests that have not been sent yet, as calls are few; return by how much in all."""
+        """Add instances to requests that have not been sent yet, to save calls; return how many were added."""
         added = 0
         for request in self._ready:
             if request.kind == kind and request.for_deferrable_pool == for_deferrable_pool and not request.sent:
@@ -153,12 +153,12 @@
             machine.in_deferrable_pool = request.for_deferrable_pool
 
     def _pause(self, kind: InstanceKind) -> None:
-        """Request none of that kind for a while, and have others requested at once."""
+        """Pause requests of that kind, and have others made at once."""
         refusal = self._refusals.get(kind)
         pause = MIN_REFUSAL_PAUSE if refusal is None else min(refusal.pause * 2, MAX_REFUSAL_PAUSE)
         log.info("no capacity for %s; none are requested for %.0f s", kind, pause.total_seconds())
         self._refusals[kind] = Refusal(self._clock() + pause, pause)
-        # Unsent requests for the same kind would only be refused as well.
+        # Unsent requests for the same kind would be refused as well.
         for request in [request for request in self._ready if request.kind == kind and not request.sent]:
             self._ready.remove(request)
             self._close(request)
--- a/src/elmthread/placement/attempts.py
+++ b/src/elmthread/placement/attempts.py
@@ -1,6 +1,6 @@
 """Attempt numbers, unique over all terms."""
 
-# Attempts that one leader may begin: the fencing token grows with each leadership.
+# Attempts that one leader may start; the fencing token is higher in each term.
 ATTEMPTS_PER_TERM = 10_000_000
 
 
@@ -8,7 +8,7 @@
     """Counts the attempts of one term."""
 
     def __init__(self, fencing_token: int) -> None:
-        """Start one above the fencing token's multiple of ATTEMPTS_PER_TERM."""
+        """Start right after `fencing_token` times ATTEMPTS_PER_TERM."""
         self.last = fencing_token * ATTEMPTS_PER_TERM
 
     def next(self) -> int:
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -1,4 +1,4 @@
-"""Bin packing: which waiting tasks go to which machine. Pure functions over requests and free capacity."""
+"""Bin packing: assigns waiting tasks to machines. Pure functions over requests and free capacity."""
 
 import math
 from collections.abc import Iterable
@@ -11,8 +11,8 @@
 
 # Tolerance for sums of fractional cores, GPUs and gigabytes.
 EPSILON = 1e-6
-# Seconds of image fetching that one time the cheapest price per core is worth, and the most
-# that price may count for, in times of the cheapest.
+# The cost of a price above the cheapest price per core, as seconds of image fetching for each multiple of the
+# cheapest, and the largest multiple that counts.
 PRICE_WEIGHT_S = 10.0
 URGENT_PRICE_WEIGHT_S = 2.0
 MAX_PRICE_EXCESS = 5.0
@@ -27,7 +27,7 @@
 
 
 def is_allowed(request: TaskRequest, machine_type: str, zone: str, spot: bool) -> bool:
-    """Return whether the job itself allows machines of this type, zone and kind."""
+    """Return whether the job allows machines of this type and zone, and spot instances if `spot`."""
     return (
         (request.machine_types is None or machine_type in request.machine_types)
         and (request.zone is None or zone == request.zone)
@@ -39,7 +39,7 @@
 def fitting_tasks(
     request: TaskRequest, capacity: FreeCapacity, remaining_quota: RemainingQuota, spread_replicas: bool = False
 ) -> int:
-    """Return how many of the tasks fit the machine, the team's quota and the bounds by zone.
+    """Return how many of the tasks fit the machine, the team's quota and the limit for its zone.
 
     `spread_replicas`: count no more than the preferred number of the job's tasks on one machine.
     """
@@ -84,7 +84,7 @@
 
 
 class ImageAccess(IntEnum):
-    """How a machine would come by a job's image; several fetches share the rate of one machine."""
+    """How a machine would get a job's image; several fetches share the rate of one machine."""
 
     CACHED = 0
     FETCHING = 1
@@ -92,7 +92,7 @@
     FETCH_SHARED = 3
 
 
-# The cost of each, in fetch times of the image alone.
+# The cost of each, in multiples of the time to fetch the image alone.
 IMAGE_ACCESS_COST = {
     ImageAccess.CACHED: 0.0,
     ImageAccess.FETCHING: 0.5,
@@ -102,7 +102,7 @@
 
 
 def image_access(request: TaskRequest, capacity: FreeCapacity) -> ImageAccess:
-    """Return how the machine would come by the job's image."""
+    """Return how the machine would get the job's image."""
     if request.image in capacity.cached_images:
         return ImageAccess.CACHED
     if request.image in capacity.images_being_fetched:
@@ -111,7 +111,7 @@
 
 
 def price_penalty_s(request: TaskRequest, price: float, cheapest: float) -> float:
-    """Return the price per core weighed in seconds of waiting for an image."""
+    """Return the cost of the price per core, in seconds of image fetching."""
     weight = URGENT_PRICE_WEIGHT_S if request.urgent else PRICE_WEIGHT_S
     return weight * min(price / cheapest - 1.0 if cheapest > 0 else 0.0, MAX_PRICE_EXCESS)
 
@@ -121,11 +121,11 @@
     capacities: Iterable[FreeCapacity],
     remaining_quotas: dict[str, RemainingQuota],
 ) -> list[Placement]:
-    """Give tasks to machines in the order of `requests`; requests, capacities and quotas are used up.
+    """Assign tasks to machines in the order of `requests`; requests, capacities and quotas are used up.
 
-    Machines that differ only in room, images and zone form one group, so that a job is weighed
-    against a few groups and not against every machine. `tests/reference.py` looks at every
-    machine; the tests compare the two.
+    Machines that differ only in free capacity, images and zone form one group, so that a job is compared with
+    a few groups and not with every machine. The tests compare the result with that of `tests/reference.py`,
+    which considers every machine.
     """
     packer = _Packer(capacities)
     for request in requests:
@@ -146,7 +146,7 @@
 
 
 class _MachineGroup:
-    """Machines alike but for their room, images and zone, the fullest first."""
+    """Machines that differ only in free capacity, images and zone, the fullest first."""
 
     def __init__(self, capacities: list[FreeCapacity]) -> None:
         self.capacities = capacities
@@ -210,10 +210,10 @@
                     return
 
     def _ranks(self, request: TaskRequest) -> list[tuple[bool, float, int, ImageAccess]]:
-        """Rank each group that the job allows, once for each way in which its machines come by the image.
+        """Rank each group that the job allows, once for each way in which its machines get the image.
 
-        A rank is whether the group drains, its cost in seconds, its index and that way. The smallest is
-        filled first. It is a plain tuple, as many are made in each round.
+        A rank is (draining, cost in seconds, index of the group, image access); the smallest is filled first.
+        It is a plain tuple, as many are made in each round.
         """
         ranks: list[tuple[bool, float, int, ImageAccess]] = []
         for index, group in enumerate(self._groups):
--- a/src/elmthread/placement/capacity.py
+++ b/src/elmthread/placement/capacity.py
@@ -23,10 +23,10 @@
     cpus: float
     gpus: float
     memory_gb: float
-    price_per_core: float = 0.0  # per hour and core
-    image_fetch_gb_per_s: float = 1.0  # GB per second
+    price_per_core: float = 0.0  # for an hour
+    image_fetch_gb_per_s: float = 1.0
     cached_images: Collection[str] = frozenset()
-    # Images that the machine fetches now, or will for tasks that it has been given.
+    # Images that the machine is fetching, or will fetch for tasks that are assigned to it.
     images_being_fetched: set[str] = field(default_factory=set)
     record_bytes_left: float = math.inf  # bytes that its record in the store may still take
     draining: bool = False
--- a/src/elmthread/placement/feasibility.py
+++ b/src/elmthread/placement/feasibility.py
@@ -1,4 +1,4 @@
-"""Whether a job can run at all, by its team's quota and the machine types that the cloud offers."""
+"""Feasibility: whether a job can ever run, by its team's quota and the machine types that the cloud offers."""
 
 from collections.abc import Iterable
 
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -1,4 +1,4 @@
-"""Spot interruptions: tasks on machines that the cloud will take are stopped in time, with a checkpoint if possible."""
+"""Spot interruptions: stops tasks before the cloud reclaims their machines, with a checkpoint if possible."""
 
 from datetime import timedelta
 
@@ -11,12 +11,12 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import RequestFactory
 
-# Heartbeat intervals that a stop command takes at most to reach a machine.
+# A stop command reaches a machine within this many heartbeat intervals.
 STOP_DELIVERY_HEARTBEATS = 1.5
 
 
 def has_room_elsewhere(cluster: ClusterState, requests: RequestFactory, allocation: Allocation) -> bool:
-    """Return whether another machine has room for the task, once it is off its own."""
+    """Return whether another machine has room for the task, once its own has released it."""
     request = requests.request_of(allocation.job)
     zone = allocation.machine.zone
     if zone in request.tasks_by_zone:
@@ -48,7 +48,7 @@
         self._max_stop_delay = heartbeat_interval * STOP_DELIVERY_HEARTBEATS
 
     def stop_tasks(self, now: timedelta) -> None:
-        """Stop what can't end before its machine is taken."""
+        """Stop the tasks that can't end before their machine is reclaimed."""
         for machine in self._cluster.up_machines():
             if machine.interruption_at is None:
                 continue
@@ -61,7 +61,7 @@
                 allocation.stop_mode = StopMode.CHECKPOINT
 
     def _should_move(self, allocation: Allocation, time_left: timedelta) -> bool:
-        """Return whether to move a replica now; until another machine has room it serves on, as long as it can."""
+        """Return whether to move a replica now; it runs on until another machine has room or little time is left."""
         stop_time = self._max_stop_delay + seconds(allocation.job.spec.checkpoint_duration_s)
         if allocation.started_at is None or time_left < stop_time:
             return True
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -1,8 +1,8 @@
-"""The order in which waiting jobs get room.
+"""The order in which waiting jobs are placed.
 
-Long waiting jobs of which nothing has begun start one task first. Then comes urgent work by
-priority and deadline, then work within a team's guarantee, then the other work by deadline;
-jobs that would only make others late go behind them.
+The first task of each starving job comes first. Then come urgent jobs by priority and deadline, jobs within
+their team's guarantee, and the other jobs by deadline. Jobs that would only make others late are postponed:
+they come last.
 """
 
 from dataclasses import dataclass, field
@@ -17,11 +17,10 @@
 from elmthread.placement.quotas import TeamQuotas
 from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
 
-# Guarantees and the jobs to put off are judged anew this often, and when a job comes or goes.
+# How often guarantees and postponed jobs are determined; also when a job is submitted or ends.
 REORDER_INTERVAL = seconds(1)
-# A job that has waited for this long, and of which nothing has begun, starts one task before
-# all others. One that is put off has tasks in turn with the others again, within a share of
-# the cores that all such jobs divide among themselves.
+# A job that has waited for this long without a task begun has one task placed before all others. A postponed
+# job of this age is placed among the others again, within a share of the cores for all such jobs.
 STARVATION_AGE = seconds(150)
 POSTPONED_CORE_SHARE = 0.1
 
@@ -33,7 +32,7 @@
 
 @dataclass
 class _Backlog:
-    """The work of all teams that is left: core-seconds, and the cores that services hold or soon will."""
+    """The remaining work of all teams: deferrable jobs, urgent core-seconds, and cores of services."""
 
     deferrable: dict[str, list[JobWork]] = field(default_factory=dict)
     urgent_core_seconds: dict[str, float] = field(default_factory=dict)
@@ -41,7 +40,7 @@
 
 
 class JobOrder:
-    """Turns the waiting tasks of all jobs into requests in the order in which they get room."""
+    """Turns the waiting tasks of all jobs into requests, in the order in which they are placed."""
 
     def __init__(
         self, context: TermContext, quotas: TeamQuotas, requests: RequestFactory, run_times: RunTimeModel
@@ -57,7 +56,7 @@
         self._judged_at: timedelta | None = None
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
-        """Return what waits, in the order in which it gets room."""
+        """Return the waiting requests, in the order in which they are placed."""
         if self._events.take_jobs_changed() or self._judged_at is None or now - self._judged_at >= REORDER_INTERVAL:
             self._judged_at = now
             self._guaranteed = self._quotas.guaranteed_jobs()
@@ -73,7 +72,7 @@
             request = self._requests.make(job, sort_key, count)
             requests.append(request)
             if is_starving(job, now) and not job.allocations:
-                # Whatever the load, something of every job begins.
+                # Every job makes some progress, whatever the load.
                 first_task = SortKey(PlacementClass.FIRST_TASK, job.priority_rank, sort_key.due_s)
                 requests.append(request.split_off(1, first_task))
             if sort_key.placement_class is PlacementClass.POSTPONED and now - job.submitted_at > STARVATION_AGE:
@@ -94,7 +93,7 @@
         return SortKey(PlacementClass.ON_TIME, 0, due_s)
 
     def _share_of_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
-        """Split off tasks of jobs put off for long, so that they go in turn with the others."""
+        """Split off tasks of jobs postponed for long, which are placed among the others."""
         requests = []
         cores = POSTPONED_CORE_SHARE * sum(
             machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable
@@ -108,11 +107,10 @@
         return requests
 
     def _jobs_to_postpone(self, now: timedelta) -> set[str]:
-        """Choose the deferrable jobs that wait behind the others, so that the most end in time.
+        """Choose the deferrable jobs to place last, so that most of the others end in time.
 
-        Where the work does not fit, which jobs are late is a matter of order alone. A team gets
-        no more than its quota; all teams together get the cores that there are or that are
-        coming. Urgent work goes first.
+        Jobs are chosen for each team within its quota, and then for all teams within the cores that are up or
+        booting. Urgent work is counted as done first.
         """
         backlog = self._backlog(now)
         postponed: set[str] = set()
@@ -128,19 +126,19 @@
         return postponed
 
     def _backlog(self, now: timedelta) -> _Backlog:
-        """Sum up the work that is left, and set the deadline by which each job is ordered."""
+        """Sum up the remaining work, and set the deadline by which each job is ordered."""
         backlog = _Backlog()
         for job in self._cluster.open_jobs.values():
             team = self._quotas.teams.get(job.spec.team)
             if team is None:
                 continue
             if job.is_service:
-                # Replicas have no end: what they hold is no team's to share out.
+                # Replicas run for ever, so other jobs can't use their cores.
                 cpus = job.task_count * job.spec.cpus
                 backlog.service_cpus[team.name] = backlog.service_cpus.get(team.name, 0.0) + cpus
                 continue
             run_time_s = self._run_times.expected(job).total_seconds()
-            # Of what runs, about half is still to do.
+            # Running tasks have about half of their work left.
             core_seconds = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * run_time_s
             min_duration_s = max(run_time_s, core_seconds / team.cpu_quota) if job.pending_tasks else 0.0
             if (job.submitted_at + job.deadline - now).total_seconds() < min_duration_s:
--- a/src/elmthread/placement/moore_hodgson.py
+++ b/src/elmthread/placement/moore_hodgson.py
@@ -1,4 +1,4 @@
-"""Moore and Hodgson's rule: which jobs to put off so that the fewest are late."""
+"""Moore and Hodgson's rule: which jobs to postpone so that the fewest are late."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True, frozen=True)
 class JobWork:
-    """What is left of a job, with its deadline in seconds from now."""
+    """The remaining work of a job, with its deadline in seconds from now."""
 
     job_id: str
     due_s: float
@@ -15,10 +15,10 @@
 
 
 def jobs_to_postpone(jobs: Sequence[JobWork], cores: float, core_seconds_ahead: float = 0.0) -> set[str]:
-    """Return the jobs to put last so that the most others end in time, on `cores` shared by all.
+    """Return the jobs to postpone so that the most others end in time, on `cores` shared by all.
 
-    By deadline; whenever one would end late, the one with the most work so far is put last
-    (Moore and Hodgson's rule, which leaves the fewest jobs late on one server).
+    Jobs are scheduled by deadline; whenever one would end late, the scheduled job with the most work is
+    postponed. This rule leaves the fewest jobs late on one server.
     """
     postponed: set[str] = set()
     scheduled: list[JobWork] = []
--- a/src/elmthread/placement/preemption.py
+++ b/src/elmthread/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: urgent work that lacks room requeues deferrable work."""
+"""Preemption: stops deferrable tasks, which are requeued, where urgent tasks find no room."""
 
 import logging
 from datetime import timedelta
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-# Looking for victims walks over all that runs, so it is not done in every round.
+# Choosing victims considers all running tasks, so it is not done in every round.
 PREEMPTION_INTERVAL = seconds(0.5)
-# Bounds the work of one round.
+# Requests for which victims are chosen in one round, to bound its work.
 MAX_PREEMPTING_REQUESTS = 8
 
 
@@ -25,12 +25,12 @@
     """Chooses the tasks that urgent requests preempt, and marks them to be stopped."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """Preemption may happen at once."""
+        """Allow the first preemption at once."""
         self._cluster = cluster
         self._last_at = ZERO
 
     def run(self, waiting: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], now: timedelta) -> None:
-        """Free room for the urgent ones of the requests that wait, unless that was done just now."""
+        """Free room for the urgent ones of the waiting requests, at most once in PREEMPTION_INTERVAL."""
         if now - self._last_at < PREEMPTION_INTERVAL:
             return
         urgent = [request for request in waiting if request.urgent and request.count > 0]
@@ -55,7 +55,7 @@
     def _candidates(
         self, capacity: FreeCapacity, remaining_quotas: dict[str, RemainingQuota], now: timedelta
     ) -> list[PreemptionCandidate]:
-        """Return what may be stopped on the machine; what is being stopped counts as free already."""
+        """Return the tasks that may be stopped on the machine; count those being stopped as free capacity."""
         candidates = []
         for allocation in self._cluster.machines[capacity.name].allocations.values():
             spec = allocation.job.spec
@@ -82,7 +82,7 @@
 
 
 def _is_preemptible(allocation: Allocation, now: timedelta) -> bool:
-    """Return whether urgent work may stop the task; the only task of a starving job runs on."""
+    """Return whether urgent work may stop the task; the only task of a starving job may not be stopped."""
     job = allocation.job
     return (
         not job.urgent
@@ -92,7 +92,7 @@
 
 
 def _loss(allocation: Allocation, now: timedelta) -> timedelta:
-    """Return the run time lost by stopping the task: the checkpoint's, or all that it has run."""
+    """Return the run time lost by stopping the task: that of the checkpoint, or all since its start."""
     if allocation.started_at is None:
         return ZERO
     if allocation.job.spec.makes_checkpoints:
--- a/src/elmthread/placement/quotas.py
+++ b/src/elmthread/placement/quotas.py
@@ -16,12 +16,12 @@
     gpus: float = math.inf
 
     def hold_back(self) -> None:
-        """Let the rest gather for the team's urgent task, or smaller tasks would take it each time."""
+        """Reserve what is left for the team's urgent task, which smaller tasks would otherwise take each time."""
         self.cpus = 0.0
 
 
 class TeamQuotas:
-    """The quotas and guarantees of all teams, against what their tasks hold now."""
+    """The quotas and guarantees of all teams, less what their tasks hold now."""
 
     def __init__(self, cluster: ClusterState, teams: Mapping[str, Team]) -> None:
         """`cluster` counts what each team uses; `teams` are by name."""
@@ -33,7 +33,7 @@
         return self.teams[team].cpu_quota if team in self.teams else math.inf
 
     def remaining(self) -> dict[str, RemainingQuota]:
-        """Return what each team may still use, as objects of the caller's own."""
+        """Return what each team may still use, as new objects that the caller may use up."""
         return {
             name: RemainingQuota(
                 team.cpu_quota - self._cluster.cpus_by_team.get(name, 0.0),
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -11,14 +11,14 @@
 from elmthread.cluster.state import job_entry_bytes, task_entry_bytes
 from elmthread.placement.attempts import AttemptCounter
 
-# Bounds the work of one scheduling round, and so the attempt numbers that it may use.
+# Bounds the work of one scheduling round, and the attempt numbers that it uses.
 MAX_TASKS_PLACED_PER_ROUND = 400
-# One machine is preferably given this part of a service's replicas at most.
+# The replicas of a service are preferably spread over at least this many machines.
 REPLICA_SPREAD = 3
 
 
 class PlacementClass(IntEnum):
-    """The classes of requests, in the order in which they get room."""
+    """The classes of requests, in the order in which they are placed."""
 
     FIRST_TASK = 0
     URGENT = 1
@@ -52,20 +52,20 @@
     zone: str | None = None
     spot: bool = True
     one_zone: bool = False
-    # Tasks of the job by zone, as far as they may be on machines now.
+    # Tasks of the job that may be on machines now, by zone.
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
     max_per_zone: float = math.inf  # for a spread job: most tasks in one zone
-    # Machines on which the job has failed: not tried again there.
+    # Machines on which the job has failed, where it is not placed.
     excluded_machines: Collection[str] = frozenset()
     urgent: bool = False
     priority_rank: int = 0
     # Bytes that its tasks take in a machine's record: once for the job, and for each task.
     record_bytes_per_job: int = 0
     record_bytes_per_task: int = 0
-    # Replicas that one machine is given as long as others have room, so that the loss of a
-    # machine does not stop a whole service.
+    # Replicas that are placed on one machine as long as others have room, so that the loss of a machine does
+    # not stop a whole service.
     preferred_max_per_machine: float = math.inf
-    # Tasks of the job by machine, as far as they may be there now; kept only with such a bound.
+    # Tasks of the job that may be on machines now, by machine; only if `preferred_max_per_machine` is finite.
     tasks_by_machine: dict[str, int] = field(default_factory=dict)
 
     def split_off(self, count: int, sort_key: SortKey) -> Self:
@@ -78,7 +78,7 @@
     """Makes requests from jobs."""
 
     def __init__(self, attempts: AttemptCounter) -> None:
-        """Make requests whose bytes in a machine's record follow from the digits of the next `attempts`."""
+        """`attempts` gives the next attempt numbers, whose digits take bytes in a machine's record."""
         self._attempts = attempts
 
     def request_of(self, job: Job) -> TaskRequest:
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -22,22 +22,22 @@
 
 
 class AssignmentSink(Protocol):
-    """What makes the assignments of a machine durable."""
+    """Makes the assignments of a machine durable."""
 
     def assign(self, machine: Machine) -> None:
-        """Write the machine's new allocations; they start once that is durable."""
+        """Write the machine's new allocations; their tasks are started once the write is durable."""
 
 
 @dataclass(frozen=True)
 class SchedulerSettings:
-    """What the scheduler needs of the platform's settings."""
+    """The platform's settings that the scheduler uses."""
 
     teams: Mapping[str, Team]
     heartbeat_interval: timedelta
 
 
 class Scheduler:
-    """Places waiting tasks on machines, and answers what waits and what fits."""
+    """Places waiting tasks on machines, and gives the autoscaler the waiting requests and the quotas."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self._preemption = Preemption(context.cluster)
 
     def run_round(self) -> None:
-        """Stop what spot interruptions end, place what waits, and preempt for urgent work left without room."""
+        """Stop tasks on interrupted machines, place waiting tasks, and preempt for urgent ones left without room."""
         now = self._clock()
         self._interruptions.stop_tasks(now)
         requests = self.requests(now)
@@ -96,7 +96,7 @@
         return tasks_left <= 0
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
-        """Return what waits, in the order in which it gets room."""
+        """Return the waiting requests, in the order in which they are placed."""
         return self._job_order.requests(now)
 
     def request_of(self, job: Job) -> TaskRequest:
@@ -104,7 +104,7 @@
         return self._requests.request_of(job)
 
     def remaining_quotas(self) -> dict[str, RemainingQuota]:
-        """Return what each team may still use, as objects of the caller's own."""
+        """Return what each team may still use, as new objects that the caller may use up."""
         return self._quotas.remaining()
 
     def cpu_quota(self, team: str) -> float:
@@ -112,5 +112,5 @@
         return self._quotas.cpu_quota(team)
 
     def has_room_elsewhere(self, allocation: Allocation) -> bool:
-        """Return whether another machine has room for the task, once it is off its own."""
+        """Return whether another machine has room for the task, once its own has released it."""
         return has_room_elsewhere(self._cluster, self._requests, allocation)
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -1,4 +1,4 @@
-"""Which running tasks to stop so that urgent work gets room. Pure functions over candidates and free capacity."""
+"""Choice of the tasks that urgent requests preempt. Pure functions over candidates and free capacity."""
 
 import heapq
 from dataclasses import dataclass
@@ -87,7 +87,7 @@
         self._machines_by_loss: list[tuple[float, int, str]] = []
 
     def stop_own_team(self) -> None:
-        """Free quota where the team is at its limit: by its own tasks, wherever they run."""
+        """Free quota where the team is at its limit, by stopping its own tasks on any machine."""
         request, quota = self._request, self._remaining_quota
         if quota.cpus + EPSILON >= request.count * request.cpus:
             return
@@ -108,9 +108,9 @@
             place([request], self._capacities.values(), {request.team: quota})
 
     def stop_by_machine(self) -> None:
-        """Free room for one task after the other where that loses least.
+        """Free room for one task after the other on the machine where that loses least.
 
-        Each machine is judged once, and again only after it was chosen, as only its own loss changes.
+        The loss of each machine is computed once, and again only after it was chosen, as no other one changes.
         """
         request, quota = self._request, self._remaining_quota
         for order, name in enumerate(self._candidates):
--- a/src/elmthread/workers/__init__.py
+++ b/src/elmthread/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The workers: their heartbeats, what these say about tasks, and the commands in the responses."""
+"""Workers: their heartbeats, reconciliation with the allocations, and the commands in the responses."""
--- a/src/elmthread/workers/commands.py
+++ b/src/elmthread/workers/commands.py
@@ -1,9 +1,8 @@
-"""The commands that a machine's allocations call for.
+"""The commands to a worker, derived from its machine's allocations.
 
-Commands are sent only in responses to heartbeats. A worker drops a response that comes late, so
-a start is never executed after the worker's next heartbeat was made: if that heartbeat does not
-list the task, the task is not there. What should be there is sent again in each response until
-a heartbeat shows it. That is why no start is ever sent straight to a worker's address.
+Commands are sent only in responses to heartbeats, never to a worker's address. A worker discards a late
+response, so a start is never executed after the worker's next heartbeat was made: if that heartbeat does not
+list the task, the task is not there. A start is sent in each response until a heartbeat lists the task.
 """
 
 from datetime import timedelta
@@ -36,7 +35,7 @@
         self._clock = context.clock
 
     def commands_for(self, machine: Machine) -> list[Command]:
-        """Return stops and then starts; allocations that are not wanted and were never sent are released."""
+        """Return stops and then starts; unwanted allocations whose start was never sent are released."""
         leads = self._term.holds_lease()
         stops: list[Command] = []
         starts: list[Command] = []
@@ -48,7 +47,7 @@
             if not job.is_open or job.is_done(allocation.task):
                 allocation.stop_mode = StopMode.KILL
             elif allocation.stop_mode is None and not is_unseen:
-                # It runs and is to go on, as most do.
+                # The usual case: it runs and is to continue.
                 continue
             name = messages.task_name(job.id, allocation.task)
             unwanted = _is_unwanted(allocation)
@@ -62,10 +61,10 @@
         return stops + starts
 
     def stops_of_closed_jobs(self, heartbeat: Heartbeat) -> list[Command]:
-        """Return stops of tasks whose jobs have ended: right however old the heartbeat is.
+        """Return stops of tasks whose jobs have ended, which are safe however old the heartbeat is.
 
-        A response renews the lease. If leaders changed so often that each sent nothing but its
-        token, tasks of cancelled jobs would run on.
+        Each response renews the worker lease. If leaders changed so often that each sent nothing but its
+        fencing token, tasks of cancelled jobs would otherwise run on.
         """
         stops: list[Command] = []
         for task in heartbeat.tasks:
@@ -76,13 +75,13 @@
         return stops[:MAX_COMMANDS_PER_RESPONSE]
 
     def _release_unsent(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation of which no start is on its way, so that it can't be on the machine."""
+        """Release an allocation whose start was not sent, so that its task can't be on the machine."""
         self._cluster.release(allocation, now)
         self._events.notify_changed()
 
 
 def removals(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
-    """Return commands that remove those exited tasks whose completions are durable, or need not be."""
+    """Return commands to remove the exited tasks, except those whose completions are not durable yet."""
     return [
         RemoveCommand(task.name, task.attempt) for task in exited if task.attempt not in machine.uncommitted_completions
     ]
@@ -99,5 +98,5 @@
 
 def _grace_s(allocation: Allocation) -> float:
     spec = allocation.job.spec
-    saves = allocation.stop_mode is StopMode.CHECKPOINT and spec.makes_checkpoints
-    return spec.checkpoint_duration_s if saves else 0.0
+    makes_checkpoint = allocation.stop_mode is StopMode.CHECKPOINT and spec.makes_checkpoints
+    return spec.checkpoint_duration_s if makes_checkpoint else 0.0
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats: which of them count, and the responses to them."""
+"""Handles workers' heartbeats: rejects outdated ones, applies the others, and responds with commands."""
 
 import logging
 
@@ -36,7 +36,7 @@
         catalog: MachineTypeCatalog,
         leases: WorkerLeases,
     ) -> None:
-        """Handle heartbeats with these; `catalog` gives sizes to machines that were not known before."""
+        """`catalog` gives sizes to machines that were not known before; `leases` is for lost responses."""
         self._cluster = context.cluster
         self._term = context.term
         self._clock = context.clock
@@ -68,9 +68,9 @@
             self._rejected_count += 1
             return retry_later(503, RETRY_AFTER, "an older report")
         if heartbeat.fencing_token < self._term.fencing_token:
-            # The first response carries this term's token; what the next heartbeat lists, no earlier
-            # leader can change any more. Until then this may be a late copy of a heartbeat that an
-            # earlier leader has had: it is no sign of life.
+            # The first response carries this term's fencing token. After it, no earlier leader can change
+            # what the worker runs. Until then, this may be a late copy of a heartbeat to an earlier leader,
+            # so it does not prove that the machine is alive.
             machine.last_heartbeat_id = heartbeat_id
             return self._respond(machine, self._commands.stops_of_closed_jobs(heartbeat))
         return await self._handle_current(machine, heartbeat, heartbeat_id, request)
@@ -78,7 +78,7 @@
     async def _handle_current(
         self, machine: Machine, heartbeat: Heartbeat, heartbeat_id: HeartbeatId, request: Request
     ) -> Response:
-        """Handle the newest heartbeat of a machine that has seen this term's token."""
+        """Handle the newest heartbeat of a machine that has received this term's fencing token."""
         now = self._clock()
         self._responsiveness.observe_heartbeat(machine, heartbeat, request.previous_answered_at, now)
         machine.last_heartbeat_id = heartbeat_id
@@ -96,7 +96,7 @@
     def _respond(self, machine: Machine, commands: list[Command]) -> Response:
         machine.last_response_at = self._clock()
         body = msgspec.to_builtins(HeartbeatResponse(self._term.fencing_token, commands))
-        # Checked once more when the bytes leave: no start may be sent after the leader's lease.
+        # Checked again right before the response is sent: no start may leave after the leader lease has expired.
         has_start = any(isinstance(command, StartCommand) for command in commands)
         return Response(200, body, precondition=self._term.holds_lease if has_start else self._term.may_answer_workers)
 
@@ -115,7 +115,7 @@
         return machine
 
     def _expects_assignments(self, machine: Machine) -> bool:
-        """Return whether starts are being made durable for it, or it has room and tasks are waiting."""
+        """Return whether its assignments are being made durable, or it has room and tasks are waiting."""
         return (machine.free_cpus >= 1.0 and self._cluster.has_waiting_tasks) or any(
             allocation.state is AllocationState.PLANNED for allocation in machine.allocations.values()
         )
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -10,7 +10,7 @@
 
 # Where workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
-# A worker gives a controller up after this time without a response.
+# A worker turns to another controller after this time without a response.
 HEARTBEAT_RESPONSE_TIMEOUT = seconds(4)
 # Incarnations, sequence numbers, tokens and attempts are smaller than this.
 NUMBER_LIMIT = 1 << 64
@@ -18,7 +18,7 @@
 
 
 class TaskState(StrEnum):
-    """States that a worker reports of a task; the values are the words of the wire."""
+    """States of a task in a heartbeat; the values are the words of the wire."""
 
     FETCHING = "fetching"
     RUNNING = "running"
@@ -40,7 +40,7 @@
 
 
 class TaskId(NamedTuple):
-    """A task of a job, by its number in the job, from 0 on."""
+    """A task of a job; tasks are numbered from 0 in each job."""
 
     job_id: str
     number: int
@@ -58,7 +58,7 @@
 ):
     """One task on a machine, as a heartbeat lists it.
 
-    `state` and `exit_reason` hold values of TaskState and ExitReason, or words that this version does not know.
+    `state` and `exit_reason` hold values of TaskState and ExitReason, or values that this version does not know.
     """
 
     name: str
@@ -68,7 +68,7 @@
     has_checkpoint: bool = False
 
     def task_id(self) -> TaskId | None:
-        """Return the task that the name means; None if the name is malformed."""
+        """Return the task that the name denotes; None if the name is malformed."""
         job_id, _, number = self.name.rpartition("/")
         if job_id and number.isdigit() and len(number) <= MAX_TASK_NUMBER_DIGITS:
             return TaskId(job_id, int(number))
@@ -90,7 +90,7 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's status: which machine it is, what it has seen of leaders, and all tasks on it."""
+    """A worker's status: its machine, the highest fencing token that it has received, and all tasks on it."""
 
     machine: str
     address: str
@@ -99,9 +99,8 @@
     spot: bool
     incarnation: int
     sequence: int
-    # The highest that the worker has seen.
     fencing_token: int
-    # Time until the cloud takes the machine away.
+    # Time until the cloud reclaims the spot instance.
     interruption_notice_s: float | None = None
     tasks: list[TaskStatus] = []
 
@@ -112,7 +111,7 @@
 def read_heartbeat(body: Any) -> Heartbeat:
     """Return the heartbeat that a decoded body holds. Raises msgspec.ValidationError."""
     heartbeat = msgspec.convert(body, Heartbeat)
-    # Leaders give way to a higher token, so one that can't have been issued must not get in.
+    # A leader steps down for a higher fencing token, so one that can't have been issued must be rejected.
     numbers = (heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, *map(_attempt_of, heartbeat.tasks))
     if min(numbers) < 0 or max(numbers) >= NUMBER_LIMIT:
         raise msgspec.ValidationError("a number is out of range")
@@ -122,7 +121,7 @@
 class Sender(
     msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
-    """What identifies a heartbeat; all that a node which does not lead reads of it."""
+    """The fields that identify a heartbeat, the only ones that a node which does not lead decodes."""
 
     machine: str
     incarnation: int
@@ -148,7 +147,7 @@
     tag="halt",
     rename={"task": "piece", "attempt": "try", "grace_s": "wind_down_s"},
 ):
-    """Stop an attempt of a task; one that makes checkpoints saves first if `grace_s` is enough for it."""
+    """Stop an attempt of a task; the worker makes a checkpoint first if `grace_s` is long enough."""
 
     task: str
     attempt: int
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -28,13 +28,13 @@
 
 
 class Reconciliation(msgspec.Struct):
-    """What follows for the response from one heartbeat."""
+    """What the response to a heartbeat needs to know of its reconciliation."""
 
     # Exited tasks, which the worker is to remove once their completions are durable.
     exited: list[TaskStatus]
     # Stops of tasks that belong to no known job.
     stops: list[StopCommand]
-    # Whether a start that was sent in the last response is not listed.
+    # Whether a task is not listed whose start the last response carried.
     start_was_lost: bool
 
 
@@ -56,7 +56,7 @@
         for task in heartbeat.tasks:
             allocation = machine.allocations.get(task.attempt)
             if allocation is not None and ALLOCATION_STATES.get(task.state) is allocation.state:
-                # Unchanged since the last heartbeat, as most tasks are.
+                # The usual case: unchanged since the last heartbeat.
                 continue
             if task.state == TaskState.EXITED:
                 self._observe_exit(machine, allocation, task, now)
@@ -78,15 +78,15 @@
             self._events.notify_changed()
 
     def _reconcile_missing(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
-        """Release what the heartbeat shows to be gone; return whether a start that was sent is missing."""
+        """Release allocations that the heartbeat shows to be gone; return whether a sent start was lost."""
         start_was_lost = False
         for allocation in _missing_allocations(machine, heartbeat):
             if allocation.state in MUST_BE_LISTED:
-                # Killed with its incarnation, or never sent by the leader before this one.
+                # Killed when its incarnation ended, or never started by an earlier leader.
                 log.info("%s no longer has %s/%s", machine.name, allocation.job.id, allocation.task)
                 self._release(allocation, now)
             elif allocation.start_sent:
-                # The response with its start was lost, and won't be executed any more.
+                # The response with its start was lost, and can't be executed any more.
                 allocation.start_sent = False
                 start_was_lost = True
         return start_was_lost
@@ -104,7 +104,7 @@
         allocation.transition_to(state)
 
     def _observe_unexpected(self, machine: Machine, task: TaskStatus, now: timedelta) -> list[StopCommand]:
-        """Count a task that no record names for as long as it is there, and have it stopped."""
+        """Allocate a task that no record names, so that it counts until it is gone, and have it stopped."""
         task_id = task.task_id()
         job = self._job_of(task_id)
         log.info("%s has %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
@@ -141,7 +141,7 @@
         self._completions.record(job, number, partial(machine.uncommitted_completions.discard, attempt))
 
     def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
-        """Record what an exit says about the health of the machine and about the job's run time."""
+        """Record what the exit means for the health of machine and job, and the task's run time."""
         job = allocation.job
         completed = task.exit_reason == ExitReason.COMPLETED
         if job.is_service and (completed or health.has_run_steadily(allocation, now)):
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -1,9 +1,9 @@
-"""Whether the leader's responses reach a machine, as far as its heartbeats show.
+"""Detects machines that send heartbeats but do not receive the leader's responses.
 
-A machine's incarnation rises when no response has arrived for a lease; a start that the next
-heartbeat does not list was in a response that got lost. An incarnation that outlasts a lease
-proves that responses arrive. So does a heartbeat on a connection on which a response has been
-sent since the incarnation rose, unless starts were lost on the machine before.
+A worker starts a new incarnation when no response has arrived for the duration of a worker lease. A start
+that the next heartbeat does not list was in a response that got lost. An incarnation that lasts longer than
+a lease proves that responses arrive. So does a heartbeat on a connection on which a response has been sent
+since the incarnation began, unless starts have been lost on the machine.
 """
 
 import logging
@@ -15,39 +15,39 @@
 
 log = logging.getLogger(__name__)
 
-# Responses in a row whose starts were lost, before responses count as not received.
+# Consecutive responses with lost starts, after which a machine counts as not receiving responses.
 MAX_LOST_STARTS = 3
-# Beyond a lease, for differences between clocks.
+# Added to the lease, for differences between clocks.
 PROOF_MARGIN = seconds(1)
 
 
 class ResponsivenessMonitor:
-    """Keeps `responses_lost_since` and what belongs to it of each machine that sends heartbeats."""
+    """Maintains `responses_lost_since`, and the fields that it depends on, of each machine."""
 
     def __init__(self, lease: timedelta) -> None:
-        """`lease` is the workers' lease: how long a worker goes on without a response."""
+        """`lease` is the duration of the worker lease: how long a worker runs tasks without a response."""
         self._proof_time = at_least(lease) + PROOF_MARGIN
 
     def observe_heartbeat(
-        self, machine: Machine, heartbeat: Heartbeat, answered_at: timedelta | None, now: timedelta
+        self, machine: Machine, heartbeat: Heartbeat, responded_at: timedelta | None, now: timedelta
     ) -> None:
-        """Judge a heartbeat that is newer than the machine's last one, which `machine` still holds.
+        """Update the machine by a heartbeat that is newer than its last one, which `machine` still holds.
 
-        `answered_at`: when the last response was sent on the same connection, if any was.
+        `responded_at`: when the last response was sent on the same connection, if any was.
         """
-        machine.receives_responses = answered_at is not None or _follows_at_once(machine, heartbeat, now)
+        machine.receives_responses = responded_at is not None or _follows_at_once(machine, heartbeat, now)
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info("%s has let its lease expire; it gets no new tasks until it receives responses", machine.name)
                 machine.responses_lost_since = machine.responses_lost_since or now
             machine.incarnation_since = now
-        elif machine.responses_lost_since is not None and self._responses_arrive(machine, answered_at, now):
+        elif machine.responses_lost_since is not None and self._responses_arrive(machine, responded_at, now):
             log.info("%s receives responses again", machine.name)
             machine.responses_lost_since = None
             machine.undelivered_starts = 0
 
     def observe_starts(self, machine: Machine, start_was_lost: bool, now: timedelta) -> None:
-        """Judge by whether a start in the last response got lost."""
+        """Update the machine by whether a start in the last response got lost."""
         machine.undelivered_starts = machine.undelivered_starts + 1 if start_was_lost else 0
         if machine.undelivered_starts >= MAX_LOST_STARTS and machine.responses_lost_since is None:
             log.info(
@@ -55,21 +55,21 @@
             )
             machine.responses_lost_since = now
 
-    def _responses_arrive(self, machine: Machine, answered_at: timedelta | None, now: timedelta) -> bool:
+    def _responses_arrive(self, machine: Machine, responded_at: timedelta | None, now: timedelta) -> bool:
         assert machine.responses_lost_since is not None
         if now - max(machine.incarnation_since, machine.responses_lost_since) > self._proof_time:
             return True
         return (
             machine.undelivered_starts < MAX_LOST_STARTS
-            and answered_at is not None
-            and answered_at > machine.incarnation_since
+            and responded_at is not None
+            and responded_at > machine.incarnation_since
         )
 
 
 def _follows_at_once(machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
-    """Return whether this is the very next heartbeat, sooner than after a response that did not come.
+    """Return whether this heartbeat follows the last one without a response timeout in between.
 
-    A worker that gets no response turns to another node and comes back later than that.
+    A worker that gets no response turns to another node first, and returns after the timeout at the earliest.
     """
     return (
         machine.last_heartbeat_at is not None
