--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -37,14 +37,14 @@
 
 
 async def read_frames(
-    reader: asyncio.StreamReader, idle_timeout: timedelta | None = None
+    reader: asyncio.StreamReader, idle_timeout: timedelta | None = None, max_frame_bytes: int = MAX_FRAME_BYTES
 ) -> AsyncGenerator[bytes, None]:
     """Yield the content of each frame until the other side closes the connection.
 
     Raises TimeoutError where nothing comes for `idle_timeout`, and ParseError on what is no frame or longer than
-    `MAX_FRAME_BYTES`: where the next one begins is not known then.
+    `max_frame_bytes`: where the next one begins is not known then.
     """
-    decoder = pynetstring.Decoder(MAX_FRAME_BYTES)
+    decoder = pynetstring.Decoder(max_frame_bytes)
     idle_timeout_s = None if idle_timeout is None else idle_timeout.total_seconds()
     while True:
         async with asyncio.timeout(idle_timeout_s):
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -19,6 +19,7 @@
 OK, FAILED = 0, 1
 # Controllers announce themselves each second.
 ANNOUNCEMENT_TIMEOUT = seconds(2.5)
+MAX_FRAME_BYTES = 64 * 1024
 
 
 class NoAnnouncementError(ElmthreadError):
@@ -98,7 +99,7 @@
 
 
 async def _next_announcement(reader: asyncio.StreamReader) -> LeaderAnnouncement:
-    async with aclosing(read_frames(reader)) as frames:
+    async with aclosing(read_frames(reader, max_frame_bytes=MAX_FRAME_BYTES)) as frames:
         async for frame in frames:
             message = decode(frame)
             if isinstance(message, LeaderAnnouncement):
