--- a/tests/both.py
+++ b/tests/both.py
@@ -25,7 +25,7 @@
 
 
 def renamed(checkout: Path, into: Path) -> None:
-    """The earlier version as a package beside this one."""
+    """Copy the earlier version as a package beside this one."""
     shutil.copytree(checkout / "src" / "elmthread", into / NAME, ignore=shutil.ignore_patterns("tests", "__pycache__"))
     for path in (into / NAME).rglob("*.py"):
         text = re.sub(r"^(\s*)(from|import) elmthread\b", rf"\1\2 {NAME}", path.read_text(), flags=re.MULTILINE)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -28,6 +28,16 @@
 CHANGES_PER_SECOND = 60
 
 
+async def submit_jobs(world: World) -> list[str]:
+    ids = []
+    for number in range(JOBS):
+        spec = job(number, pieces=TASKS, kit=f"img-{number % 7}", true_s=25.0, expected_s=25.0)
+        spec["urgency"] = "high" if number % 3 == 1 else "normal"
+        assert await world.submit(spec)
+        ids.append(spec["name_id"])
+    return ids
+
+
 def test_four_thousand_machines_through_an_election_a_load_and_a_reporting_storm(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -41,12 +51,7 @@
         for index in range(MACHINES):
             world.rent("small" if index % 3 else "large", ZONES[index % 2], spot=bool(index % 5))
         await asyncio.sleep(3)
-        ids = []
-        for number in range(JOBS):
-            spec = job(number, pieces=TASKS, kit=f"img-{number % 7}", true_s=25.0, expected_s=25.0)
-            spec["urgency"] = "high" if number % 3 == 1 else "normal"
-            assert await world.submit(spec)
-            ids.append(spec["name_id"])
+        ids = await submit_jobs(world)
         await asyncio.sleep(12)
         assert len(world.rules.running) > 0.9 * JOBS * TASKS
         # Every machine is known to the leader, which ends; all report to the next one at once.
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -47,7 +47,7 @@
         world.isolated_nodes.add(name)
     refused_for = rng.choice([rng.uniform(2, 20), 90.0])
 
-    def again() -> None:
+    def heal() -> None:
         world.isolated_nodes.discard(name)
         world.ports[name].store.faults.refused = False
 
@@ -57,7 +57,7 @@
             world.ports[name].store.faults.refused = True
 
     refused_until = world.loop.now + refused_for
-    world.loop.call_later(refused_for, again)
+    world.loop.call_later(refused_for, heal)
     calls = [
         world.loop.create_task(delayed(rng.uniform(0.0, 6.0), partial(world.withdraw, job_id, 50.0))) for job_id in ids
     ]
@@ -70,21 +70,29 @@
     while world.loop.now < end:
         await asyncio.sleep(rng.uniform(1, 8))
         if crash is not None and world.loop.now > end - world.cancel + crash:
-            # A process ends and is back at once, the holding one or any other.
             crash = None
-            victim = rng.choice(list(world.controllers))
-            world.kill(victim)
-            world.loop.call_later(rng.uniform(0.05, 0.9), partial(start, world, victim))
+            restart_any(world)
             world.loop.call_later(1.0, cut_again)
         if rng.random() < 0.2 and world.workers:
-            worker = rng.choice(list(world.workers.values()))
-            worker.hung = True
-            world.loop.call_later(rng.uniform(1, 20), setattr, worker, "hung", False)
+            hang_any(world)
     world.store.outage(False)
     for call in calls:
         call.cancel()
 
 
+def restart_any(world: World) -> None:
+    """A process ends and is back at once, the holding one or any other."""
+    victim = world.rng.choice(list(world.controllers))
+    world.kill(victim)
+    world.loop.call_later(world.rng.uniform(0.05, 0.9), partial(start, world, victim))
+
+
+def hang_any(world: World) -> None:
+    worker = world.rng.choice(list(world.workers.values()))
+    worker.hung = True
+    world.loop.call_later(world.rng.uniform(1, 20), setattr, worker, "hung", False)
+
+
 async def delayed(pause: float, begin: Callable[[], Awaitable[object]]) -> None:
     await asyncio.sleep(pause)
     await begin()
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -28,16 +28,17 @@
 from tests.world.world import World, start
 
 
+async def check_refused(world: World, node: str) -> None:
+    one = world.controllers[node]
+    assert one.rollout.gate.state is GateState.REFUSED and one.election.role.name == "FOLLOWER"
+    assert (await world.ask("GET", "/ready", node=node)).status == 503
+    answer = await world.ask("GET", "/submissions/run-000000", node=node)
+    assert answer.status == 503 and answer.retry_after is not None and answer.close
+
+
 def test_a_version_that_does_not_read_the_active_level_stays_out_and_says_what_to_do(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def refused(world: World, node: str) -> None:
-        one = world.controllers[node]
-        assert one.rollout.gate.state is GateState.REFUSED and one.election.role.name == "FOLLOWER"
-        assert (await world.ask("GET", "/ready", node=node)).status == 503
-        answer = await world.ask("GET", "/submissions/run-000000", node=node)
-        assert answer.status == 503 and answer.retry_after is not None and answer.close
-
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
             await upgrade_all(world)
@@ -47,14 +48,14 @@
             back = world.leader.node
             replace(world, back, BEFORE, 0.3)
             await asyncio.sleep(8)
-            await refused(world, back)
+            await check_refused(world, back)
             assert world.leader is not None and world.leader.node != back
             # Alone it does not lead either.
             for node in NODES:
                 if node != back:
                     world.kill(node)
             await asyncio.sleep(40)
-            await refused(world, back)
+            await check_refused(world, back)
             assert world.leader is None
             for node in NODES:
                 replace(world, node, SUPPORTED, 0.5)
@@ -74,11 +75,10 @@
     with caplog.at_level(logging.ERROR, "elmthread"):
         play(main(), world.loop)
     assert world.rules.broken == []
-    told = [record.getMessage() for record in caplog.records]
-    # Told once, not at every try.
-    assert (
-        len(told) == 1 and f"level {SUPPORTED.highest} is active" in told[0] and "start a version that reads" in told[0]
-    )
+    errors = [record.getMessage() for record in caplog.records]
+    # Logged once, not at every try.
+    assert len(errors) == 1
+    assert f"level {SUPPORTED.highest} is active" in errors[0] and "start a version that reads" in errors[0]
 
 
 def test_what_an_earlier_process_of_the_node_has_on_its_way_cannot_speak_for_the_present_one() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,6 +26,17 @@
 JOBS = 50
 
 
+async def submit_mixed_jobs(world: World) -> list[str]:
+    ids = []
+    for number in range(JOBS):
+        size = 600 if number % 10 == 0 else 40
+        spec = job(number, pieces=size, kit=f"img-{number % 7}", true_s=12.0, expected_s=15.0)
+        spec["urgency"] = "high" if number % 3 == 1 else "normal"
+        assert await world.submit(spec)
+        ids.append(spec["name_id"])
+    return ids
+
+
 def test_hundreds_of_machines_and_a_fail_over(monkeypatch: pytest.MonkeyPatch) -> None:
     """Thousands of tasks; the work for each stays within bounds that a quadratic slip would break."""
     changes: Counter[int] = Counter()  # by second
@@ -37,13 +48,7 @@
         for index in range(MACHINES):
             world.rent("small" if index % 3 else "large", ["east", "north"][index % 2], spot=bool(index % 5))
         await asyncio.sleep(2)
-        ids = []
-        for number in range(JOBS):
-            size = 600 if number % 10 == 0 else 40
-            spec = job(number, pieces=size, kit=f"img-{number % 7}", true_s=12.0, expected_s=15.0)
-            spec["urgency"] = "high" if number % 3 == 1 else "normal"
-            assert await world.submit(spec)
-            ids.append(spec["name_id"])
+        ids = await submit_mixed_jobs(world)
         await asyncio.sleep(15)
         running = set(world.rules.running)
         assert len(running) > 1500
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -24,7 +24,7 @@
 
 
 async def outage(world: World, rng: random.Random) -> None:
-    """The state service is slow, loses and repeats answers, is out, and comes back with a stricter limit."""
+    """Slow the store, lose and repeat its responses, take it down, and lower its limit."""
     users = asyncio.ensure_future(use(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
@@ -74,7 +74,7 @@
 
 
 async def kills(world: World, rng: random.Random) -> None:
-    """The leader is killed and comes back, a follower stands still, all are killed and come back."""
+    """Kill and restart the leader, suspend a follower, kill and restart all."""
     users = asyncio.ensure_future(use(world, rng, 40))
     for _ in range(2):
         await asyncio.sleep(18)
--- a/tests/trace/pins.py
+++ b/tests/trace/pins.py
@@ -25,24 +25,24 @@
         self.loop: SimLoop | None = None
 
     def steady(self) -> float:
-        """Simulated seconds since the day began."""
+        """Return the simulated seconds since the day began."""
         return 0.0 if self.loop is None else self.loop.now
 
     def steady_ns(self) -> int:
-        """The same in nanoseconds."""
+        """Return the same in nanoseconds."""
         return int(self.steady() * 1e9)
 
     def wall(self) -> float:
-        """Simulated seconds since 1970."""
+        """Return the simulated seconds since 1970."""
         return EPOCH_S + self.steady()
 
     def wall_ns(self) -> int:
-        """The same in nanoseconds."""
+        """Return the same in nanoseconds."""
         return int(self.wall() * 1e9)
 
 
 def _datetime(clock: SimulatedTime) -> type[REAL]:
-    """A datetime that reads the simulated time; all else is as it was."""
+    """Return a datetime that reads the simulated time; all else is as it was."""
 
     class SimulatedDatetime(REAL):
         @classmethod
@@ -57,12 +57,12 @@
 
 
 def _no_processor_time() -> int:
-    """The time of the processor, which never passes here: no node is ever overloaded."""
+    """Return the processor time, which never passes here: no node is ever overloaded."""
     return 0
 
 
 def _replacements(clock: SimulatedTime) -> list[tuple[Any, str, Any]]:
-    """Module, name and stand-in of all that is pinned."""
+    """Return module, name and stand-in of all that is pinned."""
     clocks: dict[str, Callable[[], float]] = {
         "time": clock.wall,
         "time_ns": clock.wall_ns,
@@ -77,7 +77,7 @@
 
 
 def _patch_imported_names(stack: ExitStack, stand_ins: dict[int, Any]) -> None:
-    """Replaces what modules of the service have taken over by `from time import ...` and the like.
+    """Replace what modules of the service have imported by `from time import ...` and the like.
 
     The names are looked up by what they stand for, so that none of a module or of a variable is needed here.
     """
--- a/tests/trace/recorder.py
+++ b/tests/trace/recorder.py
@@ -20,12 +20,12 @@
 
 
 def wire(value: Any) -> str:
-    """A body as JSON, its fields in the order in which they are sent; what can't be sent is an error."""
+    """Return a body as JSON, its fields in the order in which they are sent; what can't be sent is an error."""
     return json.dumps(value, separators=(",", ":"))
 
 
 def received(body: bytes) -> str:
-    """The body of a request; bytes that are no CBOR as hexadecimal digits."""
+    """Return the body of a request; bytes that are no CBOR as hexadecimal digits."""
     try:
         return wire(cbor2.loads(body)) if body else ""
     except ValueError:
@@ -33,7 +33,7 @@
 
 
 def answered(response: Any) -> str:
-    """An answer at a node's door, its headers included. The only place that names fields of it."""
+    """Return a response as text, its headers included. The only place that names its fields."""
     after = "" if response.retry_after is None else f" retry={response.retry_after.total_seconds():.6f}"
     return f"{response.status}{after}{' close' if response.close else ''} {wire(response.body)}"
 
@@ -51,7 +51,7 @@
         return 0.0 if self.world is None else self.world.loop.now
 
     def begin(self, what: str) -> Callable[[str], None]:
-        """Notes an exchange; returns what notes its answer. Without an answer it stays unanswered."""
+        """Note an exchange; return what notes its response. Without one it stays unanswered."""
         if self.closed:
             return lambda answer: None
         index = len(self.lines)
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -32,12 +32,12 @@
 
 
 def leader_of(world: World) -> str:
-    """The node that leads now; the first one where none does."""
+    """Return the node that leads now, or the first one where none does."""
     return next((node for node, one in world.controllers.items() if one is world.leader), world.nodes[0])
 
 
 def drawn(rng: random.Random, number: int) -> dict[str, Any]:
-    """A submission of any form, priority and team."""
+    """Return a submission of any form, priority and team."""
     crew = rng.choice(["red", "blue", "blue"])
     if rng.random() < 0.2:
         ends = rng.choice([{}, {"true_s": 40.0, "ends": rng.choice(["done", "error"])}])
@@ -47,7 +47,7 @@
 
 
 async def use(world: World, rng: random.Random, count: int, pause: float = 2.0, first: int = 0) -> None:
-    """Submits jobs one after another; in between users ask, repeat, cancel and send what is refused."""
+    """Submit jobs one after another; in between query, repeat, cancel and send what is refused."""
     ids: list[str] = []
     running: set[asyncio.Future[Any]] = set()
     for number in range(first, first + count):
@@ -66,7 +66,7 @@
 
 
 async def look(world: World, rng: random.Random, ids: list[str]) -> None:
-    """A user asks about a job, now and then about none there is, and for readiness."""
+    """Query a job, now and then one that does not exist, and readiness."""
     await world.poll(rng.choice(ids))
     if rng.random() < 0.2:
         await world.ask("GET", "/submissions/run-999999")
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -29,7 +29,7 @@
 
 
 async def until_led(world: World, patience: float) -> None:
-    """Until a leader hears most of its machines, and they hear it."""
+    """Wait until a leader and most of its machines receive each other's messages."""
     end = world.loop.now + patience
     while world.loop.now < end:
         leader = world.leader
@@ -42,7 +42,7 @@
 
 
 def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
-    """A day on which views are exchanged before anything is cut, with jobs that must all come to an end.
+    """Play a day on which views are exchanged before anything is cut; all jobs must come to an end.
 
     With other `levels` all nodes begin as a version before.
     """
@@ -74,7 +74,7 @@
 
 
 async def submit_and_cancel(world: World, count: int, pause: float, first: int = 0) -> list[str]:
-    """Submits jobs and calls off the first and the last one later; the ids of all that were accepted."""
+    """Submit jobs, cancel the first and the last one later, and return the ids of all that were accepted."""
     ids = []
     for number in range(first, first + count):
         spec = job(number, pieces=6, true_s=25.0, expected_s=25.0, crew=["red", "blue"][number % 2])
--- a/tests/world/earlier.py
+++ b/tests/world/earlier.py
@@ -104,7 +104,7 @@
 
 
 def newest(store: dict[str, Any]) -> dict[str, Any]:
-    """The newest version of each record, of the page with the highest number that has one."""
+    """Return the newest version of each record: that of the page with the highest number that has one."""
     found: dict[str, tuple[int, Any]] = {}
     for key, value in store.items():
         if not key.startswith("s/"):
--- a/tests/world/faults.py
+++ b/tests/world/faults.py
@@ -7,7 +7,7 @@
 
 @contextmanager
 def errors_logged() -> Iterator[list[str]]:
-    """Collects each error of the service, its trace included."""
+    """Collect each error that the service logs, its trace included."""
     told: list[str] = []
     handler = logging.Handler(logging.ERROR)
     handler.emit = lambda record: told.append(logging.Formatter().format(record))  # type: ignore[method-assign]
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -23,7 +23,7 @@
 
 
 async def announce_late(world: World) -> None:
-    """New, then old within a fraction of a second: the new one's announcement arrives after the old one's."""
+    """Replace a new process by an old one at once: the new one's announcement arrives after the old one's."""
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.1)
     await asyncio.sleep(6)
@@ -45,7 +45,7 @@
 
 
 async def roll_back_unannounced(world: World) -> None:
-    """A node's announcement still stands, but names another process than the one that runs."""
+    """Leave a node's announcement that names another process than the one that runs."""
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
@@ -67,7 +67,7 @@
 
 
 def by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
-    """The level rises once most nodes have it."""
+    """Raise the level once most nodes have it."""
     able = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
     if view.level < 2 and len(able) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
@@ -82,7 +82,7 @@
         self._left_out, self.put = left_out, store.put
 
     def compare(self, key: str, mod_revision: int) -> store.Comparison:
-        """The comparison, of a key that never exists where it is left out."""
+        """Return the comparison, of a key that never exists where it is left out."""
         return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
 
 
@@ -96,13 +96,13 @@
 
 
 def transaction(comparisons: list[store.Comparison], put: store.Put) -> dict[str, Any]:
-    """The transaction as it is on the wire."""
+    """Return the transaction as it is on the wire."""
     body: dict[str, Any] = msgspec.to_builtins(store.Transaction(comparisons, [put]))
     return body
 
 
 def announce_before(world: World, node: str) -> dict[str, Any]:
-    """The transaction by which a process of the version before announces itself."""
+    """Return the transaction by which a process of the version before announces itself."""
     key = f"rollout/nodes/{node}"
     record = world.store.items[key][0] | {"lowest": 1, "highest": 1, "process": "rolled back"}
     comparisons = [store.compare(key, world.store.items[key][1])]
@@ -112,7 +112,7 @@
 
 
 def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
-    """Calls once, right before the first transaction that puts the key is carried out."""
+    """Call once, right before the first transaction that puts the key is carried out."""
     transact, called = world.store._transact, False
 
     def watched(body: Any) -> Any:
@@ -171,7 +171,7 @@
 
 
 def learn_at_once(rollout: TermRollout) -> None:
-    """New forms do not wait for the fence, which is not put up."""
+    """Use new forms without the fence."""
     rollout._rollout.features.raise_level(rollout._level)
 
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -61,7 +61,7 @@
         self._history, self._node = history, node
 
     def on_elected(self, fencing_token: int) -> None:
-        """The lease stands from when it was requested."""
+        """Count the lease from when it was requested."""
         self._history.terms.append((self._history.world.loop.now, self._node, fencing_token))
         self._history.renewed(self._node, self._history.granted[self._node])
 
@@ -83,11 +83,11 @@
         world.on_answer.append(self._answered)
 
     def renewed(self, node: str, sent: float) -> None:
-        """The lease stands for its whole length from when the request was sent."""
+        """Count the lease for its whole length from when the request was sent."""
         self._sure_until[node] = max(self._sure_until.get(node, 0.0), sent + TTL)
 
     def act(self, node: str, what: str) -> None:
-        """A node does what only a sure lease allows."""
+        """Check that a node does this under a lease that surely holds."""
         self.acts += 1
         now = self.world.loop.now
         if now > self._sure_until.get(node, 0.0) + 1e-6:
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -51,7 +51,7 @@
 
 
 def check_schedule(schedule: Any) -> list[Fault]:
-    """The faults of a schedule. Raises BadScheduleError."""
+    """Return the faults of a schedule. Raises BadScheduleError."""
     error = jsonschema.exceptions.best_match(jsonschema.Draft202012Validator(SCHEMA).iter_errors(schedule))
     if error is not None:
         field = ".".join(map(str, error.absolute_path)) or "the schedule"
@@ -66,7 +66,7 @@
 
 
 def read_schedule(path: Path) -> list[Fault]:
-    """Reads a file. Raises BadScheduleError, naming the file and the field."""
+    """Return the faults in a file. Raises BadScheduleError, naming the file and the field."""
     try:
         return check_schedule(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, BadScheduleError) as error:
@@ -74,7 +74,7 @@
 
 
 def spans(fault: Fault) -> list[tuple[float, float]]:
-    """When the fault is there: from, to; it heals in between."""
+    """Return when the fault is active, as pairs of begin and end."""
     end = fault["at_s"] + fault["for_s"]
     if "on_s" not in fault:
         return [(fault["at_s"], end)]
@@ -86,7 +86,7 @@
 
 
 def draw(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
-    """Random faults of these links, all over after `length`."""
+    """Draw random faults of these links, all over after `length` seconds."""
     rng = random.Random(seed)
     links = sorted(ends)
     faults: list[Fault] = []
@@ -110,7 +110,7 @@
         self.used = False
 
     def begin(self, source: str, target: str, fault: Fault) -> list[tuple[str, str, str, float]]:
-        """Begins a fault between two ends that are resolved; returns what ends it."""
+        """Begin a fault between two resolved ends; return what ends it."""
         kind, delay = fault.get("kind", "drop"), fault.get("delay_s", 0.0)
         begun = [(source, target, kind, delay)]
         if fault.get("both", False):
@@ -120,18 +120,18 @@
         return begun
 
     def end(self, begun: list[tuple[str, str, str, float]]) -> None:
-        """The fault is over."""
+        """End a fault."""
         for one in begun:
             self._active.remove(one)
 
     def has(self, kind: str, source: str, target: str) -> bool:
-        """Whether that link has such a fault."""
+        """Return whether that link has such a fault."""
         return any(
             kind == found and _meets(source, one) and _meets(target, other) for one, other, found, _ in self._active
         )
 
     def delay(self, source: str, target: str) -> float:
-        """How much later what goes over the link arrives."""
+        """Return the delay of the link in seconds."""
         return sum(
             late
             for one, other, kind, late in self._active
@@ -139,12 +139,12 @@
         )
 
     def passes(self, source: str, target: str) -> bool:
-        """Whether anything gets over the link."""
+        """Return whether the link passes anything."""
         return not (self.has("drop", source, target) or self.has("reset", source, target))
 
 
 def _meets(end: str, pattern: str) -> bool:
-    """An end by itself; `workers` stands for those of all zones."""
+    """Return whether an end is the pattern; `workers` stands for those of all zones."""
     return end == pattern or (pattern == WORKERS and end.startswith(f"{WORKERS}/"))
 
 
@@ -157,7 +157,7 @@
         self._leader, self._changed = leader, changed
 
     async def play(self, schedule: list[Fault]) -> None:
-        """Plays all faults, from now to the end of the last."""
+        """Play all faults, from now to the end of the last."""
         await asyncio.gather(*(self._play_one(fault) for fault in schedule))
 
     async def _play_one(self, fault: Fault) -> None:
@@ -174,7 +174,7 @@
             self._changed("ends", fault, pairs)
 
     def _resolve(self, end: str) -> list[str]:
-        """The ends that a name of a schedule stands for now."""
+        """Return the ends that a name of a schedule stands for now."""
         leader = self._leader()
         others = [node for node in self._nodes if node != leader]
         return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(end, [end])
--- a/tests/world/loop.py
+++ b/tests/world/loop.py
@@ -61,7 +61,7 @@
         return self.now
 
     def clock(self, drift: float = 0.0) -> timedelta:
-        """A node's steady clock, fast or slow by `drift`, with an offset of its own."""
+        """Return the time of a node's monotonic clock, fast or slow by `drift`, with an offset of its own."""
         return timedelta(seconds=self.now * (1 + drift) + 1000 * abs(drift))
 
     def call_soon(  # type: ignore[override]
@@ -96,7 +96,7 @@
 
 
 def play(main: "Coroutine[Any, Any, None]", loop: SimLoop) -> None:
-    """Runs `main` to its end in simulated time and ends what it left running."""
+    """Run `main` to its end in simulated time and end what it left running."""
     try:
         loop.run_until_complete(main)
     finally:
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -63,14 +63,14 @@
 
 
 async def late_reports(stage: Stage) -> None:
-    """Copies, up to long after a lease, at any node."""
+    """Send copies of heartbeats to any node, up to long after a lease."""
     stage.world.duplicate_share = 0.5
     await asyncio.sleep(25)
     stage.world.duplicate_share = 0.0
 
 
 async def held_up(stage: Stage) -> None:
-    """Reports, commands and answers come seconds late."""
+    """Delay heartbeats and responses by seconds."""
     stage.world.delayed_share = 0.4
     await asyncio.sleep(25)
     stage.world.delayed_share = 0.0
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -65,7 +65,7 @@
 
 
 async def watch(world: World) -> None:
-    """Judges what is on machines all the time, and asks whether work waits beside room."""
+    """Check all the time what runs on machines, and whether work waits beside room."""
     while True:
         await asyncio.sleep(0.25)
         world.rules.check_cancelled()
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -107,7 +107,7 @@
     # Links
 
     async def play_faults(self, faults: list[Fault]) -> None:
-        """Plays a schedule to its end, from now on."""
+        """Play a schedule to its end, from now on."""
 
         def leader() -> str:
             return next((node for node, one in self.controllers.items() if one is self.leader), self.nodes[0])
@@ -138,7 +138,7 @@
                 await asyncio.sleep(1)
 
     def kill(self, node: str) -> None:
-        """The process ends without a word."""
+        """Kill the node's process."""
         for port in self.ports[node]:
             port.faults.process_ended = True
             port.faults.delivered_after_end = self.rng.random() < 0.5
@@ -153,7 +153,7 @@
             controller.leader_task.cancel()
 
     async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
-        """Runs a part of a node's work where it stands still with the node."""
+        """Run a part of a node's work in the node's context, where it is suspended with the node."""
         task = self.loop.create_task(work, context=self.contexts[node])
         at_work = self.requests_in_progress.setdefault(node, set())
         at_work.add(work)
@@ -168,7 +168,7 @@
         return task.result()
 
     async def serve(self, node: str, request: Request) -> Response:
-        """A request at a node's door, as its server handles it."""
+        """Handle a request as the node's server does."""
         handle = self.controllers[node].api.handle
 
         async def served() -> Response:
@@ -183,7 +183,7 @@
         return await self.within(node, served())
 
     async def suspend(self, node: str, seconds: float) -> None:
-        """The process gets no processor for a while; its clocks run on."""
+        """Suspend the process for a while; its clocks run on."""
         self.loop.suspend(node)
         await asyncio.sleep(seconds)
         self.loop.resume(node)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -154,7 +154,7 @@
 
 
 def set_apart(world: World, node: str, apart: bool) -> None:
-    """Takes the state service and the other controllers from a node, or gives them back."""
+    """Cut a node off from the store and the other controllers, or connect it again."""
     (world.isolated_nodes.add if apart else world.isolated_nodes.discard)(node)
     world.ports[node].store.faults.cut = apart
 
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -35,7 +35,7 @@
 
 
 def replace(world: World, node: str, levels: SupportedLevels, after: float) -> None:
-    """Ends a node's process; another one comes back, of the version with these levels."""
+    """Kill a node's process and start another one, of the version with these levels."""
     if node in world.controllers:
         world.kill(node)
     world.levels[node] = levels
@@ -43,7 +43,7 @@
 
 
 async def until_level(world: World, level: int, patience: float = 60.0) -> float:
-    """How long it takes until every node knows that the level is active."""
+    """Wait until every node knows that the level is active; return how long that took, in seconds."""
     began = world.loop.now
     while any(
         node not in world.controllers or world.controllers[node].rollout.features.level < level for node in world.nodes
@@ -55,7 +55,7 @@
 
 
 def stored_level(world: World) -> int:
-    """The active level as the state service has it."""
+    """Return the active level that the store has."""
     return int(world.store.items["rollout/level"][0]["level"]) if "rollout/level" in world.store.items else 1
 
 
@@ -157,7 +157,7 @@
                 self._break(f"level {level} is active while {node} serves a version that does not read it")
 
     def loaded(self, loader: StateLoader) -> None:
-        """A leader has loaded its view: it must be what the store holds, in whatever form."""
+        """Check a view that a leader has loaded against the store, whatever the form of its records."""
         self.loads += 1
         stored, finished = done_in_store(self._world), self._world.rules.finished
         for job_id, job in loader._cluster.jobs.items():
@@ -187,7 +187,7 @@
 
 @contextmanager
 def monitored(world: World) -> Iterator[RolloutMonitor]:
-    """A monitor that sees every load of a leader as well."""
+    """Watch a world with a monitor that sees every load of a leader as well."""
     monitor = RolloutMonitor(world)
     load = StateLoader.load
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -98,7 +98,7 @@
                         self._break("ran_cancelled", f"{task} on {machine}")
 
     def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
-        """A user was answered about a job, on a question asked then; any user at any node counts.
+        """Judge the response to a user's request about a job that was sent at `asked`, by any user to any node.
 
         An answer may be as old as its question: what was reported before that, nothing may go back on.
         """
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -20,7 +20,7 @@
 
 
 async def served(world: World, job_id: str, within: float, replicas: int = 3) -> float:
-    """How long it takes until all replicas serve."""
+    """Wait until all replicas serve; return how long that took, in seconds."""
     began = world.loop.now
     while world.rules.serving(job_id) < replicas:
         assert world.loop.now - began < within, f"{world.rules.serving(job_id)} of {replicas} after {within} s"
--- a/tests/world/simulated_store.py
+++ b/tests/world/simulated_store.py
@@ -34,7 +34,7 @@
         self.bad_requests: list[str] = []
 
     def values(self) -> dict[str, Any]:
-        """What stands in it, by key."""
+        """Return the stored values by key."""
         return {key: value for key, (value, _, _) in self.items.items()}
 
     def expire(self) -> None:
@@ -126,7 +126,7 @@
         return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
 
     def limit(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
-        """New limits, from now on and without notice; what is stored stays as it is."""
+        """Set new limits from now on; what is stored stays as it is."""
         self.value_bytes, self.max_changes = int(value_kb * 1024), txn_ops
         self.write_rps, self.write_tokens = write_rps, min(self.write_tokens, write_rps)
 
--- a/tests/world/specs.py
+++ b/tests/world/specs.py
@@ -30,7 +30,7 @@
 
 
 def daemon(number: int, **changes: Any) -> dict[str, Any]:
-    """A service: `true_s` is how long a replica serves before it ends by itself, with `ends`."""
+    """Return a service: a replica runs for `true_s` before it ends by itself, with `ends`."""
     return (
         job(
             number,
@@ -49,5 +49,5 @@
 
 
 def sent(spec: dict[str, Any]) -> dict[str, Any]:
-    """What a user sends of it: the rest is for the stand-in workers only."""
+    """Return what a user sends of it: the rest is for the simulated workers only."""
     return {name: value for name, value in spec.items() if name not in ("true_s", "each_s", "ends")}
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -29,7 +29,7 @@
         return task
 
     async def end(self) -> None:
-        """Until no user has anything left to do."""
+        """Wait until no user has anything left to do."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
@@ -45,7 +45,7 @@
         return None
 
     async def work(self) -> None:
-        """What there is to do at the start: teams at their limit, zones, arrays, ends far apart."""
+        """Submit the first jobs: teams at their limit, zones, arrays, ends far apart."""
         await self.submit(crew="red", pieces=14, true_s=25.0, expected_s=25.0)
         await self.submit(crew="red", urgency="high", pieces=4, cpus=2.0, true_s=12.0, expected_s=12.0)
         for _ in range(3):
@@ -63,7 +63,7 @@
         return [one for one in self.ids if told.get(one) not in ("done", "cancelled")]
 
     async def look(self, job_id: str) -> None:
-        """Every node is asked again and again within milliseconds, and the submission repeated."""
+        """Ask every node repeatedly within milliseconds, and repeat the submission."""
         world = self.world
         for _ in range(3):
             asks = [world.poll(job_id, node) for node in world.nodes if node in world.controllers]
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -14,7 +14,7 @@
 
 
 def staged_day(script: Script, before: Callable[[World], None] = begin_before, **more: Any) -> World:
-    """A day that begins with the version before; nothing that the monitor sees may break a promise."""
+    """Play a day that begins with the version before; the monitor may see no promise broken."""
 
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -7,7 +7,7 @@
 
 
 async def refused_then_down(stage: Stage) -> None:
-    """The leader alone, then everybody for longer than `cancel_s`, while users cancel and ask."""
+    """Refuse the leader, then everybody for longer than `cancel_s`, while users cancel and ask."""
     world, leader = stage.world, stage.leader()
     if leader is None:
         return
@@ -38,12 +38,12 @@
 
 
 async def late_writes(stage: Stage) -> None:
-    """Without an answer, and carried out after newer ones."""
+    """Carry out a share of the requests after newer ones, without a response."""
     await _fault(stage, "late_share", 0.3, 25)
 
 
 async def answers_lost(stage: Stage) -> None:
-    """Carried out at once, and only the answer is lost, while others read."""
+    """Carry out requests at once and lose a share of the responses."""
     await _fault(stage, "lost_response_share", 0.4, 25)
 
 
--- a/tests/world/stored.py
+++ b/tests/world/stored.py
@@ -12,5 +12,5 @@
 
 
 def stored_records(store: SimulatedStore) -> dict[str, Any]:
-    """The newest version of each packed record."""
+    """Return the newest version of each packed record."""
     return RecordPages(page_capacity(8)).load(stored_pages(store))
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -29,7 +29,7 @@
 
 
 def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
-    """What services of one term share; `writer` and `term` may be stand-ins."""
+    """Return what services of one term share; `writer` and `term` may be stand-ins."""
     return TermContext(
         term=term or cast(Any, SureTerm()),
         store=cast(Any, None),
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -35,7 +35,7 @@
 
 
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
-    """The same with a version that really is an earlier one, drawn by the seed alone."""
+    """Play the same with a version that really is an earlier one, drawn by the seed alone."""
     rng = random.Random(seed)
     troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
@@ -53,7 +53,7 @@
     falls: float,
     before: Callable[[World], None],
 ) -> None:
-    """An upgrade in that order beside troubles; the limits fall so many seconds after it."""
+    """Upgrade in that order beside troubles; the limits fall so many seconds after it."""
 
     async def script(world: World) -> None:
         for zone in ZONES:
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -8,7 +8,7 @@
 
 
 async def cancel_now(stage: Stage) -> None:
-    """Some that run, first those of the team at its limit, within a fifth of a second."""
+    """Cancel some running jobs, first those of the team at its limit, within a fifth of a second."""
     on = {task.rpartition("/")[0] for _, task in stage.world.rules.running}
     jobs = stage.unfinished()
     stage.world.rng.shuffle(jobs)
@@ -22,7 +22,7 @@
 
 
 async def cancel_and_hang(stage: Stage) -> None:
-    """Cancelled, and machines of the team at its limit hang at that moment or can't be reached."""
+    """Cancel jobs while machines of the team at its limit hang or can't be reached."""
     world = stage.world
     specs = world.rules.specs
     theirs = {name for name, task in world.rules.running if specs[task.rpartition("/")[0]]["crew"] == "red"}
@@ -35,7 +35,7 @@
 
 
 async def cancel_at_end(stage: Stage) -> None:
-    """A job is called off, asked about or submitted again at the moment of its last task's end."""
+    """Cancel, query or resubmit jobs at the moment at which their last task ends."""
     world = stage.world
 
     async def one() -> None:
@@ -55,7 +55,7 @@
 
 
 async def stream(stage: Stage) -> None:
-    """One-task jobs, four a second, a quarter of them cancelled, some at once."""
+    """Submit one-task jobs, four a second, a quarter of them cancelled, some at once."""
     world = stage.world
 
     async def one() -> None:
@@ -70,7 +70,7 @@
 
 
 async def close_looks(stage: Stage) -> None:
-    """All nodes are asked right after a job was accepted; some cancel at once."""
+    """Ask all nodes right after a job was accepted; cancel some at once."""
     world = stage.world
 
     async def one() -> None:
@@ -86,7 +86,7 @@
 
 
 async def odd_requests(stage: Stage) -> None:
-    """What can't run or lacks a field, repeats, and cancellations of what is done."""
+    """Send jobs that can't run or lack a field, repetitions, and cancellations of what is done."""
     world = stage.world
     odd: list[dict[str, Any]] = [
         {"cpus": 17.0},
@@ -115,7 +115,7 @@
 
 
 async def overload(stage: Stage) -> None:
-    """More work than room, urgent and not, over slow links."""
+    """Submit more work than there is room for, urgent and not, over slow links."""
     stage.begin(held_up(stage))
     for _ in range(10):
         for urgency in ("high", "normal", "best_effort"):
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Runs it until it is ended."""
+    """Run the controller until it is ended."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--config", type=Path, required=True)
     parser.add_argument("--operators", type=Path)
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -70,7 +70,7 @@
         self._drop_tasks()
 
     def restart(self, session: int) -> None:
-        """The machine is back at once, its tasks gone, with this session number."""
+        """Restart the machine at once, without its tasks, as this incarnation."""
         self._drop_tasks()
         self.incarnation, self.sequence, self.fencing_token = session, 0, 0
         self.lease_renewed_at = self.loop.now
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -124,7 +124,7 @@
     async def about(
         self, job_id: str, method: str, path: str, body: Any = None, node: str | None = None
     ) -> tuple[Response, str | None]:
-        """A user's question about a job, judged with the moment at which it was asked."""
+        """Send a user's request about a job and judge the response."""
         asked = self.loop.now
         response = await self.ask(method, path, body, node)
         state = (response.body or {}).get("status")
@@ -132,7 +132,7 @@
         return response, state
 
     async def offer(self, spec: dict[str, Any]) -> Response:
-        """A submission, or its repetition."""
+        """Submit a job once, or repeat its submission."""
         response, _ = await self.about(spec["name_id"], "POST", "/submissions", sent(spec))
         return response
 
@@ -180,6 +180,6 @@
 
 
 def start(world: World, node: str) -> None:
-    """Starts a node that is not up."""
+    """Start a node that is not up."""
     if node not in world.controllers:
         world.start(node)
--- a/tools/forwarder.py
+++ b/tools/forwarder.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, faults: LinkFaults, source: str, target: str, host: str, address: str) -> None:
-        """The target listens at `address`; the forwarder is to listen on `host`."""
+        """Forward to `address`; the forwarder listens on `host`."""
         self._faults, self._source, self._target = faults, source, target
         self._host, self._address = host, address
         self._server: asyncio.Server | None = None
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -35,7 +35,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports on which nothing listens now, for processes that are to be started, and started again.
+    """Return ports on which nothing listens now, for processes that are started, and started again.
 
     They lie below those that the system gives to outgoing connections: one of these once had the port of a
     controller that was away for a second, which then could not listen.
@@ -59,13 +59,13 @@
 
     @property
     def now(self) -> float:
-        """Seconds on the loop's clock."""
+        """The time of the loop's clock in seconds."""
         return self.time()
 
 
 @contextmanager
 def real_loop() -> Iterator[RealLoop]:
-    """A loop for one run; whatever the run leaves on it is ended with it, so that nothing outlives the run."""
+    """Make a loop for one run, and end with it whatever the run has left on it."""
     loop = RealLoop()
     asyncio.set_event_loop(loop)
     try:
@@ -105,12 +105,12 @@
         self.store_address = self.cloud_address = ""
 
     async def start(self) -> None:
-        """Begins to listen."""
+        """Begin to listen."""
         self.store_address = f"{HOST}:{await self._serve(self.store)}"
         self.cloud_address = f"{HOST}:{await self._serve(self.cloud)}"
 
     def settings(self, node: str, peers: dict[str, str], max_connections: int) -> str:
-        """A controller's settings; `peers` are the addresses at which the controllers listen for one another."""
+        """Return a controller's settings; `peers` are the addresses at which the controllers listen for one another."""
         others = "".join(
             f'[[others]]\nnode_name = "{other}"\nsite = "east"\naddress = "{address}"\n'
             for other, address in peers.items()
@@ -123,7 +123,7 @@
         return text.replace("max_connections = 500", f"max_connections = {max_connections}")
 
     def add_machines(self, count: int, boot_s: float = 0.5) -> None:
-        """Machines of random types and zones come up."""
+        """Add machines of random types and zones."""
         for _ in range(count):
             kind = self._rng.choice(TYPES)
             self.cloud.add(kind["name"], self._rng.choice(kind["yards"]), True, boot_s)
@@ -153,7 +153,7 @@
         return await self._report_to(name, node, self.controllers[node], request)
 
     async def _report_to(self, name: str, node: str, address: str, request: Request) -> Response:
-        """A worker's report to a controller that it reaches at that address."""
+        """Send a worker's heartbeat to a controller that it reaches at that address."""
         client = self._clients.setdefault((name, node), HttpClient(address))
         self.counts["reports"] += 1
         try:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -34,7 +34,7 @@
 
 
 def measure(level: int, machines: int, value_kb: float) -> list[str]:
-    """Runs the load on a level; what was seen, line by line."""
+    """Run the load on a level and return the lines of the report."""
     world, counts = World(1, 3, machines), Counter[str]()
     sizes = {prefix: HdrHistogram(1, LARGEST_RECORD, 3) for prefix in ("m/", "d/", "j/")}
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
@@ -71,6 +71,10 @@
         play(script(), world.loop)
     if world.rules.broken:
         raise AssertionError(world.rules.broken)
+    return _lines(counts, sizes)
+
+
+def _lines(counts: Counter[str], sizes: dict[str, Any]) -> list[str]:
     lines = [f"  {count} {what}" for what, count in counts.items()]
     for prefix, histogram in sizes.items():
         at = ", ".join(f"p{part:g} {histogram.get_value_at_percentile(part)}" for part in (50, 90, 100))
@@ -79,7 +83,7 @@
 
 
 async def submit_jobs(world: World, level: int, machines: int) -> None:
-    """Starts everything, and submits jobs of many sizes."""
+    """Start everything and submit jobs of many sizes."""
     rng = random.Random(3)
     for index in range(machines):
         world.rent("small" if index % 3 else "large", ZONES[index % 2], spot=bool(index % 5))
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -11,7 +11,7 @@
     """One controller's process, whichever version it runs, and the lines that it logs."""
 
     def __init__(self, name: str, folder: Path, began: float) -> None:
-        """Its settings lie in the folder."""
+        """Take the settings from the folder."""
         self.name = name
         self.settings = folder / f"{name}.toml"
         self.lines: list[tuple[float, str]] = []
@@ -20,7 +20,7 @@
         self._reading: asyncio.Task[None] | None = None
 
     async def start(self, command: list[str], source: Path) -> None:
-        """Starts a process of a version."""
+        """Start a process of a version."""
         environment = os.environ | {"PYTHONPATH": f"{source / 'src'}:{source}", "LOG_LEVEL": "info"}
         self._process = await asyncio.create_subprocess_exec(
             *command, "--config", str(self.settings), env=environment, cwd=source, stderr=PIPE
@@ -33,7 +33,7 @@
             self.lines.append((time.monotonic() - self._began, line.decode().rstrip()))
 
     async def kill(self) -> None:
-        """Ends it without notice."""
+        """Kill the process."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
@@ -41,5 +41,5 @@
             await self._reading
 
     def when(self, text: str) -> float | None:
-        """When it last logged a line with that text."""
+        """Return when it last logged a line with that text."""
         return next((at for at, line in reversed(self.lines) if text in line), None)
--- a/tools/profiled_controller.py
+++ b/tools/profiled_controller.py
@@ -25,13 +25,13 @@
     """Profiles from its start on, and writes one profile a phase."""
 
     def __init__(self, output: Path) -> None:
-        """Files go to the directory `output`."""
+        """Write files to the directory `output`."""
         self._output = output
         self._phase = 0
         self._profile = cProfile.Profile()
 
     def start(self) -> None:
-        """Begins to profile; SIGUSR1 ends a phase from here on."""
+        """Begin to profile; SIGUSR1 ends a phase from here on."""
         signal.signal(signal.SIGUSR1, self._end_phase)
         self._profile.enable()
 
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -48,7 +48,7 @@
 
 
 def schemas_of(forms: dict[str, Any]) -> dict[str, Any]:
-    """One schema a form; a field that a form does not name is no part of it."""
+    """Return one schema for each form; a field that a form does not name is no part of it."""
     return {name: _schema(kind) for name, kind in forms.items()}
 
 
@@ -61,7 +61,7 @@
 
 
 def _plain(schema: Any, definitions: dict[str, Any]) -> Any:
-    """The schema without names of classes, so that renaming one changes nothing, and with closed objects."""
+    """Return the schema without names of classes, so that renaming one changes nothing, and with closed objects."""
     if isinstance(schema, list):
         return [_plain(part, definitions) for part in schema]
     if not isinstance(schema, dict):
@@ -75,12 +75,12 @@
 
 
 def text_of(schemas: dict[str, Any]) -> str:
-    """The file's text."""
+    """Return the file's text."""
     return json.dumps(schemas, indent=1, sort_keys=True) + "\n"
 
 
 def main() -> None:
-    """Writes the files of the newest level and of the rollout's records."""
+    """Write the files of the newest level and of the rollout's records."""
     (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(FORMS)))
     (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_FORMS)))
 
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -42,7 +42,7 @@
     """The run: stand-ins, users and three controllers that change their version."""
 
     def __init__(self, loop: RealLoop, folder: Path, options: Options) -> None:
-        """Settings are written to the folder."""
+        """Write settings to the folder; nothing is started yet."""
         self._options, self._folder = options, folder
         self._began = time.monotonic()
         ports = free_ports(2 * len(NODES))
@@ -60,7 +60,7 @@
         self.happened.append((time.monotonic() - self._began, what))
 
     async def run(self) -> None:
-        """All of it, until every job has its final answer."""
+        """Run everything until each job has its final state."""
         await self.stand_ins.start()
         for node in NODES:
             self.nodes[node].settings.write_text(self.stand_ins.settings(node, self._peers, 200))
@@ -134,7 +134,7 @@
             return 0
 
     async def _until_in_use(self) -> None:
-        """Waits until each process has said that it uses the level."""
+        """Wait until each process has logged that it uses the level."""
         end = time.monotonic() + PATIENCE_S
         while any(node.when("is in use here") is None for node in self.nodes.values()):
             if time.monotonic() > end:
@@ -157,12 +157,12 @@
     # Report
 
     def level(self) -> int:
-        """The active level in the state service."""
+        """Return the active level in the store."""
         stored = self.stand_ins.store.items.get("rollout/level")
         return 1 if stored is None else int(stored[0]["level"])
 
     def durations(self) -> list[str]:
-        """Times between announcement, activation and use, as the logs tell them."""
+        """Return the times between announcement, activation and use, by the logs."""
 
         def times(text: str) -> list[float]:
             return sorted(at for node in self.nodes.values() for at, line in node.lines if text in line)
@@ -178,7 +178,7 @@
         ]
 
     def report(self) -> list[str]:
-        """What was seen."""
+        """Return the lines of the report."""
         lines = [f"{at:7.2f} s  {what}" for at, what in self.happened]
         lines += self.durations() if self._options.gate else ["the rollout is off"]
         for phase, waits in self.waits.items():
@@ -192,7 +192,7 @@
 
 
 def main() -> int:
-    """Runs the upgrade once and prints the report."""
+    """Run the upgrade once and print the report."""
     arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     arguments.add_argument("--earlier", type=Path, metavar="DIR", help="a checkout of the version to begin with")
     arguments.add_argument("--gate", choices=["on", "off"], default="on", help="whether the rollout is switched on")
