--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -137,13 +137,13 @@
         booked = sum(m.service_cpus for m in on_demand)
         booked += usable_cores([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
         max_boot_s = max(machine_type.boot_s for machine_type in self._catalog.types.values())
-        boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.check
+        boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.urgent_share_check_interval
         soon = booked + self._trend.growth(now, booked) * boot.total_seconds()
         return _OnDemandNeed(booked, soon, largest.task_count * largest.spec.cpus)
 
     def _hold_band(self, spot_excluded: Sequence[Job], demand: _OnDemandNeed, on_demand: Sequence[Machine]) -> None:
         """Request on-demand instances where the share of replicas is above the band, or will be soon."""
-        theta, delta = self._operators.theta, self._operators.delta
+        theta, delta = self._operators.target_urgent_share, self._operators.urgent_share_tolerance
         cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand)
         cores += sum(
             machine_type.cpus * pending.count
@@ -161,7 +161,10 @@
         """Mark the machines in reserve: those that hold replicas stay in any case, then the cheapest."""
         needed = 0.0
         if demand is not None:
-            booked, min_share = demand.booked, max(self._operators.theta - self._operators.delta, MIN_URGENT_SHARE)
+            booked, min_share = (
+                demand.booked,
+                max(self._operators.target_urgent_share - self._operators.urgent_share_tolerance, MIN_URGENT_SHARE),
+            )
             needed = max(booked / min_share, demand.soon, booked + demand.largest_job) - booked
         on_demand.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
         reserved = machines_to_reserve(
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -46,12 +46,12 @@
 
     def __init__(self, context: ScalingContext) -> None:
         """Theta begins with the operators' value."""
-        self.theta = context.operators.theta
+        self.theta = context.operators.target_urgent_share
         self._cluster = context.cluster
         self._machines = context.machines
         self._offers = context.offers
-        self._delta = context.operators.delta
-        self._min_theta = context.operators.theta
+        self._delta = context.operators.urgent_share_tolerance
+        self._min_theta = context.operators.target_urgent_share
         self._demand: deque[tuple[timedelta, float]] = deque()
 
     @property
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -187,7 +187,7 @@
             if self.term.holds_lease():
                 self.autoscaler.run_round()
             await self._pause(MIN_AUTOSCALING_INTERVAL, began)
-            await _wait_for(self._events.capacity_short, self._node.operators.check)
+            await _wait_for(self._events.capacity_short, self._node.operators.urgent_share_check_interval)
 
     async def _wait_while_overloaded(self) -> None:
         """Delay decisions while there is not even time for responses, though not for ever."""
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -52,9 +52,9 @@
         """Check all fields. Raises SettingsError."""
         self._urgent = _expression("urgent", file.urgent, "truth")
         self._deadline = _expression("deadline_s", file.deadline_s, "number")
-        self.theta = _number("theta", file.theta, 0.05, 1.0)
-        self.delta = _number("delta", file.delta, 0.0, 0.5)
-        self.check: timedelta = seconds(_number("check_s", file.check_s, 0.5, 600.0))
+        self.target_urgent_share = _number("theta", file.theta, 0.05, 1.0)
+        self.urgent_share_tolerance = _number("delta", file.delta, 0.0, 0.5)
+        self.urgent_share_check_interval: timedelta = seconds(_number("check_s", file.check_s, 0.5, 600.0))
         problem = file.rollout.problem()
         if problem is not None:
             raise SettingsError(problem)
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -30,7 +30,7 @@
 from elmthread.store.token_bucket import TokenBucket
 from elmthread.store.write_queue import WritePriority
 from elmthread.store.writer import RecordWriter
-from tests.world.faults import errors_logged
+from tests.world.error_log import errors_logged
 from tests.world.loop import SimLoop, play
 from tests.world.service_ports import ServiceFaults, SimulatedClient
 from tests.world.simulated_store import SimulatedStore
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -9,7 +9,7 @@
 from elmthread.common.features import SUPPORTED
 from elmthread.rollout.gate import GateState
 from elmthread.settings.rollout import RolloutSettings
-from tests.world import earlier
+from tests.world import earlier_reader
 from tests.world.faulty_rollouts import announce_late, roll_back_unannounced
 from tests.world.loop import play
 from tests.world.rollouts import (
@@ -141,7 +141,7 @@
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
         # Nothing of the level is in use yet: the store is as the version in production reads it.
-        earlier.read(world.store.values())
+        earlier_reader.read(world.store.values())
         ids = await submit_some(world)
         start(world, ended[0])
         await until_level(world, SUPPORTED.highest)
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -22,7 +22,7 @@
 from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, done_tasks, read_done
 from elmthread.store.machine_records import read_machine
 from tests.world.day import day
-from tests.world.earlier import newest
+from tests.world.earlier_reader import newest
 from tests.world.rollouts import begin_before, replace, until_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED, Feature
 from elmthread.settings.rollout import RolloutSettings
-from tests.world import earlier
+from tests.world import earlier_reader
 from tests.world.rollouts import (
     BEFORE,
     SOAK_S,
@@ -32,14 +32,14 @@
             await asyncio.sleep(8)
             if node != NODES[-1]:
                 # Whoever leads, and whatever it writes: the version before could read it.
-                earlier.read(world.store.values())
+                earlier_reader.read(world.store.values())
         await until_level(world, SUPPORTED.highest)
         assert len(monitor.activations) == 1
         for one in world.controllers.values():
             assert one.rollout.features.is_active(Feature.DONE_BITMAPS)
         # The version in production reads what stands before the fence, and refuses what stands after it.
-        with pytest.raises(earlier.UnreadableError):
-            earlier.read(world.store.values())
+        with pytest.raises(earlier_reader.UnreadableError):
+            earlier_reader.read(world.store.values())
         ids += await submit_some(world, 4, 10)
         await asyncio.sleep(14)
         assert world.leader is not None
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -8,7 +8,7 @@
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.store.pages import PAGE_PREFIX
 from tests.world.day import day
-from tests.world.faults import errors_logged
+from tests.world.error_log import errors_logged
 from tests.world.loop import play
 from tests.world.specs import job
 from tests.world.stored import stored_records
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 
 from elmthread.api.messages import read_submission
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
-from tests.world import earlier
+from tests.world import earlier_reader
 from tests.world.day import day
 from tests.world.random_troubles import befall, restore
 from tests.world.specs import daemon, job, sent
@@ -30,7 +30,7 @@
 
 
 def test_the_model_reads_what_the_earlier_version_wrote() -> None:
-    view = earlier.read(sample_store())
+    view = earlier_reader.read(sample_store())
     assert set(SAMPLES["told"]) == set(view.jobs)
     for job_id, told in SAMPLES["told"].items():
         assert view.jobs[job_id]["state"] in ([told] if told in ("done", "cancelled") else ["open", "done"])
@@ -41,7 +41,7 @@
     for job_id, marked in view.done.items():
         assert {f"{job_id}/{task}" for task in marked} <= done
     for text in SAMPLES["frames"]:
-        earlier.frame(text)
+        earlier_reader.frame(text)
 
 
 def test_the_model_refuses_what_the_earlier_version_could_not_read() -> None:
@@ -56,14 +56,14 @@
         {"t/types": [{"name": "small"}]},
     ]
     for records in bad:
-        with pytest.raises((earlier.UnreadableError, KeyError)):
-            earlier.read({"s/0000": {"number": 1, "text": json.dumps(records)}})
-    with pytest.raises(earlier.UnreadableError):
-        earlier.frame('{"kind":"lead","leader":"loom-0","token":3,"version":2}')
+        with pytest.raises((earlier_reader.UnreadableError, KeyError)):
+            earlier_reader.read({"s/0000": {"number": 1, "text": json.dumps(records)}})
+    with pytest.raises(earlier_reader.UnreadableError):
+        earlier_reader.frame('{"kind":"lead","leader":"loom-0","token":3,"version":2}')
 
 
 def test_the_newer_version_loads_what_the_earlier_one_wrote() -> None:
-    view = earlier.read(sample_store())
+    view = earlier_reader.read(sample_store())
 
     async def script(world: World) -> None:
         for job_id, record in view.jobs.items():
@@ -109,12 +109,12 @@
         ForwardedRequest(5, "submit", "run-000001", 41, msgspec.to_builtins(read_submission(spec))),
         ForwardedResponse(5, 201, {"name_id": "run-000001"}, None, 41),
     ):
-        earlier.frame(encode(message).decode())
+        earlier_reader.frame(encode(message).decode())
 
 
 def check_earlier_reader(world: World) -> None:
     """An earlier leader would miss and mistake nothing of what is stored now."""
-    view = earlier.read(world.store.values())
+    view = earlier_reader.read(world.store.values())
     for job_id, told in world.rules.reported_states.items():
         state = view.jobs[job_id]["state"]
         assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
@@ -187,11 +187,11 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
-        earlier.read(world.store.values())
+        earlier_reader.read(world.store.values())
         # A node that is down at that moment keeps nobody from it.
         world.kill(next(node for node in world.nodes if world.controllers[node] is not world.leader))
         assert await world.submit(daemon(2), 5)
-        with pytest.raises(earlier.UnreadableError):
-            earlier.read(world.store.values())
+        with pytest.raises(earlier_reader.UnreadableError):
+            earlier_reader.read(world.store.values())
 
     day(script)
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable
 from typing import TypedDict, Unpack
 
-from tests.world.faults import errors_logged
+from tests.world.error_log import errors_logged
 from tests.world.loop import play
 from tests.world.world import World
 
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -20,7 +20,7 @@
 from elmthread.common.features import SupportedLevels
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.earlier import newest
+from tests.world.earlier_reader import newest
 from tests.world.world import World, start
 
 BEFORE = SupportedLevels(1, 1)
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -19,7 +19,7 @@
 
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
-from tests.world.earlier import newest
+from tests.world.earlier_reader import newest
 from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
