--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -40,7 +40,10 @@
         if failing_since is not None and self._clock() - failing_since > MAX_STORE_FAILURE_TIME:
             return responses.retry("the state service does not answer", responses.RETRY_AFTER_OVERLOAD)
         if len(self._pending) >= self._max_waiting:
-            log.info("%s submissions and cancellations wait for the store; no more are accepted", len(self._pending))
+            log.info(
+                "%s submissions and cancellations wait for the key-value store; no more are accepted",
+                len(self._pending),
+            )
             return responses.overloaded("too many submissions at once")
         return None
 
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -53,7 +53,7 @@
         wait = ended_by - self._clock() - at_most(self._cancellation_time) + MAX_KILL_DELAY
         if wait <= ZERO:
             return Response(status, body.body())
-        log.info("the cancellation of %s can't be confirmed to users for %.1f s", job.id, wait.total_seconds())
+        log.info("the cancellation of job %s can't be confirmed to users for %.1f s", job.id, wait.total_seconds())
         after = min(max(wait, responses.RETRY_AFTER), MAX_RETRY_AFTER)
         return responses.retry("its tasks may not be gone in time", after)
 
--- a/src/elmthread/api/submission.py
+++ b/src/elmthread/api/submission.py
@@ -67,7 +67,7 @@
         job = self._factory.new(spec, self._clock())
         self._cluster.add_job(job)
         log.info(
-            "accepted %s, a job of class %s of team %s: %s tasks of %s CPUs",
+            "accepted job %s of class %s and team %s: %s tasks of %s CPUs",
             spec.id,
             spec.job_class,
             spec.team,
--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
-"""The autoscaling round: two pressures size the fleet (see docs/design.md).
+"""The autoscaling round, which scales the machines by two pressures (see docs/design.md).
 
-The urgent pressure is the share of urgent cores, held in a band; the deferrable pressure is the
-number of groups that would end after their deadline, brought to none by the fewest machines.
+The urgent pressure is the share of urgent cores, which is kept in a band. The deferrable pressure is the
+number of groups of tasks that would miss their deadline, which is brought to 0 by the fewest machines.
 """
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
@@ -29,7 +29,7 @@
         run_times: RunTimeModel,
         operators: Operators,
     ) -> None:
-        """`machines` carries out what is decided; `scheduler` says what waits for room."""
+        """`machines` executes the decisions; `scheduler` has the waiting requests and the quotas."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._catalog = machines.catalog
@@ -42,7 +42,7 @@
         self._draining = Draining(scaling)
 
     def run_round(self) -> None:
-        """Judge both pressures, and scale out or in."""
+        """Evaluate both pressures, and scale out or in."""
         if not self._catalog.types:
             return
         view = self._view()
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the autoscaler share, and the view that each of them has of one round."""
+"""The collaborators that the parts of the autoscaler share, and their common view of one round."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True)
 class RoundView:
-    """What one round decides by, taken at its beginning."""
+    """The input of one round, taken at its beginning."""
 
     now: timedelta
-    # What waits, in the order in which it gets room, and what each team may still use.
+    # The waiting requests, in the order in which they are placed, and what each team may still use.
     requests: list[TaskRequest]
     remaining_quotas: Mapping[str, RemainingQuota]
-    # Machines that take work now or soon, by kind.
+    # Machines that accept tasks now or soon, by kind.
     serving: Mapping[InstanceKind, list[Machine]]
 
     def usable_cores(self, requests: Iterable[TaskRequest]) -> float:
-        """Return the cores that these could use at once within their teams' quotas."""
+        """Return the cores that the requests could use at once within their teams' quotas."""
         return usable_cores(requests, self.remaining_quotas)
 
 
--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -15,18 +15,18 @@
         self._machines = context.machines
 
     def scale_in(self, view: RoundView) -> None:
-        """Delete an idle pool as a whole, and the machines of a busy one that stay empty one by one.
+        """Delete all machines of an idle pool, and the machines of a busy one that stay empty.
 
-        One by one is an exception to the design: one long task would else keep the whole pool.
+        The latter is an exception to the design, as one long task would otherwise keep the whole pool.
         """
         pool = [m for m in self._cluster.machines.values() if m.in_deferrable_pool and m.state is MachineState.UP]
-        is_idle = not any(not request.urgent for request in view.requests) and all(not m.allocations for m in pool)
+        is_idle = all(request.urgent for request in view.requests) and all(not m.allocations for m in pool)
         for machine in pool:
-            max_idle = MIN_IDLE_TIME if is_idle else boot_idle_time(machine, self._machines.catalog)
+            max_idle_time = MIN_IDLE_TIME if is_idle else boot_idle_time(machine, self._machines.catalog)
             if (
                 not machine.allocations
                 and not machine.zone_unreachable
                 and not machine.reserved
-                and view.now - machine.idle_since > max_idle
+                and view.now - machine.idle_since > max_idle_time
             ):
                 self._machines.delete_machine(machine, DeletionReason.POOL_IDLE)
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -22,16 +22,16 @@
 
 # Deadlines within this of one another form one group.
 GROUP_SPAN = seconds(20)
-# A group is to end within this part of its time: estimates are rough, and starts take a moment.
+# A group is to end within this part of the time to its deadline, as estimates are rough and starts take time.
 DEADLINE_MARGIN = 0.6
-# What can't be saved any more is to end within this many times the soonest possible.
+# Work that can't meet its deadline any more is to end within this many times its shortest possible time.
 UNSAVABLE_DEADLINE_FACTOR = 1.5
-# A machine that has not reported within this many times its boot time is not counted on.
+# A machine without a heartbeat within this many times its boot time is not counted as supply.
 MAX_BOOT_TIME_FACTOR = 2
 
 
 class _Needs(NamedTuple):
-    """What decides which machines could run a task, but for its memory."""
+    """The needs of a task that decide which machines could run it, except for memory."""
 
     machine_types: frozenset[str] | None
     zone: str | None
@@ -42,7 +42,7 @@
 
 @dataclass
 class _MachineShare:
-    """Machines (by name) that could take the same requests, and urgent work that goes first there."""
+    """Machines (by name) that could run the same requests, and the urgent requests that go first there."""
 
     machines: set[str]
     waiting: list[TaskRequest] = field(default_factory=list)
@@ -61,17 +61,17 @@
         self._run_times = run_times
 
     def run(self, view: RoundView) -> None:
-        """Judge the groups on each set of machines, and request what is missing."""
+        """Check the groups on each set of machines, and request the missing instances."""
         running = RunningWork(self._cluster, self._run_times, view.now)
         for share in self._machine_shares(view):
             self._scale_out_for(share, view, running)
 
     def _machine_shares(self, view: RoundView) -> list[_MachineShare]:
-        """Divide what waits by the machines that could run it.
+        """Divide the waiting requests by the machines that could run them.
 
-        Cores count only for work that may use them: jobs are judged together with those that
-        allow the same machines. Otherwise cores of the wrong kind, or in pieces too small for a
-        task, would make a group look on time that can't start at all.
+        Cores count only for work that may use them, so requests that could run on the same machines are
+        checked together. Otherwise a group that can't start at all would seem to be on time because of cores
+        of the wrong kind, or of machines too small for a task.
         """
         by_needs: dict[_Needs, list[TaskRequest]] = {}
         for request in view.requests:
@@ -82,8 +82,8 @@
         for alike in by_needs.values():
             machines = self._suitable_machines(alike[0], view)
             machine_names = set(machines)
-            # Urgent work is the band's, unless no machine could take it at all; but it goes ahead
-            # of what is judged here. Replicas have room made for them apart, and no deadline.
+            # UrgentBand scales out for urgent requests, unless no machine could run them at all; they go ahead of
+            # the deferrable ones. ServiceScaling scales out for replicas, which have no deadline.
             waiting = [
                 request
                 for request in alike
@@ -100,7 +100,7 @@
         return list(shares.values())
 
     def _suitable_machines(self, request: TaskRequest, view: RoundView) -> tuple[str, ...]:
-        """Return the machines, up or coming, that could take the tasks at all."""
+        """Return the machines, up or booting, that are large enough for a task and allowed."""
         return tuple(
             machine.name
             for kind, machines in view.serving.items()
@@ -116,8 +116,8 @@
         if not offers:
             return
         inexpensive = self._offers.without_expensive(offers)
-        # Expensive machines are for what would miss its latest deadline without them, and not for
-        # what can't be saved, as long as some machine serves it in time.
+        # Expensive instances are requested only for work that would miss its latest deadline without them, or
+        # that no machine could run at all.
         last_resort = not inexpensive and bool(share.machines)
         offers = inexpensive or offers
         boot_s = min(offer.boot_s for offer in offers)
@@ -145,7 +145,7 @@
     ) -> tuple[list[DeadlineGroup], float]:
         """Return waiting tasks by deadline, and the cores they could use at once.
 
-        `last_resort`: only those count that can still meet their latest deadline.
+        `last_resort`: leave out tasks that can't meet their latest deadline any more.
         """
         group_by_span: dict[int, DeadlineGroup] = {}
         team_cores: dict[str, float] = {}
@@ -155,7 +155,7 @@
             quota = max(0.0, view.remaining_quotas[request.team].cpus - team_cores.get(request.team, 0.0))
             cores = min(quota, request.count * request.cpus)
             team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
-            # A team at its quota still uses all of that as its running tasks end.
+            # A team at its quota can use all of it again as its running tasks end.
             usable = max(min(self._scheduler.cpu_quota(request.team), request.count * request.cpus), request.cpus)
             core_seconds = request.count * request.cpus * task_time_s
             time_allowed = job.latest_deadline if last_resort else job.target_deadline * DEADLINE_MARGIN
@@ -164,7 +164,7 @@
             if due_s < soonest_s:
                 if last_resort:
                     continue
-                # Can't be saved, so it is no reason to hurry; but it must not wait for ever.
+                # It misses its deadline in any case, so it gets a later one: it must not wait for ever.
                 due_s = soonest_s * UNSAVABLE_DEADLINE_FACTOR
             span = math.floor(due_s / GROUP_SPAN.total_seconds())
             group = group_by_span.setdefault(span, DeadlineGroup(due_s, 0.0, 0.0, 0.0))
@@ -189,13 +189,13 @@
 
     def _supply(self, machine: Machine, view: RoundView) -> CoreSupply | None:
         if machine.state is not MachineState.BOOTING:
-            # What replicas hold serves nobody else again.
+            # Cores that replicas hold are never free for other work.
             return CoreSupply(0.0, machine.cpus - machine.service_cpus)
         boot_s = self._catalog.types[machine.machine_type].boot_s
         age_s = (view.now - machine.first_seen_at).total_seconds()
         if age_s >= boot_s * MAX_BOOT_TIME_FACTOR:
             return None
-        # In whole seconds: what comes at about the same time is judged as one.
+        # In whole seconds, so that machines that boot at about the same time are merged.
         return CoreSupply(float(max(1, round(boot_s * BOOT_TIME_FACTOR - age_s))), machine.cpus)
 
     def _job(self, request: TaskRequest) -> Job:
--- a/src/elmthread/autoscaling/draining.py
+++ b/src/elmthread/autoscaling/draining.py
@@ -1,4 +1,4 @@
-"""Draining: machines that booked and waiting work can do without get no new tasks, and lose what they have."""
+"""Draining: machines that the booked and waiting work does not need get no new tasks, and are emptied."""
 
 import logging
 from datetime import timedelta
@@ -10,13 +10,13 @@
 
 log = logging.getLogger(__name__)
 
-# Cores kept over what work needs, since room left over in pieces is of no use.
+# Cores kept for each core that work needs, as some of the free capacity is too fragmented to be used.
 CAPACITY_FACTOR = 1.1
-# Tasks are moved off machines that cost this many times the cheapest per core, once they have
-# run for long enough that the move is worth its cost.
+# Tasks are moved off machines that cost this many times the cheapest per core, once all of them have run for
+# MIN_RUN_TIME_BEFORE_RELOCATION, as each move costs run time.
 RELOCATION_PRICE_RATIO = 1.4
 MIN_RUN_TIME_BEFORE_RELOCATION = seconds(30)
-# How long a draining machine is kept for the sake of replicas that others could take.
+# How long a draining machine is kept before replicas are moved off it.
 MAX_DRAINING_FOR_REPLICAS = seconds(600)
 
 
@@ -24,23 +24,23 @@
     """Marks the machines to drain, and moves tasks off them where that pays."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """Each machine itself says whether it is draining."""
+        """Share the collaborators of the autoscaler; which machines drain is marked on the machines."""
         self._cluster = context.cluster
         self._scheduler = context.scheduler
 
     def run(self, view: RoundView, urgent_cores: float, min_urgent_share: float) -> None:
         """Mark the machines that are not needed, the most expensive first, and empty some of them.
 
-        They are given nothing new while others have room. Where all that is left on one makes
-        checkpoints and would fit elsewhere, it is moved: an exception to the design, where only
-        an empty machine is returned, since long tasks kept expensive machines for minutes.
+        They get no new tasks while others have room. If all tasks of one make checkpoints and would fit
+        elsewhere, they are moved. This is an exception to the design, in which machines empty only as tasks
+        end: long tasks would keep expensive machines for minutes.
         """
         serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
-        # What is on machines that the cloud will take needs room elsewhere in a moment.
+        # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count.
         demand = sum(m.cpus_used for m in self._cluster.up_machines()) + view.usable_cores(view.requests)
         needed = max(demand * CAPACITY_FACTOR, urgent_cores / min_urgent_share)
         spare = 0.0
-        # Of equally expensive machines the fuller are kept: the others are closer to being empty.
+        # Of equally expensive machines the fullest are kept, as the others will be empty sooner.
         serving.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
         for machine in serving:
             _mark(machine, needed <= 0 and not machine.reserved, view.now)
@@ -66,16 +66,14 @@
             and now - allocation.started_at > MIN_RUN_TIME_BEFORE_RELOCATION
             for allocation in allocations
         ):
-            log.info(
-                "machine %s is drained: its %s tasks are checkpointed and requeued", machine.name, len(allocations)
-            )
+            log.info("draining machine %s: its %s tasks are checkpointed and requeued", machine.name, len(allocations))
             for allocation in allocations:
                 allocation.stop_mode = allocation.stop_mode or StopMode.CHECKPOINT
 
     def _relocate_replicas(self, machine: Machine) -> None:
-        """Stop replicas for which others have room on a machine that only replicas keep.
+        """Stop replicas that fit on other machines, if nothing but replicas is left on this one.
 
-        One of a job at a time, since each move costs replica time.
+        Only one replica of a job moves at a time, as it does not serve meanwhile.
         """
         if not all(allocation.job.is_service for allocation in machine.allocations.values()):
             return
--- a/src/elmthread/autoscaling/idle_time.py
+++ b/src/elmthread/autoscaling/idle_time.py
@@ -1,4 +1,4 @@
-"""How long an empty machine is kept."""
+"""Idle times: how long empty machines are kept before they are deleted."""
 
 from datetime import timedelta
 
@@ -10,6 +10,6 @@
 
 
 def boot_idle_time(machine: Machine, catalog: MachineTypeCatalog) -> timedelta:
-    """Return about the time that another machine of its type would take to boot."""
+    """Return the boot time of the machine's type, at least MIN_IDLE_TIME."""
     machine_type = catalog.types.get(machine.machine_type)
     return max(MIN_IDLE_TIME, seconds(machine_type.boot_s)) if machine_type is not None else MIN_IDLE_TIME
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -1,4 +1,4 @@
-"""What the cloud offers and what has been requested of it, as the autoscaler sees both."""
+"""The kinds of instances that the cloud offers, and the pending instance requests."""
 
 import math
 from collections import Counter
@@ -13,16 +13,16 @@
 from elmthread.placement.requests import TaskRequest
 from elmthread.store.machine_type import MachineType
 
-# Boots take longer than the cloud says.
+# Actual boot times, as multiples of those that the cloud states.
 BOOT_TIME_FACTOR = 1.2
-# Machines that cost this many times the cheapest per core are requested only where no others are left.
+# Machines that cost more than this many times the cheapest per core are requested only if no others are available.
 EXPENSIVE_PRICE_RATIO = 1.6
 # Instances requested at once for one purpose.
 MAX_INSTANCES_PER_ROUND = 500
 
 
 class PendingRequest(Protocol):
-    """An instance request whose machines are not listed yet."""
+    """An instance request without a response yet."""
 
     @property
     def name(self) -> str:
@@ -34,7 +34,7 @@
 
     @property
     def count(self) -> int:
-        """How many instances are still to come."""
+        """How many instances were requested."""
 
     @property
     def for_deferrable_pool(self) -> bool:
@@ -42,7 +42,7 @@
 
 
 class MachineControl(Protocol):
-    """Carries out what the autoscaler decides."""
+    """Executes the decisions of the autoscaler."""
 
     @property
     def catalog(self) -> MachineTypeCatalog:
@@ -50,10 +50,10 @@
 
     @property
     def instance_requests(self) -> Mapping[str, PendingRequest]:
-        """All requests whose machines are still to come, by name."""
+        """All requests without a response yet, by name."""
 
     def is_unavailable(self, kind: InstanceKind, /) -> bool:
-        """Return whether such machines can't be had now."""
+        """Return whether machines of that kind can't be requested now."""
 
     def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool, /) -> None:
         """Request that many machines from the cloud."""
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceOffer:
-    """A kind of machine that can be requested, as far as is known."""
+    """A kind of instance that can be requested; at most `max_count` may be available."""
 
     machine_type: str
     zone: str
@@ -82,7 +82,7 @@
 
 
 class InstanceOffers:
-    """The offers of the cloud, and the way to take them up."""
+    """The offers of the cloud, and requests for them."""
 
     def __init__(self, machines: MachineControl) -> None:
         """`machines` sends the requests."""
@@ -90,7 +90,7 @@
         self._catalog = machines.catalog
 
     def for_requests(self, waiting: Sequence[TaskRequest]) -> list[InstanceOffer]:
-        """Return the kinds that can be had now and that a task of any of the requests fits."""
+        """Return the kinds that are available now and on which a task of any of the requests fits."""
         offers = []
         for machine_type in self._catalog.types.values():
             for zone in machine_type.zones:
@@ -102,7 +102,7 @@
         return offers
 
     def without_expensive(self, offers: Sequence[InstanceOffer]) -> list[InstanceOffer]:
-        """Return those that are not expensive against the cheapest kind, whether that can be had or not."""
+        """Return those that are not expensive compared with the cheapest kind, which may be unavailable."""
         cheapest = min(kind.spot_price / kind.cpus for kind in self._catalog.types.values() if kind.cpus)
         return [offer for offer in offers if not offer.is_expensive(cheapest)]
 
@@ -114,7 +114,7 @@
             self._machines.request_instances(kind, count, for_deferrable_pool)
 
     def pending(self) -> Iterator[tuple[PendingRequest, MachineType]]:
-        """Yield the requests whose machines are still to come, as far as their types are known."""
+        """Yield the requests without a response yet, with their machine types if these are known."""
         for request in self._machines.instance_requests.values():
             machine_type = self._catalog.types.get(request.kind.machine_type)
             if machine_type is not None:
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -1,4 +1,4 @@
-"""Which instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
+"""Choice of the instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
 
 Pure functions over offers (Chiron's algorithm 2, section 5.3).
 """
@@ -15,13 +15,13 @@
     unsavable_groups,
 )
 
-# Bounds the work of finding cheaper instances.
+# Lateness checks spent on finding cheaper instances.
 MAX_PRICE_TRIALS = 60
 
 
 @dataclass(frozen=True)
 class DeferrableBacklog:
-    """Waiting deferrable work, and what is served before it."""
+    """Waiting deferrable work, and the work that goes ahead of it."""
 
     groups: Sequence[DeadlineGroup]  # in order of deadline
     core_seconds_ahead: float
@@ -36,7 +36,7 @@
 ) -> list[InstanceOffer]:
     """Return the fewest instances that leave no savable group late; among those, about the cheapest.
 
-    Where even all that may be requested leaves a group late, return as many as are of use.
+    If even `max_count` instances leave a group late, return as many as waiting tasks could use.
     """
     offers = [offer for offer in offers if offer.cores > 0 and offer.max_count > 0]
     if not offers or not backlog.groups:
@@ -56,7 +56,7 @@
 
 
 def cover_shortfall(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return the fewest instances with so many cores; the last no larger or more expensive than it must be."""
+    """Return the fewest instances with so many cores; the last is the cheapest that suffices."""
     chosen = _largest_first(offers, cores, max_count)
     if not chosen:
         return []
@@ -69,7 +69,7 @@
 
 
 class _LatenessCheck:
-    """Whether instances in addition to the supplies leave no group late, but for those that can't be saved."""
+    """Checks whether additional instances leave no group late, except those that can't be saved."""
 
     def __init__(self, backlog: DeferrableBacklog, supplies: Sequence[CoreSupply], boot_s: float) -> None:
         self._backlog = backlog
@@ -84,11 +84,11 @@
 
 
 def _largest_first(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return instances for up to so many cores, the largest first: as many others have no more cores.
+    """Return instances for up to so many cores, the largest first, so that they are the fewest.
 
-    Those that boot sooner come first among equals, as do the cheaper; zones take turns, since
-    what a zone has left is not known before it is asked. Expensive kinds come after all others:
-    fewer machines are not worth their price.
+    Of equally large ones, those that boot sooner come first, then the cheaper. Zones take turns, as the
+    capacity that is left in each is unknown. Expensive kinds come after all others: fewer machines are not
+    worth their price.
     """
     cheapest = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
     ranks: dict[tuple[bool, float, float, float], list[InstanceOffer]] = {}
@@ -108,7 +108,7 @@
 def _with_cheaper(
     chosen: list[InstanceOffer], offers: Sequence[InstanceOffer], check: _LatenessCheck
 ) -> list[InstanceOffer]:
-    """Replace instances by cheaper ones, as many at once as leave no group late by it."""
+    """Replace as many instances by cheaper ones as possible without making a group late."""
     by_price = sorted(offers, key=lambda offer: offer.price_per_hour)
     trials_left = MAX_PRICE_TRIALS
     for current in sorted(set(chosen), key=lambda offer: -offer.price_per_hour):
--- a/src/elmthread/autoscaling/lateness.py
+++ b/src/elmthread/autoscaling/lateness.py
@@ -1,6 +1,6 @@
-"""Which groups of deferrable tasks end after their deadline (Chiron, section 5.3). Pure functions.
+"""Lateness: which groups of deferrable tasks end after their deadline (Chiron, section 5.3). Pure functions.
 
-All times are seconds from now: what is judged is made, judged and dropped in one round.
+All times are in seconds from now, as nothing here outlasts one round.
 """
 
 import math
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CoreSupply:
-    """Cores that serve deferrable work from a time on."""
+    """Cores that are available to deferrable work from `start_s` on."""
 
     start_s: float
     cores: float
@@ -32,7 +32,7 @@
 
 
 def merge_supplies(supplies: Sequence[CoreSupply]) -> list[CoreSupply]:
-    """Return supplies that start together as one, the soonest first: hundreds of machines make a few."""
+    """Return the supplies in order of start, those with the same start merged into one."""
     cores: dict[float, float] = {}
     for supply in supplies:
         cores[supply.start_s] = cores.get(supply.start_s, 0.0) + supply.cores
@@ -57,7 +57,7 @@
 def group_end_times_s(
     groups: Sequence[DeadlineGroup], supplies: Sequence[CoreSupply], core_seconds_ahead: float
 ) -> list[float]:
-    """Return when each group (in order of deadline) ends: the wait for what is ahead of it, then its own work."""
+    """Return when each group (in order of deadline) ends: after the work ahead of it and its own."""
     end_times_s = []
     supplies = merge_supplies(supplies)
     wait_s = finish_time_s(core_seconds_ahead, supplies)
@@ -75,7 +75,7 @@
     core_seconds_ahead: float,
     ignored: frozenset[int],
 ) -> list[int]:
-    """Return the indices of the groups that end late, but for the ignored ones."""
+    """Return the indices of the groups that end late, except the ignored ones."""
     return [
         index
         for index, end_s in enumerate(group_end_times_s(groups, supplies, core_seconds_ahead))
--- a/src/elmthread/autoscaling/replica_room.py
+++ b/src/elmthread/autoscaling/replica_room.py
@@ -1,4 +1,4 @@
-"""Room for replicas of services. Pure functions over requests, free capacity and offers."""
+"""Room for replicas of services: what lacks room, and instances for it. Pure functions, except DemandTrend."""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -13,20 +13,20 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
 
-# How far back the growth of the demand of services is looked for, and the shortest rise judged.
+# The window in which the growth of the services' demand is measured, and the shortest time it is spread over.
 TREND_WINDOW = seconds(60)
 MIN_TREND_TIME = seconds(20)
 
 
 class DemandTrend:
-    """How fast the cores that replicas need grow, since the lowest need in the window."""
+    """The growth of the cores that replicas need, since the lowest need in the window."""
 
     def __init__(self) -> None:
-        """Nothing is known yet."""
+        """Start without history."""
         self._history: deque[tuple[timedelta, float]] = deque()
 
     def growth(self, now: timedelta, cores: float) -> float:
-        """Record what is needed now, and return the cores by which that grows each second."""
+        """Record the cores needed now, and return their growth in cores per second."""
         self._history.append((now, cores))
         while self._history[0][0] < now - TREND_WINDOW:
             self._history.popleft()
@@ -38,7 +38,7 @@
 def unplaced(
     requests: Iterable[TaskRequest], capacities: Sequence[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[TaskRequest]:
-    """Return what finds no room in `capacities` (used up), as far as quotas let it run."""
+    """Return the requests that find no room in `capacities`, which are used up, though the quotas allow them."""
     left = [
         replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
         for request in requests
@@ -57,7 +57,7 @@
     remaining_quotas: dict[str, RemainingQuota],
     max_count: int,
 ) -> list[InstanceOffer]:
-    """Return instances on which the tasks fit, zones and memory included; each is filled before the next."""
+    """Return instances on which the tasks fit, in zones and memory too; each is filled before the next."""
     chosen: list[InstanceOffer] = []
     capacities: list[FreeCapacity] = []
     for request in requests:
@@ -83,9 +83,9 @@
 
 
 def _best_offer(request: TaskRequest, offers: Sequence[InstanceOffer]) -> InstanceOffer | None:
-    """Return an offer in the zone with the fewest of the job's replicas, there with the cheapest core.
+    """Return the offer with the lowest price per core in the zone with the fewest of the job's replicas.
 
-    Of equally cheap ones it is the largest, for the fewest instances.
+    Of equally cheap ones it is the largest, so that the fewest instances are requested.
     """
     fitting = [offer for offer in offers if _fits(request, offer)]
     if not fitting:
@@ -119,10 +119,10 @@
 
 
 def machines_to_reserve(machines: Iterable[ReplicaCapacity], cores: float) -> set[str]:
-    """Return the machines to keep in reserve, the first ones first, until they have so many cores.
+    """Return the machines to keep in reserve, in the given order, until they have so many cores.
 
-    No zone counts for more than half of these: what comes next is spread over zones, and all
-    room in one would take half of it.
+    No zone counts for more than half of the cores, as at most half of the replicas of a spread job may run
+    in one zone.
     """
     reserved: set[str] = set()
     by_zone: dict[str, float] = {}
--- a/src/elmthread/autoscaling/running_work.py
+++ b/src/elmthread/autoscaling/running_work.py
@@ -1,4 +1,4 @@
-"""The work of tasks that machines hold, judged once per job and machine in a round."""
+"""The remaining work of running tasks, computed once per job and machine in a round."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -10,7 +10,7 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 
-# A task that has run for longer than expected still takes this part of its expected time.
+# A task is expected to run for at least this part of its expected run time more.
 MIN_REMAINING_PART = 0.2
 
 
@@ -22,10 +22,10 @@
 
 
 class RunningWork:
-    """Sums of one round, each made only once: groups of jobs share machines."""
+    """Sums of one round, which are cached, as shares of machines overlap."""
 
     def __init__(self, cluster: ClusterState, run_times: RunTimeModel, now: timedelta) -> None:
-        """`run_times` says how long tasks run; nothing is judged before it is asked for."""
+        """`run_times` says how long tasks run; sums are computed when first needed."""
         self._cluster = cluster
         self._run_times = run_times
         self._now = now
@@ -40,7 +40,7 @@
         return task_time_s
 
     def on_machines(self, names: Iterable[str]) -> HeldWork:
-        """Return what tasks, but for replicas, hold on these machines."""
+        """Return what tasks, except replicas, hold on these machines."""
         cores = core_seconds = 0.0
         for name in names:
             held = self._held.get(name)
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -1,9 +1,9 @@
-"""Room for services, an exception to the design, whose band counts cores of every kind.
+"""Scaling for services, in addition to the urgent band, which counts cores of every kind.
 
-Replicas hold their cores for good, and often may use no spot machine, or no more than half of
-them in one zone: they would wait beside any number of cores of the wrong kind. So what waits
-and fits nowhere has instances requested at once, and the share of replicas in the cores that
-they may use is held in the same band.
+Replicas hold their cores as long as the service runs. Often they may not use spot instances, or at most half
+of them may run in one zone, so free cores of the wrong kind don't help them. Therefore instances are requested
+at once for replicas that fit nowhere, and the share of replicas in the cores that they may use is kept in the
+same band. (This is an exception to the design.)
 """
 
 from collections.abc import Sequence
@@ -34,7 +34,7 @@
     """Cores of on-demand machines that services need."""
 
     booked: float
-    soon: float  # booked by the time that an instance requested now is up
+    soon: float  # expected to be booked when an instance requested now is up
     largest_job: float  # for all replicas of the largest service
 
 
@@ -42,7 +42,7 @@
     """Scales out for replicas, and keeps on-demand machines in reserve for them."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """No service is known before the first round."""
+        """Start without services, until the first round."""
         self.services_run = False
         self._cluster = context.cluster
         self._scheduler = context.scheduler
@@ -52,7 +52,7 @@
         self._trend = DemandTrend()
 
     def run(self, view: RoundView) -> None:
-        """Make room for replicas on machines that they may use."""
+        """Request instances for replicas, and mark the machines to keep in reserve for them."""
         services = [job for job in self._cluster.open_jobs.values() if job.is_service]
         self.services_run = bool(services)
         if not services:
@@ -60,24 +60,26 @@
             for machine in self._cluster.machines.values():
                 machine.reserved = False
             return
-        # A service that fails everywhere would exclude, and so request, machine after machine.
+        # The machines that a failing service avoids count for it, or it would request machine after machine.
         waiting = [
             replace(request, excluded_machines=()) if job.backoff else request
             for request in view.requests
             if (job := self._cluster.jobs[request.job_id]).is_service
         ]
-        # One more like the largest there is must find room at once, spread as it may have to be.
+        # There must be room for one more service like the largest one, in the zones that it may use.
         largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         self._request_room([*waiting, self._whole_job(largest)], view.now)
-        on_demand = [m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)]
+        on_demand_machines = [
+            m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)
+        ]
         spot_excluded = [job for job in services if not job.spec.spot]
-        demand = self._on_demand_need(waiting, on_demand, largest, view.now)
+        need = self._on_demand_need(waiting, on_demand_machines, largest, view.now)
         if spot_excluded:
-            self._hold_band(spot_excluded, demand, on_demand)
-        self._reserve(on_demand, demand if spot_excluded else None)
+            self._hold_band(spot_excluded, need, on_demand_machines)
+        self._reserve(on_demand_machines, need if spot_excluded else None)
 
     def _whole_job(self, job: Job) -> TaskRequest:
-        """Return a request for all tasks of a job like this one, of which nothing is placed."""
+        """Return a request for all tasks of a job like this one, none of which is placed."""
         return replace(
             self._scheduler.request_of(job),
             count=job.task_count,
@@ -87,7 +89,7 @@
         )
 
     def _request_room(self, waiting: Sequence[TaskRequest], now: timedelta) -> None:
-        """Request instances for what will fit nowhere."""
+        """Request instances for replicas that will fit nowhere."""
         remaining_quotas = self._scheduler.remaining_quotas()
         left = unplaced(waiting, self._coming_capacity(waiting, now), remaining_quotas)
         if left:
@@ -96,25 +98,13 @@
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _coming_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
-        """Return what replicas may have, now or once deferrable work has given way or machines are up."""
-        capacities = []
-        for m in self._cluster.machines.values():
-            if not m.provides_capacity(now) or not any(
-                is_allowed(request, m.machine_type, m.zone, m.spot) for request in waiting
-            ):
-                continue
-            urgent_part = m.urgent_cpus / m.cpus_used if m.cpus_used else 0.0
-            capacities.append(
-                FreeCapacity(
-                    m.name,
-                    m.machine_type,
-                    m.zone,
-                    m.spot,
-                    m.cpus - m.urgent_cpus,
-                    m.gpus - m.gpus_used * urgent_part,
-                    m.memory_gb - m.memory_gb_used * urgent_part,
-                )
-            )
+        """Return the capacity for replicas, once deferrable tasks are preempted and pending machines are up."""
+        capacities = [
+            _capacity_for_replicas(machine)
+            for machine in self._cluster.machines.values()
+            if machine.provides_capacity(now)
+            and any(is_allowed(request, machine.machine_type, machine.zone, machine.spot) for request in waiting)
+        ]
         for pending, machine_type in self._offers.pending():
             kind = pending.kind
             capacities += [
@@ -132,40 +122,56 @@
         return capacities
 
     def _on_demand_need(
-        self, waiting: Sequence[TaskRequest], on_demand: Sequence[Machine], largest: Job, now: timedelta
+        self, waiting: Sequence[TaskRequest], on_demand_machines: Sequence[Machine], largest: Job, now: timedelta
     ) -> _OnDemandNeed:
-        booked = sum(m.service_cpus for m in on_demand)
+        booked = sum(m.service_cpus for m in on_demand_machines)
         booked += usable_cores([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
         max_boot_s = max(machine_type.boot_s for machine_type in self._catalog.types.values())
         boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.check
         soon = booked + self._trend.growth(now, booked) * boot.total_seconds()
         return _OnDemandNeed(booked, soon, largest.task_count * largest.spec.cpus)
 
-    def _hold_band(self, spot_excluded: Sequence[Job], demand: _OnDemandNeed, on_demand: Sequence[Machine]) -> None:
+    def _hold_band(
+        self, spot_excluded: Sequence[Job], need: _OnDemandNeed, on_demand_machines: Sequence[Machine]
+    ) -> None:
         """Request on-demand instances where the share of replicas is above the band, or will be soon."""
         theta, delta = self._operators.theta, self._operators.delta
-        cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand)
+        cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand_machines)
         cores += sum(
             machine_type.cpus * pending.count
             for pending, machine_type in self._offers.pending()
             if not pending.kind.spot
         )
-        decision = band_decision(demand.booked, cores, theta, delta)
-        if decision is BandDecision.SCALE_OUT or demand.soon > cores:
+        decision = band_decision(need.booked, cores, theta, delta)
+        if decision is BandDecision.SCALE_OUT or need.soon > cores:
             offers = self._offers.for_requests([self._scheduler.request_of(job) for job in spot_excluded])
-            shortfall = max(demand.booked / theta, demand.soon) - cores
+            shortfall = max(need.booked / theta, need.soon) - cores
             chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
             self._offers.request(chosen, for_deferrable_pool=False)
 
-    def _reserve(self, on_demand: list[Machine], demand: _OnDemandNeed | None) -> None:
-        """Mark the machines in reserve: those that hold replicas stay in any case, then the cheapest."""
+    def _reserve(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
+        """Mark the machines in reserve: first those that hold replicas, then the cheapest."""
         needed = 0.0
-        if demand is not None:
-            booked, min_share = demand.booked, max(self._operators.theta - self._operators.delta, MIN_URGENT_SHARE)
-            needed = max(booked / min_share, demand.soon, booked + demand.largest_job) - booked
-        on_demand.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
+        if need is not None:
+            booked, min_share = need.booked, max(self._operators.theta - self._operators.delta, MIN_URGENT_SHARE)
+            needed = max(booked / min_share, need.soon, booked + need.largest_job) - booked
+        on_demand_machines.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
         reserved = machines_to_reserve(
-            (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in on_demand), needed
+            (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in on_demand_machines), needed
         )
         for machine in self._cluster.machines.values():
             machine.reserved = machine.name in reserved
+
+
+def _capacity_for_replicas(machine: Machine) -> FreeCapacity:
+    """Return the capacity that urgent tasks leave; their GPUs and memory are estimated by their part of the CPUs."""
+    urgent_part = machine.urgent_cpus / machine.cpus_used if machine.cpus_used else 0.0
+    return FreeCapacity(
+        machine.name,
+        machine.machine_type,
+        machine.zone,
+        machine.spot,
+        machine.cpus - machine.urgent_cpus,
+        machine.gpus - machine.gpus_used * urgent_part,
+        machine.memory_gb - machine.memory_gb_used * urgent_part,
+    )
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -1,4 +1,7 @@
-"""The urgent pressure: the share of urgent cores is held in a band (Chiron, sections 5.1 and 5.2)."""
+"""The urgent pressure: keeps the share of urgent cores in a band (Chiron, sections 5.1 and 5.2).
+
+Theta is the centre of the band and delta its half width; both come from the operators' settings.
+"""
 
 from collections import deque
 from collections.abc import Sequence
@@ -13,16 +16,16 @@
 from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.common.clock import seconds
 
-# Urgent demand is remembered for this long to track theta, once there is enough of it.
+# The window of urgent demand by which theta is adapted, once there is as much history as the second says.
 DEMAND_WINDOW = seconds(300)
 MIN_DEMAND_HISTORY = seconds(60)
 MAX_THETA = 0.9
-# The lowest share that cores are kept for, however wide the band.
+# The lowest value of the lower end of the band, however wide the band is.
 MIN_URGENT_SHARE = 0.05
 
 
 class BandDecision(Enum):
-    """What brings the urgent share into its band, or keeps it there."""
+    """How to bring the urgent share into its band, or keep it there."""
 
     SCALE_OUT = auto()
     KEEP = auto()
@@ -30,7 +33,7 @@
 
 
 def band_decision(urgent_cores: float, cores: float, theta: float, delta: float) -> BandDecision:
-    """Return what holds the share of urgent cores in theta plus or minus delta."""
+    """Return the decision that keeps the share of urgent cores within theta plus or minus delta."""
     if cores <= 0:
         return BandDecision.SCALE_OUT if urgent_cores > 0 else BandDecision.KEEP
     share = urgent_cores / cores
@@ -42,10 +45,10 @@
 
 
 class UrgentBand:
-    """Holds the urgent share of the cores outside the deferrable pool in the band."""
+    """Keeps the urgent share of the cores outside the deferrable pool in the band."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """Theta begins with the operators' value."""
+        """Start with the operators' value of theta."""
         self.theta = context.operators.theta
         self._cluster = context.cluster
         self._machines = context.machines
@@ -60,12 +63,12 @@
         return max(self.theta - self._delta, MIN_URGENT_SHARE)
 
     def urgent_cores(self, view: RoundView) -> float:
-        """Return the urgent cores: booked, and waiting as far as teams' quotas let them run."""
+        """Return the urgent cores: those booked, and those that waiting tasks could use within their teams' quotas."""
         booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
         return booked + view.usable_cores(request for request in view.requests if request.urgent)
 
     def run(self, view: RoundView, urgent_cores: float, services_run: bool) -> None:
-        """Scale out or in as far as the band asks for it."""
+        """Scale out or in, if the urgent share is outside of the band."""
         self._track_theta(urgent_cores, view.now)
         machines = [
             m
@@ -100,8 +103,8 @@
     def _scale_out(self, view: RoundView, urgent_cores: float, cores: float) -> None:
         """Request the fewest instances that bring the share back into the band.
 
-        Where only expensive kinds are left, a reserve over what is booked is not worth its
-        price: urgent work can requeue deferrable work.
+        If only expensive kinds are available, no more cores are requested than urgent work needs, as it can
+        preempt deferrable tasks.
         """
         offers = self._offers.for_requests([request for request in view.requests if request.urgent] or view.requests)
         inexpensive = self._offers.without_expensive(offers)
@@ -118,13 +121,13 @@
                 self._machines.delete_machine(machine, DeletionReason.NOT_NEEDED)
 
     def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
-        """Return whether the machine is empty, and has been for long enough to be deleted.
+        """Return whether the machine has been empty for long enough to be deleted.
 
-        Where services run, an ordinary machine is the only kind that some work may use: it is
-        kept through a lull that is shorter than the boot of another.
+        While services run, an on-demand machine is kept for as long as another would take to boot, as services
+        may be unable to use any other kind.
         """
         if not machine.is_schedulable or not machine.draining or machine.allocations:
             return False
         is_kept_longer = services_run and not machine.spot
-        max_idle = boot_idle_time(machine, self._machines.catalog) if is_kept_longer else MIN_IDLE_TIME
-        return now - machine.idle_since > max_idle
+        max_idle_time = boot_idle_time(machine, self._machines.catalog) if is_kept_longer else MIN_IDLE_TIME
+        return now - machine.idle_since > max_idle_time
--- a/src/elmthread/cluster/machine_deletion.py
+++ b/src/elmthread/cluster/machine_deletion.py
@@ -27,5 +27,5 @@
     """Request the deletion of the machine, unless that was done before."""
     if machine.state in (MachineState.DELETING, MachineState.DELETED):
         return
-    log.info("deleting %s: %s", machine.name, reason)
+    log.info("deleting machine %s: %s", machine.name, reason)
     machine.transition_to(MachineState.DELETING)
--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -87,5 +87,5 @@
     try:
         return msgspec.convert(response.body, body_type)
     except msgspec.ValidationError as error:
-        log.error("malformed response of the cloud: %s", error)
+        log.error("the cloud sent a malformed response: %s", error)
         raise CloudError(str(error)) from error
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -124,7 +124,7 @@
     def _release_expired(self, machine: Machine, now: timedelta) -> None:
         """Release the allocations of a machine whose worker lease has expired by now at the latest."""
         if machine.allocations and now > self._leases.expires_by(machine):
-            log.info("the worker lease of %s has expired; its tasks are released", machine.name)
+            log.info("the worker lease of machine %s has expired; its tasks are released", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id.incarnation
             self._cluster.release_all(machine, now)
             self._events.notify_changed()
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -56,7 +56,7 @@
                 while not self._cloud.rate_limit.take():
                     await asyncio.sleep(self._cloud.rate_limit.time_until().total_seconds())
         except (CloudError, NoCapacityError) as error:
-            log.info("listing the machines failed: %s", error)
+            log.info("reading the list of machines failed: %s", error)
             return
         if self._term.holds_lease():
             self.reconcile(machines)
@@ -99,5 +99,5 @@
         machine = Machine(listed.name, InstanceKind(listed.machine_type, listed.zone, listed.spot), state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
         self._catalog.add_machine(machine)
-        log.info("adopting %s from the cloud's list", machine.name)
+        log.info("adopting machine %s from the cloud's list", machine.name)
         return machine
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -82,7 +82,7 @@
         while True:
             now = self._clock()
             if now - last_pass_at > PROCESS_STALL:
-                log.info("the process was not run for %.1f s", (now - last_pass_at).total_seconds())
+                log.info("the process was suspended for %.1f s", (now - last_pass_at).total_seconds())
                 self._failures_checked_at = now + CATCH_UP_TIME
             last_pass_at = now
             if self._term.holds_lease():
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -156,7 +156,7 @@
         """Pause requests of that kind, and have others made at once."""
         refusal = self._refusals.get(kind)
         pause = MIN_REFUSAL_PAUSE if refusal is None else min(refusal.pause * 2, MAX_REFUSAL_PAUSE)
-        log.info("no capacity for %s; none are requested for %.0f s", kind, pause.total_seconds())
+        log.info("the cloud has no capacity for %s; none are requested for %.0f s", kind, pause.total_seconds())
         self._refusals[kind] = Refusal(self._clock() + pause, pause)
         # Unsent requests for the same kind would be refused as well.
         for request in [request for request in self._ready if request.kind == kind and not request.sent]:
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -169,7 +169,7 @@
             try:
                 return await self._store.read_page(prefix, after, page_size)
             except (StoreUnavailableError, UnknownOutcomeError) as error:
-                log.info("can't read the records under %s, trying again: %s", prefix, error)
+                log.info("reading the records under %s failed, trying again: %s", prefix, error)
                 await asyncio.sleep(RETRY_PAUSE.total_seconds())
 
     def _load_job(self, key: str, value: Any) -> None:
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -168,14 +168,14 @@
             try:
                 revision = await self._client.compare_and_swap(comparisons, puts)
             except StoreUnavailableError as error:
-                log.info("transaction not executed, trying again: %s", error)
+                log.info("a transaction was not executed, sending it again: %s", error)
                 await self._pause_after_failure()
                 if isinstance(error, RateLimitedError) and self._split_after_rate_limit(batch, may_be_applied):
                     return
             except UnknownOutcomeError as error:
                 # It may have been applied, or may still be. Sent again unchanged, it is applied only if it was
                 # not before: otherwise the comparisons with the pages' revisions fail.
-                log.info("outcome of a transaction is unknown, sending it again: %s", error)
+                log.info("the outcome of a transaction is unknown, sending it again: %s", error)
                 may_be_applied = True
                 await self._pause_after_failure()
             except RejectedTransactionError as error:
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -73,7 +73,9 @@
             machine.idle_since = now
             self._events.notify_changed()
         if heartbeat.interruption_notice_s is not None and machine.interruption_at is None:
-            log.info("%s will be interrupted by the cloud in %.1f s", machine.name, heartbeat.interruption_notice_s)
+            log.info(
+                "machine %s will be interrupted by the cloud in %.1f s", machine.name, heartbeat.interruption_notice_s
+            )
             machine.interruption_at = now + seconds(max(0.0, heartbeat.interruption_notice_s))
             self._events.notify_changed()
 
@@ -83,7 +85,12 @@
         for allocation in _missing_allocations(machine, heartbeat):
             if allocation.state in MUST_BE_LISTED:
                 # Killed when its incarnation ended, or never started by an earlier leader.
-                log.info("%s no longer has %s/%s", machine.name, allocation.job.id, allocation.task)
+                log.info(
+                    "machine %s does not list task %s/%s, which is released",
+                    machine.name,
+                    allocation.job.id,
+                    allocation.task,
+                )
                 self._release(allocation, now)
             elif allocation.start_sent:
                 # The response with its start was lost, and can't be executed any more.
@@ -94,7 +101,7 @@
     def _observe_state(self, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
         state = ALLOCATION_STATES.get(task.state)
         if state is None:
-            log.info("unknown task state %r", task.state)
+            log.info("task %s is listed in the unknown state %r", task.name, task.state)
             return
         if state is not AllocationState.FETCHING:
             allocation.machine.cached_images[allocation.job.spec.image] = allocation.job.spec.image_gb
@@ -107,7 +114,7 @@
         """Allocate a task that no record names, so that it counts until it is gone, and have it stopped."""
         task_id = task.task_id()
         job = self._job_of(task_id)
-        log.info("%s has %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
+        log.info("machine %s lists task %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
         if task_id is None or job is None or not 0 <= task_id.number < job.task_count:
             return [StopCommand(task.name, task.attempt, 0.0)]
         allocation = self._cluster.allocate(machine, job, task_id.number, task.attempt, AllocationState.UNCONFIRMED)
@@ -121,7 +128,7 @@
         task_id = task.task_id()
         job = allocation.job if allocation is not None else self._job_of(task_id)
         if allocation is not None:
-            log.debug("%s on %s exited: %s", task.name, machine.name, task.exit_reason)
+            log.debug("task %s on machine %s exited: %s", task.name, machine.name, task.exit_reason)
             self._judge_exit(machine, allocation, task, now)
         if task.exit_reason == ExitReason.COMPLETED and job is not None and task_id is not None:
             self._record_completion(machine, allocation, job, task_id.number, task.attempt)
@@ -152,10 +159,10 @@
             if allocation.started_at is not None and allocation.stop_mode is None:
                 self._run_times.record(job.spec.job_class, job.spec.expected_run_time_s, now - allocation.started_at)
         elif task.exit_reason == ExitReason.FAILED:
-            log.info("%s failed on %s", task.name, machine.name)
+            log.info("task %s failed on machine %s", task.name, machine.name)
             health.record_failure(machine, job, now)
         elif task.exit_reason in START_REFUSALS:
-            log.info("%s refused to start %s: %s", machine.name, task.name, task.exit_reason)
+            log.info("machine %s refused to start task %s: %s", machine.name, task.name, task.exit_reason)
             health.record_refusal(job, now)
 
     def _job_of(self, task_id: TaskId | None) -> Job | None:
@@ -176,4 +183,10 @@
 def _log_start(allocation: Allocation, now: timedelta) -> None:
     job = allocation.job
     waited_s = (now - job.submitted_at).total_seconds()
-    log.debug("%s/%s runs on %s after %.1f s", job.id, allocation.task, allocation.machine.name, waited_s)
+    log.debug(
+        "task %s/%s runs on machine %s, %.1f s after its job was submitted",
+        job.id,
+        allocation.task,
+        allocation.machine.name,
+        waited_s,
+    )
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -38,11 +38,14 @@
         machine.receives_responses = responded_at is not None or _follows_at_once(machine, heartbeat, now)
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
-                log.info("%s has let its lease expire; it gets no new tasks until it receives responses", machine.name)
+                log.info(
+                    "machine %s has let its worker lease expire; it gets no new tasks until it receives responses",
+                    machine.name,
+                )
                 machine.responses_lost_since = machine.responses_lost_since or now
             machine.incarnation_since = now
         elif machine.responses_lost_since is not None and self._responses_arrive(machine, responded_at, now):
-            log.info("%s receives responses again", machine.name)
+            log.info("machine %s receives responses again", machine.name)
             machine.responses_lost_since = None
             machine.undelivered_starts = 0
 
@@ -51,7 +54,8 @@
         machine.undelivered_starts = machine.undelivered_starts + 1 if start_was_lost else 0
         if machine.undelivered_starts >= MAX_LOST_STARTS and machine.responses_lost_since is None:
             log.info(
-                "%s does not execute start commands; it gets no new tasks until it receives responses", machine.name
+                "machine %s does not execute start commands; it gets no new tasks until it receives responses",
+                machine.name,
             )
             machine.responses_lost_since = now
 
