--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("still", [2.0, 4.0, 20.0])
-def test_a_renewal_answered_after_a_is_candidatetill_counts_from_before_it_was_sent(still: float) -> None:
+def test_a_renewal_answered_after_a_standstill_counts_from_before_it_was_sent(still: float) -> None:
     loop, election, caller = make_election(L)
 
     def main() -> Coroutine[Any, Any, None]:
