--- /dev/null
+++ b/src/elmthread/persistence/layout_migration.py
@@ -0,0 +1,38 @@
+"""Migration from the earlier layout of the store, in which each record had a key of its own."""
+
+from collections.abc import Sequence
+from functools import partial
+from typing import Any
+
+from elmthread.store import messages, records
+from elmthread.store.write_queue import WritePriority
+from elmthread.store.writer import RecordWriter
+
+
+class LayoutMigration:
+    """Writes records of the earlier layout into pages, and then the layout record."""
+
+    def __init__(self, writer: RecordWriter) -> None:
+        """Write through `writer`, which must have loaded the pages."""
+        self._writer = writer
+        self._remaining = 0
+
+    def start(self, items: Sequence[messages.KeyValue]) -> None:
+        """Queue the writes; without any, the layout record at once."""
+        self._remaining = len(items)
+        for item in items:
+            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), self._finish_one)
+        if not items:
+            self._write_layout()
+
+    def _finish_one(self) -> None:
+        self._remaining -= 1
+        if self._remaining <= 0:
+            self._write_layout()
+
+    def _write_layout(self) -> None:
+        self._writer.write(records.LAYOUT_KEY, WritePriority.MAINTENANCE, lambda: records.PAGES_LAYOUT)
+
+
+def _same(value: Any) -> Any:
+    return value
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -4,7 +4,6 @@
 import logging
 from collections.abc import Callable, Iterable, Mapping
 from datetime import UTC, datetime, timedelta
-from functools import partial
 from typing import Any, Protocol
 
 import msgspec
@@ -17,6 +16,7 @@
 from elmthread.common.features import SupportedLevels
 from elmthread.leadership.context import TermContext
 from elmthread.persistence.completions import CompletionRecorder
+from elmthread.persistence.layout_migration import LayoutMigration
 from elmthread.persistence.records import mark_done
 from elmthread.store import messages, records
 from elmthread.store.client import StoreUnavailableError, UnknownOutcomeError, read_prefix
@@ -25,7 +25,6 @@
 from elmthread.store.machine_records import read_machine
 from elmthread.store.machine_type import MachineType
 from elmthread.store.pages import PAGE_PREFIX, UnreadableRecordError
-from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
 
@@ -135,6 +134,7 @@
 
     async def _migrate_earlier_layout(self, view: dict[str, Any]) -> None:
         """Pack the records that an earlier version wrote under keys of their own into pages."""
+        migration = LayoutMigration(self._writer)
         found = [
             item
             for prefix in (
@@ -146,19 +146,8 @@
             for item in await self._read_all(prefix)
             if item.key not in view
         ]
-        remaining = len(found)
-
-        def migrated() -> None:
-            nonlocal remaining
-            remaining -= 1
-            if remaining <= 0:
-                self._writer.write(records.LAYOUT_KEY, WritePriority.MAINTENANCE, lambda: records.PAGES_LAYOUT)
-
-        for item in found:
-            view[item.key] = item.value
-            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), migrated)
-        if not found:
-            migrated()
+        view.update((item.key, item.value) for item in found)
+        migration.start(found)
 
     async def _read_all(self, prefix: str) -> list[messages.KeyValue]:
         return (await read_prefix(self._read_page, prefix, READ_PAGE_SIZE)).items
@@ -243,7 +232,3 @@
         checkpoint_interval_s=0.0,
         checkpoint_duration_s=0.0,
     )
-
-
-def _same(value: Any) -> Any:
-    return value
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -10,6 +10,7 @@
 import logging
 from collections.abc import Callable
 from datetime import timedelta
+from functools import partial
 from typing import Protocol
 
 import msgspec
@@ -106,13 +107,7 @@
             return future
         self._futures.add(future)
         future.add_done_callback(self._futures.discard)
-
-        def durable() -> None:
-            on_durable()
-            if not future.done():
-                future.set_result(None)
-
-        self.write(key, priority, make_value, durable)
+        self.write(key, priority, make_value, partial(_notify_and_resolve, on_durable, future))
         return future
 
     def stop(self) -> None:
@@ -258,3 +253,9 @@
             self.pages.commit(page_write.page, revision, page_write.texts)
         for write in batch.writes:
             write.notify_durable()
+
+
+def _notify_and_resolve(on_durable: Callable[[], None], future: asyncio.Future[None]) -> None:
+    on_durable()
+    if not future.done():
+        future.set_result(None)
