--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -81,7 +81,7 @@
     def _whole_job(self, job: Job) -> TaskRequest:
         """Return a request for all tasks of a job like this one, none of which is placed."""
         return replace(
-            self._scheduler.request_of(job),
+            self._scheduler.request_for_one_task(job),
             count=job.task_count,
             tasks_by_zone={},
             tasks_by_machine={},
@@ -144,7 +144,7 @@
         )
         decision = band_decision(need.booked, cores, theta, delta)
         if decision is BandDecision.SCALE_OUT or need.soon > cores:
-            offers = self._offers.for_requests([self._scheduler.request_of(job) for job in spot_excluded])
+            offers = self._offers.for_requests([self._scheduler.request_for_one_task(job) for job in spot_excluded])
             shortfall = max(need.booked / theta, need.soon) - cores
             chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
             self._offers.request(chosen, for_deferrable_pool=False)
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -91,7 +91,7 @@
                 pass
 
     def _track_theta(self, urgent_cores: float, now: timedelta) -> None:
-        """Let theta follow the recent mean-to-peak ratio of urgent demand."""
+        """Set theta to the mean-to-peak ratio of the urgent demand in the window."""
         self._demand.append((now, urgent_cores))
         while self._demand[0][0] < now - DEMAND_WINDOW:
             self._demand.popleft()
--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -27,7 +27,7 @@
 
 # The states of a task that a heartbeat has listed.
 OBSERVED_STATES = frozenset({AllocationState.FETCHING, AllocationState.RUNNING, AllocationState.CHECKPOINTING})
-ALLOCATION_STEPS = {
+ALLOCATION_TRANSITIONS = {
     AllocationState.PLANNED: frozenset({AllocationState.COMMITTED}),
     AllocationState.COMMITTED: OBSERVED_STATES,
     AllocationState.UNCONFIRMED: OBSERVED_STATES,
@@ -60,8 +60,8 @@
     started_at: timedelta | None = None
 
     def transition_to(self, new: AllocationState) -> None:
-        """Change the state. Raises TransitionError for a change that ALLOCATION_STEPS does not allow."""
+        """Change the state. Raises TransitionError for a change that ALLOCATION_TRANSITIONS does not allow."""
         if new is self.state:
             return
         self.job.running_count += (new is AllocationState.RUNNING) - (self.state is AllocationState.RUNNING)
-        self.state = transition(self.job.id, ALLOCATION_STEPS, self.state, new)
+        self.state = transition(self.job.id, ALLOCATION_TRANSITIONS, self.state, new)
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -22,7 +22,7 @@
     CANCELLED = "cancelled"
 
 
-JOB_STEPS = {
+JOB_TRANSITIONS = {
     JobState.OPEN: frozenset({JobState.DONE, JobState.CANCELLED}),
     JobState.DONE: frozenset[JobState](),
     JobState.CANCELLED: frozenset[JobState](),
@@ -72,7 +72,7 @@
     state: JobState = JobState.OPEN
     # The state in the store, None until the job is durable. Users are shown only this one.
     durable_state: JobState | None = None
-    # The state in the record that is on its way to the store.
+    # The state in the record that is being written to the store.
     state_being_written: JobState = JobState.OPEN
 
     # One bit for each done task, the lowest of each byte first.
@@ -113,8 +113,8 @@
         return self.state is JobState.OPEN
 
     def transition_to(self, new: JobState) -> None:
-        """Change the state. Raises TransitionError for a change that JOB_STEPS does not allow."""
-        self.state = transition(self.id, JOB_STEPS, self.state, new)
+        """Change the state. Raises TransitionError for a change that JOB_TRANSITIONS does not allow."""
+        self.state = transition(self.id, JOB_TRANSITIONS, self.state, new)
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -28,8 +28,8 @@
         until = machine.last_response_at + at_least(self.duration) + STOP_TIME
         return max(until, self._unconfirmed_until) if machine.state is MachineState.UNCONFIRMED else until
 
-    def silence(self, machine: Machine, now: timedelta) -> timedelta:
-        """Return the time since the last heartbeat, or since this leader could first receive one."""
+    def time_since_heartbeat(self, machine: Machine, now: timedelta) -> timedelta:
+        """Return the time since the machine's last heartbeat, or since this leader could first receive one."""
         last = machine.last_heartbeat_at
         if last is None:
             last = self._unconfirmed_until - self.duration
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -22,7 +22,7 @@
     DELETED = auto()
 
 
-MACHINE_STEPS = {
+MACHINE_TRANSITIONS = {
     MachineState.BOOTING: frozenset({MachineState.UP, MachineState.DELETING}),
     MachineState.UNCONFIRMED: frozenset({MachineState.UP, MachineState.DELETING}),
     MachineState.UP: frozenset({MachineState.DELETING}),
@@ -137,8 +137,8 @@
         self.idle_since = self.incarnation_since = self.first_seen_at
 
     def transition_to(self, new: MachineState) -> None:
-        """Change the state. Raises TransitionError for a change that MACHINE_STEPS does not allow."""
-        self.state = transition(self.name, MACHINE_STEPS, self.state, new)
+        """Change the state. Raises TransitionError for a change that MACHINE_TRANSITIONS does not allow."""
+        self.state = transition(self.name, MACHINE_TRANSITIONS, self.state, new)
 
     @property
     def is_schedulable(self) -> bool:
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -1,4 +1,4 @@
-"""The leader's state in memory: all jobs and machines, and the counts that the rules are judged by."""
+"""The leader's state in memory: all jobs, machines and allocations, and the counts that follow from them."""
 
 from collections.abc import Callable, Iterator
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 
 class ClusterState:
-    """All jobs and machines, and the counts that the rules are judged by."""
+    """All jobs and machines, with counts of what the allocations use by machine, job, zone and team."""
 
     def __init__(self, max_record_bytes: int, empty_record_bytes: Callable[[Machine], int] = lambda machine: 0) -> None:
         """Start empty; a machine's record may take `max_record_bytes`, and takes `empty_record_bytes` without tasks."""
--- a/src/elmthread/machines/__init__.py
+++ b/src/elmthread/machines/__init__.py
@@ -1,1 +1,1 @@
-"""The machines: listed, requested, judged by their heartbeats and deleted, through the cloud's API."""
+"""Machines: inventory, provisioning, failure detection and deletion, through the cloud's API."""
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -86,7 +86,7 @@
             if now - machine.first_seen_at > self._boot_timeout(machine) + allowance:
                 request_deletion(machine, DeletionReason.BOOT_TIMEOUT)
             return
-        machine.heartbeat_overdue = self._leases.silence(machine, now) > self._overdue_after
+        machine.heartbeat_overdue = self._leases.time_since_heartbeat(machine, now) > self._overdue_after
         self._release_expired(machine, now)
         reason = self._deletion_reason(machine, now, allowance)
         if reason is not None:
@@ -96,7 +96,7 @@
         """Return why a machine that has booted is to be deleted, None if it is not."""
         lease = self._leases.duration
         lost_since = machine.responses_lost_since
-        silence = self._leases.silence(machine, now)
+        silence = self._leases.time_since_heartbeat(machine, now)
         if machine.interruption_at is not None and now >= machine.interruption_at - INTERRUPTION_MARGIN:
             return DeletionReason.INTERRUPTED
         if lost_since is not None and now - lost_since > lease * RESPONSES_LOST_LEASES:
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -93,7 +93,7 @@
             await asyncio.sleep(PASS_INTERVAL.total_seconds())
 
     def stop(self) -> None:
-        """Cancel the calls that are under way."""
+        """Cancel the pending calls to the cloud."""
         for call in list(self._calls):
             call.cancel()
 
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -23,7 +23,7 @@
         self._waiting: dict[str, asyncio.Event] = {}
 
     def assign(self, machine: Machine) -> None:
-        """Make the machine's new allocations durable, then let them be sent."""
+        """Make the machine's new allocations durable; after that, their starts may be sent."""
         planned = [
             allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
         ]
--- a/src/elmthread/placement/capacity.py
+++ b/src/elmthread/placement/capacity.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """A machine with what is free on it; used up while tasks are placed."""
+    """The free capacity of one machine, which is used up while tasks are placed."""
 
     name: str
     machine_type: str
@@ -33,7 +33,7 @@
 
 
 def free_capacity(machine: Machine, cluster: ClusterState) -> FreeCapacity:
-    """Return what is free on the machine."""
+    """Return the free capacity of the machine."""
     return FreeCapacity(
         name=machine.name,
         machine_type=machine.machine_type,
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -17,7 +17,7 @@
 
 def has_room_elsewhere(cluster: ClusterState, requests: RequestFactory, allocation: Allocation) -> bool:
     """Return whether another machine has room for the task, once its own has released it."""
-    request = requests.request_of(allocation.job)
+    request = requests.request_for_one_task(allocation.job)
     zone = allocation.machine.zone
     if zone in request.tasks_by_zone:
         request.tasks_by_zone[zone] -= 1
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -81,7 +81,7 @@
         """Make requests for the next numbers of `attempts`, whose digits take bytes in a machine's record."""
         self._attempts = attempts
 
-    def request_of(self, job: Job) -> TaskRequest:
+    def request_for_one_task(self, job: Job) -> TaskRequest:
         """Return a request for one task of the job, whether any waits or not."""
         return self.make(job, SortKey(PlacementClass.ON_TIME), 1)
 
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduling round: allocations for what starts, stops for what is interrupted or preempted."""
+"""The scheduling round: allocates waiting tasks, and stops interrupted and preempted ones."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -47,7 +47,7 @@
         assignments: AssignmentSink,
         run_times: RunTimeModel,
     ) -> None:
-        """Schedule for one term: `assignments` makes what is placed durable, `run_times` says how long tasks run."""
+        """Schedule for one term: `assignments` makes placements durable, `run_times` estimates how long tasks run."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._attempts = attempts
@@ -78,7 +78,7 @@
             self._preemption.run(requests, remaining_quotas, now)
 
     def _allocate(self, placements: list[Placement]) -> bool:
-        """Carry out placements up to the limit of a round; return whether that was reached."""
+        """Allocate the placed tasks up to the limit of a round; return whether the limit was reached."""
         assigned: dict[str, Machine] = {}
         tasks_left = MAX_TASKS_PLACED_PER_ROUND
         for request, capacity, count in placements:
@@ -99,9 +99,9 @@
         """Return the waiting requests, in the order in which they are placed."""
         return self._job_order.requests(now)
 
-    def request_of(self, job: Job) -> TaskRequest:
+    def request_for_one_task(self, job: Job) -> TaskRequest:
         """Return a request for one task of the job, whether any waits or not."""
-        return self._requests.request_of(job)
+        return self._requests.request_for_one_task(job)
 
     def remaining_quotas(self) -> dict[str, RemainingQuota]:
         """Return what each team may still use, as new objects that the caller may use up."""
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -46,7 +46,7 @@
 def least_loss_victims(
     request: TaskRequest, capacity: FreeCapacity, candidates: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
-    """Return the candidates with the least loss whose room, with what is free, fits one task; None if it can't."""
+    """Return the candidates with the least loss that free enough capacity for one task; None if all do not."""
     cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
     victims: list[PreemptionCandidate] = []
     for candidate in sorted(
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -120,7 +120,7 @@
         self._in_flight.update(keys)
 
     def finish(self, *keys: Iterable[str]) -> None:
-        """Let keys in flight be written again."""
+        """Mark keys as no longer in flight, so that they may be written again."""
         self._in_flight.difference_update(*keys)
         self.changed.set()
 
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -118,7 +118,7 @@
                 future.set_exception(WriterStoppedError())
 
     async def run(self) -> None:
-        """Write what waits until cancelled."""
+        """Write queued records until cancelled."""
         async with asyncio.TaskGroup() as group:
             for _ in range(CONCURRENT_TRANSACTIONS):
                 group.create_task(self._write_batches())
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -80,7 +80,7 @@
             self._events.notify_changed()
 
     def _reconcile_missing(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
-        """Release allocations that the heartbeat shows to be gone; return whether a sent start was lost."""
+        """Release allocations whose tasks the heartbeat proves absent; return whether a sent start was lost."""
         start_was_lost = False
         for allocation in _missing_allocations(machine, heartbeat):
             if allocation.state in MUST_BE_LISTED:
@@ -111,7 +111,7 @@
         allocation.transition_to(state)
 
     def _observe_unexpected(self, machine: Machine, task: TaskStatus, now: timedelta) -> list[StopCommand]:
-        """Allocate a task that no record names, so that it counts until it is gone, and have it stopped."""
+        """Allocate a task that no record names, so that it counts while it is there, and have it stopped."""
         task_id = task.task_id()
         job = self._job_of(task_id)
         log.info("machine %s lists task %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
