--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -78,10 +78,10 @@
     """Makes requests from jobs."""
 
     def __init__(self, attempts: AttemptCounter) -> None:
-        """`attempts` gives the next attempt numbers, whose digits take bytes in a machine's record."""
+        """Make requests for the next numbers of `attempts`, whose digits take bytes in a machine's record."""
         self._attempts = attempts
 
-    def request_of(self, job: Job) -> TaskRequest:
+    def request_for_one_task(self, job: Job) -> TaskRequest:
         """Return a request for one task of the job, whether any waits or not."""
         return self.make(job, SortKey(PlacementClass.ON_TIME), 1)
 
