--- a/src/elmthread/leadership/tests/test_election.py
+++ b/src/elmthread/leadership/tests/test_election.py
@@ -14,6 +14,7 @@
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.leadership.term import Term
 from elmthread.net.http_client import ClientResponse, NoResponseError
+from elmthread.net.http_messages import Precondition
 from elmthread.store.client import KeyValueStore
 from elmthread.store.token_bucket import TokenBucket
 from tests.world.loop import SimLoop, play
@@ -30,13 +31,7 @@
         self.asked: list[str] = []
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         self.asked.append(method)
         await asyncio.sleep(0.01)
--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -16,6 +16,7 @@
 from elmthread.machines.manager import MachineManager
 from elmthread.machines.messages import ListedMachine
 from elmthread.net.http_client import ClientResponse
+from elmthread.net.http_messages import Precondition
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.reachability.zone_counts import ZoneCounts
 from elmthread.reachability.zone_health import ZoneHealth
@@ -49,13 +50,7 @@
         self.number = 0
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         self.calls.append((self.loop.now, path.split("?")[0], body))
         await asyncio.sleep(0.25)
--- a/src/elmthread/net/http_client.py
+++ b/src/elmthread/net/http_client.py
@@ -1,7 +1,6 @@
 """An HTTP/1.1 client over asyncio streams with CBOR bodies and a small pool of connections."""
 
 import asyncio
-from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 from typing import Any, Protocol
@@ -10,7 +9,7 @@
 import h11
 
 from elmthread.common.errors import ElmthreadError
-from elmthread.net.http_messages import READ_BYTES, MalformedBodyError, decode_body
+from elmthread.net.http_messages import READ_BYTES, MalformedBodyError, Precondition, decode_body
 
 
 class NoResponseError(ElmthreadError):
@@ -33,13 +32,7 @@
     """What users of an HTTP client need of it; tests put stand-ins here."""
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         """Send one request and return its response; `precondition` is checked right before the bytes leave.
 
@@ -63,13 +56,7 @@
         self._max_idle = max_idle
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         """Send one request and return its response; `precondition` is checked right before the bytes leave.
 
@@ -83,7 +70,7 @@
             raise NoResponseError(f"{method} {path.split('?')[0]}: {error or type(error).__name__}") from error
 
     async def _exchange(
-        self, method: str, path: str, payload: bytes, precondition: Callable[[], bool] | None
+        self, method: str, path: str, payload: bytes, precondition: Precondition | None
     ) -> ClientResponse:
         connection = self._take_idle() or await self._connect()
         reusable = False
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -17,6 +17,10 @@
 REASONS = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found"}
 
 
+# Whether what is about to be sent may still be sent.
+Precondition = Callable[[], bool]
+
+
 @dataclass(slots=True)
 class Request:
     """One request, its body undecoded."""
@@ -40,7 +44,7 @@
     close: bool = False
     # Checked right before the bytes leave: the process may have been suspended since the response
     # was made. Where it no longer holds, PRECONDITION_FAILED is sent instead.
-    precondition: Callable[[], bool] | None = None
+    precondition: Precondition | None = None
 
     def checked(self) -> "Response":
         """Return this response if its precondition holds, else the one that is to be sent instead."""
--- a/tests/world/error_log.py
+++ b/tests/world/error_log.py
@@ -8,12 +8,12 @@
 @contextmanager
 def errors_logged() -> Iterator[list[str]]:
     """Collect each error that the service logs, its trace included."""
-    told: list[str] = []
+    errors: list[str] = []
     handler = logging.Handler(logging.ERROR)
-    handler.emit = lambda record: told.append(logging.Formatter().format(record))  # type: ignore[method-assign]
+    handler.emit = lambda record: errors.append(logging.Formatter().format(record))  # type: ignore[method-assign]
     log = logging.getLogger("elmthread")
     log.addHandler(handler)
     try:
-        yield told
+        yield errors
     finally:
         log.removeHandler(handler)
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -4,7 +4,6 @@
 service has surely kept its lease, and holds every start, rental, deletion and answer against it.
 """
 
-from collections.abc import Callable
 from dataclasses import replace
 from datetime import timedelta
 from typing import Any
@@ -12,7 +11,7 @@
 from elmthread.controller import Controller
 from elmthread.limits import LEADER_LEASE
 from elmthread.net.http_client import ClientResponse
-from elmthread.net.http_messages import Request, Response
+from elmthread.net.http_messages import Precondition, Request, Response
 from elmthread.workers.messages import HEARTBEAT_PATH
 from tests.world.service_ports import SimulatedClient
 from tests.world.world import World
@@ -28,13 +27,7 @@
         self._node, self._history = node, history
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         """As before; a request that is only sent on a sure lease is judged at that moment."""
         sent = self._service.loop.now
--- a/tests/world/service_ports.py
+++ b/tests/world/service_ports.py
@@ -2,12 +2,12 @@
 
 import asyncio
 import random
-from collections.abc import Callable
 from dataclasses import dataclass
 from datetime import timedelta
 from typing import Any, NamedTuple
 
 from elmthread.net.http_client import ClientResponse, NoResponseError, NotSentError
+from elmthread.net.http_messages import Precondition
 from tests.world.loop import SimLoop
 
 
@@ -68,13 +68,7 @@
         self.faults = faults
 
     async def call(
-        self,
-        method: str,
-        path: str,
-        body: Any = None,
-        *,
-        timeout: timedelta,
-        precondition: Callable[[], bool] | None = None,
+        self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
         """Call the service as HttpClient does. Raises NoResponseError and NotSentError."""
         call = _Call(method, path, body, self._service.loop.now + timeout.total_seconds())
