--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -68,8 +68,8 @@
     world = day(played, seed=seed, before=before, machines=8)
     assert histories[0].acts > 0
     assert histories[0].broken == []
-    for told in world.rules.history.values():
-        assert len({state for _, state in told if state in ("done", "cancelled")}) == 1
+    for reported in world.rules.history.values():
+        assert len({state for _, state in reported if state in ("done", "cancelled")}) == 1
     return histories[0]
 
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -1,6 +1,6 @@
 """The slow plain model: the protocol's rules, judged on what really happens on machines.
 
-It knows nothing of holds, tokens or leases: only who submitted what, what users were told,
+It knows nothing of holds, tokens or leases: only who submitted what, what was reported to users,
 and which task is on which machine. Every event is checked the plain way.
 """
 
@@ -22,11 +22,11 @@
         self.zones_of: dict[str, Counter[str]] = {}  # job -> zones of its tasks
         self.zones: dict[str, str] = {}
         self.finished: set[str] = set()
-        # What users were told of each job, and when, where it changed.
+        # The states of each job that were reported to users, and when, where they changed.
         self.history: dict[str, list[tuple[float, str]]] = {}
         # Jobs that must never be accepted, as they can't run or lack a field.
         self.impossible: set[str] = set()
-        # Tasks that began after their job's user was told that it is cancelled.
+        # Tasks that began after their job was reported as cancelled.
         self.late_starts: list[str] = []
         self.waiting: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
@@ -50,7 +50,9 @@
         self.starts[task] += 1
         self.first_start.setdefault(job, self.loop.now)
         if job in self.cancelled_at:
-            self.late_starts.append(f"{self.loop.now:.2f} {task} on {machine}, told at {self.cancelled_at[job]:.2f}")
+            self.late_starts.append(
+                f"{self.loop.now:.2f} {task} on {machine}, reported at {self.cancelled_at[job]:.2f}"
+            )
         if self.machines_of.get(task):
             self._break("ran_twice", f"{task} on {machine}")
         self.machines_of.setdefault(task, []).append(machine)
@@ -146,8 +148,8 @@
 
     @property
     def reported_states(self) -> dict[str, str]:
-        """What users were told last, by job."""
-        return {job: told[-1][1] for job, told in self.history.items()}
+        """The state reported last, by job."""
+        return {job: states[-1][1] for job, states in self.history.items()}
 
     def check_waiting(self, room: Callable[[dict[str, Any]], bool]) -> None:
         """Once all troubles are over, no job waits for 90 s while a machine that fits has room.
@@ -155,10 +157,10 @@
         `room` says whether some machine that serves has it for a task of that spec.
         """
         for job, spec in self.specs.items():
-            told = self.reported_states.get(job)
+            state = self.reported_states.get(job)
             on = +self.zones_of.get(job, Counter())
             waits = (
-                told in ("queued", "running")
+                state in ("queued", "running")
                 and spec["form"] == "batch"
                 and not on
                 and any(f"{job}/{n}" not in self.finished for n in range(spec["pieces"]))
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -59,8 +59,8 @@
         await self.submit(pieces=30, cpus=2.0, true_s=10.0, expected_s=10.0, urgency="best_effort")
 
     def unfinished(self) -> list[str]:
-        told = self.world.rules.reported_states
-        return [one for one in self.ids if told.get(one) not in ("done", "cancelled")]
+        states = self.world.rules.reported_states
+        return [one for one in self.ids if states.get(one) not in ("done", "cancelled")]
 
     async def look(self, job_id: str) -> None:
         """Ask every node repeatedly within milliseconds, and repeat the submission."""
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -105,7 +105,7 @@
         answer = await world.offer(spec)
         assert answer.status in (400, 422, 429, 503, 504), answer
         assert answer.retry_after is not None or answer.status not in (429, 503), answer
-        ended = [one for one, told in world.rules.reported_states.items() if told == "done"]
+        ended = [one for one, state in world.rules.reported_states.items() if state == "done"]
         if ended:
             stage.begin(stage.cancel(world.rng.choice(ended)))
         if stage.unfinished():
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -104,7 +104,7 @@
 
 
 class NodeLevels(msgspec.Struct, frozen=True):
-    """What a node is told of the rollout, and the levels that it stands for."""
+    """A node's rollout settings, and the levels that it stands for."""
 
     rollout: RolloutSettings
     supported: SupportedLevels
@@ -158,7 +158,7 @@
         peers: type[PeerNetwork],
         levels: NodeLevels,
     ) -> Controller:
-        """Make a controller that supports what the earlier version does; one without levels is told of none."""
+        """Make a controller that supports what the earlier version does; one without levels gets none."""
         file = self.named("settings.operators", "OperatorsFile")
         operators_file = file()
         if "rollout" in operators_file.__struct_fields__:
