--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -25,6 +25,7 @@
 
 # Present module -> earlier modules.
 MODULES: dict[str, tuple[str, ...]] = {
+    "api.routes": ("intake.api",),
     "common.features": ("rollout.features",),
     "leader": ("controller",),
     "net.http_client": ("net.http", "common.http"),
@@ -35,6 +36,7 @@
 }
 # Present class, by module and name -> earlier names.
 CLASSES: dict[tuple[str, str], tuple[str, ...]] = {
+    ("api.routes", "RequestRouter"): ("Api",),
     ("net.http_client", "ClientResponse"): ("Answer",),
     ("net.http_client", "NoResponseError"): ("NoAnswer",),
     ("net.http_client", "NotSentError"): ("Withheld",),
@@ -44,6 +46,7 @@
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
 ATTRIBUTES: dict[tuple[str, str], dict[str, tuple[str, ...]]] = {
+    ("api.routes", "RequestRouter"): {"handle_peer_request": ("answer",)},
     ("controller", "Controller"): {
         "handle_announcement": ("hear",),
         "leader_task": ("_leading",),
