--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
 
 
 def check_listed(config: pytest.Config, collected: Collection[str]) -> None:
-    """Raises UsageError where all tests are run and one that is listed is not among them."""
+    """Raise UsageError where all tests are run and one that is listed is not among them."""
     chosen = config.option.keyword or config.option.markexpr
     whole = config.args_source is pytest.Config.ArgsSource.TESTPATHS and not chosen
     for one in config.stash[LISTED]:
@@ -43,7 +43,7 @@
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_node_collection_finished(node: "WorkerController", ids: Sequence[str]) -> None:
-    """The worker processes of pytest-xdist are told which tests to run, not whether these are all; this one knows."""
+    """Check here, as the worker processes of pytest-xdist do not know whether they run all tests."""
     check_listed(node.config, ids)
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -25,7 +25,7 @@
 
 
 def read(path: Path) -> list[KnownRed]:
-    """The listed tests; none where there is no list."""
+    """Return the listed tests, none without a list."""
     if not path.exists():
         return []
     listed = [_parse(line) for line in path.read_text().splitlines() if line.strip()]
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """A built checkout, in which the libraries count as installed: they are those of this environment."""
+    """Make a built checkout, in which the libraries count as installed: they are those of this environment."""
     for name in ("src", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     for name in ("run.py", "requirements.txt"):
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -17,7 +17,7 @@
 
 
 async def kill_named(world: World, history: History) -> None:
-    """The node that is named ends before it stands."""
+    """Kill the named successor before it stands."""
     assert world.leader is not None
     succession = world.leader.reachability.succession
     name_successor = succession.name_successor
@@ -33,7 +33,7 @@
 
 
 async def cut_named(world: World, history: History) -> None:
-    """The node that is named loses the store as it is named."""
+    """Cut the named successor off from the store as it is named."""
     assert world.leader is not None
     succession = world.leader.reachability.succession
     name_successor = succession.name_successor
@@ -50,7 +50,7 @@
 
 
 async def name_not_heard(world: World, history: History) -> None:
-    """The others never hear who was named."""
+    """Keep the others from learning who was named."""
     with mock.patch.object(Succession, "observe_successor", lambda self, node, fencing_token: None):
         await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -52,7 +52,7 @@
         world.ports[name].store.faults.refused = False
 
     def cut_again() -> None:
-        """What a process finds when it is back: its node is still refused."""
+        """Refuse the node's new process for as long as the node is refused."""
         if world.loop.now < refused_until and name in world.controllers:
             world.ports[name].store.faults.refused = True
 
@@ -81,7 +81,7 @@
 
 
 def restart_any(world: World) -> None:
-    """A process ends and is back at once, the holding one or any other."""
+    """Kill a process, the holding one or any other, and start it again at once."""
     victim = world.rng.choice(list(world.controllers))
     world.kill(victim)
     world.loop.call_later(world.rng.uniform(0.05, 0.9), partial(start, world, victim))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -26,7 +26,7 @@
 
 
 def run(pytester: pytest.Pytester, listed: str | None, processes: int, other: bool = True) -> pytest.RunResult:
-    """Runs three tests in this many worker processes; 0: in the one process of pytest itself."""
+    """Run three tests in this many worker processes; 0: in the one process of pytest itself."""
     folder = pytester.mkpydir("tests")
     for name in ("conftest.py", "known_red.py"):
         shutil.copy(HERE / name, folder)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -83,7 +83,7 @@
 
 
 def play(troubles: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
-    """The troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
+    """Play the troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
 
     async def script(world: World) -> None:
         stage = Stage(world)
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -35,7 +35,7 @@
     patch, script = FAULTS[fault]
 
     def seen() -> list[str]:
-        """What the monitor and the rules tell of on that day."""
+        """Return what the monitor and the rules find on that day."""
         broken: list[str] = []
 
         async def watched(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -157,7 +157,7 @@
 
 
 async def cut_zone_off(world: World, more: Callable[[int], Awaitable[None]]) -> None:
-    """A zone is cut off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
+    """Cut a zone off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
     set_apart(world, cut_off, True)
@@ -171,7 +171,7 @@
 
 
 async def refuse_peer_links(world: World, job_id: str) -> str:
-    """Users at the others are told so at once, the leader serves on; returns the leader."""
+    """Cut all links between controllers: users at followers are refused at once, the leader serves on; return it."""
     reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
@@ -185,7 +185,7 @@
 
 
 def lose_a_third(world: World) -> None:
-    """A third of the machines end, hang or fail their tasks."""
+    """Let a third of the machines end, hang or fail their tasks."""
     names = sorted(world.workers)
     for name in names[::9]:
         world.workers.pop(name).terminate()
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -76,7 +76,7 @@
 
 
 def read(form: str, value: Any) -> None:
-    """Reads a sample as this version does."""
+    """Read a sample as this version does."""
     if form.startswith("message "):
         peers.decode(msgspec.json.encode(value))
     elif form == "done":
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -113,7 +113,7 @@
 
 
 def check_earlier_reader(world: World) -> None:
-    """An earlier leader would miss and mistake nothing of what is stored now."""
+    """Check that an earlier leader would miss and mistake nothing of what is stored now."""
     view = earlier_reader.read(world.store.values())
     for job_id, told in world.rules.reported_states.items():
         state = view.jobs[job_id]["state"]
