--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -25,6 +25,7 @@
 
 # Present module -> earlier modules.
 MODULES: dict[str, tuple[str, ...]] = {
+    "api.routes": ("intake.api",),
     "common.features": ("rollout.features",),
     "leader": ("controller",),
     "net.http_client": ("net.http", "common.http"),
@@ -35,6 +36,7 @@
 }
 # Present class, by module and name -> earlier names.
 CLASSES: dict[tuple[str, str], tuple[str, ...]] = {
+    ("api.routes", "RequestRouter"): ("Api",),
     ("net.http_client", "ClientResponse"): ("Answer",),
     ("net.http_client", "NoResponseError"): ("NoAnswer",),
     ("net.http_client", "NotSentError"): ("Withheld",),
@@ -44,6 +46,7 @@
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
 ATTRIBUTES: dict[tuple[str, str], dict[str, tuple[str, ...]]] = {
+    ("api.routes", "RequestRouter"): {"handle_peer_request": ("answer",)},
     ("controller", "Controller"): {
         "handle_announcement": ("hear",),
         "leader_task": ("_leading",),
@@ -104,7 +107,7 @@
 
 
 class NodeLevels(msgspec.Struct, frozen=True):
-    """What a node is told of the rollout, and the levels that it stands for."""
+    """A node's rollout settings, and the levels that it stands for."""
 
     rollout: RolloutSettings
     supported: SupportedLevels
@@ -158,7 +161,7 @@
         peers: type[PeerNetwork],
         levels: NodeLevels,
     ) -> Controller:
-        """Make a controller that supports what the earlier version does; one without levels is told of none."""
+        """Make a controller that supports what the earlier version does; one without levels gets none."""
         file = self.named("settings.operators", "OperatorsFile")
         operators_file = file()
         if "rollout" in operators_file.__struct_fields__:
