--- a/src/elmthread/api/job_service.py
+++ b/src/elmthread/api/job_service.py
@@ -1,8 +1,9 @@
 """The leader's side of the API: executes users' requests, and confirms only what is durable."""
 
-from dataclasses import dataclass
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.api.cancellation import CancellationHandler
 from elmthread.api.job_writes import JobWrites
 from elmthread.api.status import StatusReporter
@@ -15,8 +16,7 @@
 from elmthread.store.job_spec import JobSpec
 
 
-@dataclass(frozen=True)
-class RequestLimits:
+class RequestLimits(msgspec.Struct, frozen=True):
     """Limits on users' requests."""
 
     # Submissions and cancellations that may wait for the store at the same time.
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -1,7 +1,8 @@
 """The parts of a node that the API uses, whether the node leads or not."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from elmthread.api.job_service import JobService
 from elmthread.common.clock import Clock
@@ -11,8 +12,7 @@
 from elmthread.rollout.gate import CompatibilityGate
 
 
-@dataclass(frozen=True)
-class ApiNode:
+class ApiNode(msgspec.Struct, frozen=True):
     """The node's name and the parts of its process."""
 
     name: str
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -1,9 +1,10 @@
 """The collaborators that the parts of the autoscaler share, and their common view of one round."""
 
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.autoscaling.instance_offers import InstanceOffers, MachineControl
 from elmthread.cluster.machine import InstanceKind, Machine
 from elmthread.cluster.state import ClusterState
@@ -13,8 +14,7 @@
 from elmthread.settings.operators import Operators
 
 
-@dataclass(frozen=True)
-class ScalingContext:
+class ScalingContext(msgspec.Struct, frozen=True):
     """The collaborators of the autoscaler."""
 
     cluster: ClusterState
@@ -24,8 +24,7 @@
     operators: Operators
 
 
-@dataclass(frozen=True)
-class RoundView:
+class RoundView(msgspec.Struct, frozen=True):
     """The input of one round, taken at its beginning."""
 
     now: timedelta
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -3,9 +3,10 @@
 import logging
 import math
 from collections.abc import Sequence
-from dataclasses import dataclass, field
 from typing import NamedTuple
 
+import msgspec
+
 from elmthread.autoscaling.context import RoundView, ScalingContext
 from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
 from elmthread.autoscaling.instance_selection import DeferrableBacklog, fewest_instances
@@ -40,13 +41,12 @@
     gpus: float
 
 
-@dataclass
-class _MachineShare:
+class _MachineShare(msgspec.Struct):
     """Machines (by name) that could run the same requests, and the urgent requests that go first there."""
 
     machines: set[str]
-    waiting: list[TaskRequest] = field(default_factory=list)
-    urgent: list[TaskRequest] = field(default_factory=list)
+    waiting: list[TaskRequest] = msgspec.field(default_factory=list)
+    urgent: list[TaskRequest] = msgspec.field(default_factory=list)
 
 
 class DeferrableScaling:
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -3,9 +3,10 @@
 import math
 from collections import Counter
 from collections.abc import Iterator, Mapping, Sequence
-from dataclasses import dataclass
 from typing import Protocol
 
+import msgspec
+
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.machine import InstanceKind, Machine
 from elmthread.cluster.machine_deletion import DeletionReason
@@ -62,8 +63,7 @@
         """Delete the machine."""
 
 
-@dataclass(slots=True, frozen=True)
-class InstanceOffer:
+class InstanceOffer(msgspec.Struct, frozen=True):
     """A kind of instance that can be requested; at most `max_count` may be available."""
 
     machine_type: str
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -4,7 +4,8 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from elmthread.autoscaling.instance_offers import InstanceOffer
 from elmthread.autoscaling.lateness import (
@@ -19,8 +20,7 @@
 MAX_PRICE_TRIALS = 60
 
 
-@dataclass(frozen=True)
-class DeferrableBacklog:
+class DeferrableBacklog(msgspec.Struct, frozen=True):
     """Waiting deferrable work, and the work that goes ahead of it."""
 
     groups: Sequence[DeadlineGroup]  # in order of deadline
--- a/src/elmthread/autoscaling/lateness.py
+++ b/src/elmthread/autoscaling/lateness.py
@@ -5,19 +5,18 @@
 
 import math
 from collections.abc import Sequence
-from dataclasses import dataclass
 
+import msgspec
 
-@dataclass(slots=True, frozen=True)
-class CoreSupply:
+
+class CoreSupply(msgspec.Struct, frozen=True):
     """Cores that are available to deferrable work from `start_s` on."""
 
     start_s: float
     cores: float
 
 
-@dataclass(slots=True)
-class DeadlineGroup:
+class DeadlineGroup(msgspec.Struct):
     """Waiting deferrable tasks with about the same deadline."""
 
     due_s: float
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -7,9 +7,11 @@
 """
 
 from collections.abc import Sequence
-from dataclasses import dataclass, replace
+from dataclasses import replace
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.autoscaling.context import RoundView, ScalingContext, usable_cores
 from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
 from elmthread.autoscaling.instance_selection import cover_shortfall
@@ -29,8 +31,7 @@
 from elmthread.placement.requests import TaskRequest
 
 
-@dataclass(frozen=True)
-class _OnDemandNeed:
+class _OnDemandNeed(msgspec.Struct, frozen=True):
     """Cores of on-demand machines that services need."""
 
     booked: float
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -6,6 +6,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
+import msgspec
+
 from elmthread.common.clock import ZERO
 from elmthread.common.states import transition
 from elmthread.store.job_spec import SERVICE, JobSpec
@@ -32,8 +34,7 @@
 PRIORITY_RANKS = {"production": 0, "high": 1, "normal": 2, "best_effort": 3}
 
 
-@dataclass(frozen=True)
-class JobPolicy:
+class JobPolicy(msgspec.Struct, frozen=True):
     """What the operators' rules decide for a job when it is submitted."""
 
     # How long after its submission the job is to be done.
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -5,6 +5,8 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING, NamedTuple
 
+import msgspec
+
 from elmthread.common.clock import seconds
 from elmthread.common.states import transition
 
@@ -35,8 +37,7 @@
 FIRST_HEARTBEAT_GRACE = seconds(8)
 
 
-@dataclass(frozen=True)
-class InstanceKind:
+class InstanceKind(msgspec.Struct, frozen=True):
     """What an instance request names: a machine type in a zone, as spot or on-demand instance."""
 
     machine_type: str
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -6,9 +6,10 @@
 """
 
 import math
-from dataclasses import dataclass
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.cluster.job import Job
 from elmthread.common.clock import seconds
 
@@ -20,8 +21,7 @@
 MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.02, 50.0
 
 
-@dataclass
-class _LogRatioMean:
+class _LogRatioMean(msgspec.Struct):
     count: int = 0
     mean: float = 0.0
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -1,7 +1,6 @@
 """One controller: what every node runs, whoever leads."""
 
 import asyncio
-from dataclasses import dataclass
 
 import msgspec
 
@@ -45,8 +44,7 @@
 from elmthread.workers.messages import HEARTBEAT_PATH
 
 
-@dataclass(frozen=True)
-class ControllerEnvironment:
+class ControllerEnvironment(msgspec.Struct, frozen=True):
     """What a controller runs on; tests replace parts of it."""
 
     clock: Clock = steady
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -2,9 +2,10 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.api.job_service import JobService, RequestLimits
 from elmthread.api.validation import JobValidator
 from elmthread.autoscaling.autoscaler import Autoscaler
@@ -61,8 +62,7 @@
 CLOUD_BURST_S = 1.5
 
 
-@dataclass(frozen=True)
-class NodeServices:
+class NodeServices(msgspec.Struct, frozen=True):
     """What a process has, whoever leads, and its leader uses."""
 
     platform: Platform
--- a/src/elmthread/leadership/context.py
+++ b/src/elmthread/leadership/context.py
@@ -1,6 +1,6 @@
 """What all services of one term share."""
 
-from dataclasses import dataclass
+import msgspec
 
 from elmthread.cluster.events import ClusterEvents
 from elmthread.cluster.state import ClusterState
@@ -11,8 +11,7 @@
 from elmthread.store.writer import RecordWriter
 
 
-@dataclass(frozen=True)
-class TermContext:
+class TermContext(msgspec.Struct, frozen=True):
     """The term and what the leader owns in it: the cluster's state in memory and the way to the store."""
 
     term: Term
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -11,7 +11,6 @@
 import logging
 import random
 import secrets
-from dataclasses import dataclass
 from datetime import timedelta
 
 import msgspec
@@ -48,8 +47,7 @@
 LEADER_PAGE_SIZE = 10
 
 
-@dataclass(frozen=True)
-class ElectionSettings:
+class ElectionSettings(msgspec.Struct, frozen=True):
     """The node that takes part, and the times of its terms."""
 
     node: str
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -2,10 +2,11 @@
 
 import logging
 from collections import deque
-from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 
+import msgspec
+
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.common.clock import seconds
@@ -25,8 +26,7 @@
 MAX_REQUEST_AGE = seconds(20)
 
 
-@dataclass(slots=True)
-class InstanceRequest:
+class InstanceRequest(msgspec.Struct):
     """A request for machines of one kind, which count as pending until the cloud responds."""
 
     name: str
@@ -37,8 +37,7 @@
     sent: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class Refusal:
+class Refusal(msgspec.Struct, frozen=True):
     """A kind of instance that the cloud had no capacity for."""
 
     paused_until: timedelta
--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -2,10 +2,11 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
 from datetime import timedelta
 from enum import Enum, auto
 
+import msgspec
+
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 from elmthread.common.states import transition
@@ -40,8 +41,7 @@
 }
 
 
-@dataclass(frozen=True)
-class PeerAddress:
+class PeerAddress(msgspec.Struct, frozen=True):
     """Where a controller listens for the others."""
 
     node: str
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -5,9 +5,10 @@
 they come last.
 """
 
-from dataclasses import dataclass, field
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.cluster import health
 from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.run_times import RunTimeModel
@@ -30,13 +31,12 @@
     return not job.done_count and now - job.submitted_at > STARVATION_AGE
 
 
-@dataclass
-class _Backlog:
+class _Backlog(msgspec.Struct):
     """The remaining work of all teams: deferrable jobs, urgent core-seconds, and cores of services."""
 
-    deferrable: dict[str, list[JobWork]] = field(default_factory=dict)
-    urgent_core_seconds: dict[str, float] = field(default_factory=dict)
-    service_cpus: dict[str, float] = field(default_factory=dict)
+    deferrable: dict[str, list[JobWork]] = msgspec.field(default_factory=dict)
+    urgent_core_seconds: dict[str, float] = msgspec.field(default_factory=dict)
+    service_cpus: dict[str, float] = msgspec.field(default_factory=dict)
 
 
 class JobOrder:
--- a/src/elmthread/placement/moore_hodgson.py
+++ b/src/elmthread/placement/moore_hodgson.py
@@ -1,11 +1,11 @@
 """Moore and Hodgson's rule: which jobs to postpone so that the fewest are late."""
 
 from collections.abc import Sequence
-from dataclasses import dataclass
 
+import msgspec
 
-@dataclass(slots=True, frozen=True)
-class JobWork:
+
+class JobWork(msgspec.Struct, frozen=True):
     """The remaining work of a job, with its deadline in seconds from now."""
 
     job_id: str
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -1,10 +1,11 @@
 """The scheduling round: allocates waiting tasks, and stops interrupted and preempted ones."""
 
 from collections.abc import Mapping
-from dataclasses import dataclass
 from datetime import timedelta
 from typing import Protocol
 
+import msgspec
+
 from elmthread.cluster.allocation import Allocation, AllocationState
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine
@@ -28,8 +29,7 @@
         """Write the machine's new allocations; their tasks are started once the write is durable."""
 
 
-@dataclass(frozen=True)
-class SchedulerSettings:
+class SchedulerSettings(msgspec.Struct, frozen=True):
     """The platform's settings that the scheduler uses."""
 
     teams: Mapping[str, Team]
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -1,9 +1,10 @@
 """Choice of the tasks that urgent requests preempt. Pure functions over candidates and free capacity."""
 
 import heapq
-from dataclasses import dataclass
 from datetime import timedelta
 
+import msgspec
+
 from elmthread.common.clock import ZERO
 from elmthread.placement.bin_packing import EPSILON, assign_tasks, is_allowed, place
 from elmthread.placement.capacity import FreeCapacity
@@ -11,8 +12,7 @@
 from elmthread.placement.requests import TaskRequest
 
 
-@dataclass(slots=True)
-class PreemptionCandidate:
+class PreemptionCandidate(msgspec.Struct):
     """A running task that may be stopped, and the run time that stopping it loses."""
 
     attempt: int
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -3,7 +3,6 @@
 import asyncio
 import sys
 from contextlib import aclosing
-from dataclasses import dataclass
 from datetime import timedelta
 
 import msgspec
@@ -26,8 +25,7 @@
     """A controller could not be reached, or did not announce itself in time."""
 
 
-@dataclass(frozen=True)
-class NodeReport:
+class NodeReport(msgspec.Struct, frozen=True):
     """What is printed of one controller."""
 
     lines: list[str]
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -6,7 +6,6 @@
 import asyncio
 import random
 import secrets
-from dataclasses import dataclass
 from datetime import timedelta
 from typing import Protocol
 
@@ -51,8 +50,7 @@
         """Return the state of the links to the workers, by zone."""
 
 
-@dataclass(frozen=True)
-class ReachabilitySettings:
+class ReachabilitySettings(msgspec.Struct, frozen=True):
     """A node, the other controllers, and the times by which links to them are judged."""
 
     node: str
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -8,7 +8,6 @@
 import asyncio
 import logging
 from collections.abc import Awaitable, Callable, Iterable, Mapping
-from dataclasses import dataclass
 from datetime import timedelta
 from functools import partial
 from typing import Any
@@ -36,8 +35,7 @@
 RECHECK_INTERVAL = seconds(60)
 
 
-@dataclass(frozen=True)
-class RolloutContext:
+class RolloutContext(msgspec.Struct, frozen=True):
     """What a process has of the rollout, whoever leads."""
 
     membership: Membership
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -68,8 +68,7 @@
 PageReader = Callable[[str, str | None, int], Awaitable[messages.RangePage]]
 
 
-@dataclass(frozen=True)
-class PrefixRecords:
+class PrefixRecords(msgspec.Struct, frozen=True):
     """All records under a prefix; a watch from `revision` sees whatever changed while they were read."""
 
     items: list[messages.KeyValue]
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -1,7 +1,8 @@
 """Packs waiting writes into the pages of one transaction."""
 
 import logging
-from dataclasses import dataclass, field
+
+import msgspec
 
 from elmthread.common.clock import ZERO, Clock, seconds
 from elmthread.store.pages import RecordPage, RecordPages, json_text, record_bytes
@@ -16,8 +17,7 @@
 ISOLATION_TIME = seconds(30)
 
 
-@dataclass(frozen=True)
-class WriteLimits:
+class WriteLimits(msgspec.Struct, frozen=True):
     """What the store accepts from one leader."""
 
     # Puts and deletes a second.
@@ -26,22 +26,20 @@
     max_operations: int
 
 
-@dataclass(eq=False, slots=True)
-class PageWrite:
+class PageWrite(msgspec.Struct, eq=False):
     """A page that a transaction writes, with the records that go into it as JSON."""
 
     page: RecordPage
     number: int
-    texts: dict[str, str] = field(default_factory=dict)
+    texts: dict[str, str] = msgspec.field(default_factory=dict)
     size: int = 0
 
 
-@dataclass(eq=False, slots=True)
-class PageBatch:
+class PageBatch(msgspec.Struct, eq=False):
     """The pages of one transaction, and the writes that they carry."""
 
-    pages: list[PageWrite] = field(default_factory=list)
-    writes: list[PendingWrite] = field(default_factory=list)
+    pages: list[PageWrite] = msgspec.field(default_factory=list)
+    writes: list[PendingWrite] = msgspec.field(default_factory=list)
 
     @property
     def page_sizes(self) -> str:
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -11,7 +11,6 @@
 
 from collections.abc import Iterable
 from collections.abc import Set as AbstractSet
-from dataclasses import dataclass, field
 from itertools import count
 from typing import Any
 
@@ -64,8 +63,7 @@
     return size + whole.count('"') + whole.count("\\") + 8
 
 
-@dataclass(slots=True, eq=False)
-class RecordPage:
+class RecordPage(msgspec.Struct, eq=False):
     """One page: its last known revision, and which of its records are current."""
 
     key: str
@@ -73,7 +71,7 @@
     # The keys of all records in it, current or not.
     keys: frozenset[str] = frozenset()
     # The keys of records of which no newer version is durable, and the bytes that these records take.
-    current: set[str] = field(default_factory=set)
+    current: set[str] = msgspec.field(default_factory=set)
     current_bytes: int = 0
 
 
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -2,11 +2,12 @@
 
 import asyncio
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
 from datetime import timedelta
 from enum import IntEnum
 from typing import Any
 
+import msgspec
+
 from elmthread.common.clock import ZERO, Clock, seconds
 
 
@@ -31,8 +32,7 @@
 MakeValue = Callable[[], Any]
 
 
-@dataclass(eq=False, slots=True)
-class PendingWrite:
+class PendingWrite(msgspec.Struct, eq=False):
     """A record that waits to be written."""
 
     key: str
@@ -40,7 +40,7 @@
     make_value: MakeValue
     waiting_since: timedelta
     # Called once the value, or a newer one, is durable.
-    on_durable: list[Callable[[], None]] = field(default_factory=list)
+    on_durable: list[Callable[[], None]] = msgspec.field(default_factory=list)
 
     def notify_durable(self) -> None:
         """Call the functions that wait for the record to be durable."""
