--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -58,7 +58,7 @@
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world, 6)
-        await change_versions(world, ids)
+        await _change_versions(world, rng, ids)
         restore(world)
         for node in sorted(world.earlier_nodes):
             world.earlier_nodes.discard(node)
@@ -67,40 +67,43 @@
         await until_level(world, SUPPORTED.highest)
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
-        await roll_back(world)
+        await _roll_back(world, reads_level)
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
-    async def change_versions(world: World, ids: list[str]) -> None:
-        for _ in range(12):
-            kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
-            if kind in ("new", "earlier"):
-                (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
-                replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
-            else:
-                await befall(world, kind, ids)
-            await asyncio.sleep(rng.uniform(0.05, 9.0))
-            for job_id in ids:
-                await world.poll(job_id)
-
-    async def roll_back(world: World) -> None:
-        # Rolled back after the activation: a version leads then if it reads the active level, and only then.
-        world.earlier_nodes.update(NODES)
-        for node in NODES:
-            replace(world, node, SUPPORTED, 0.5)
-        led = False
-        for _ in range(60):
-            await asyncio.sleep(0.5)
-            led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
-            assert not led or reads_level
-        assert led is reads_level
-        world.earlier_nodes.clear()
-        for node in NODES:
-            replace(world, node, SUPPORTED, 0.5)
-
     def before(world: World) -> None:
         begin_before(world)
         world.levels.clear()
         world.limits, world.earlier, world.earlier_nodes = dict(NEXT), earlier, set(world.nodes)
 
     staged_day(script, before, seed=seed)
+
+
+async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
+    """Move nodes to either version at random, beside troubles."""
+    for _ in range(12):
+        kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
+        if kind in ("new", "earlier"):
+            (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
+            replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
+        else:
+            await befall(world, kind, ids)
+        await asyncio.sleep(rng.uniform(0.05, 9.0))
+        for job_id in ids:
+            await world.poll(job_id)
+
+
+async def _roll_back(world: World, reads_level: bool) -> None:
+    """Roll all nodes back after the activation: a version leads then if it reads the level, and only then."""
+    world.earlier_nodes.update(NODES)
+    for node in NODES:
+        replace(world, node, SUPPORTED, 0.5)
+    led = False
+    for _ in range(60):
+        await asyncio.sleep(0.5)
+        led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+        assert not led or reads_level
+    assert led is reads_level
+    world.earlier_nodes.clear()
+    for node in NODES:
+        replace(world, node, SUPPORTED, 0.5)
