--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -4,10 +4,11 @@
 service has surely kept its lease, and holds every start, rental, deletion and answer against it.
 """
 
-from dataclasses import replace
 from datetime import timedelta
 from typing import Any
 
+import msgspec
+
 from elmthread.controller import Controller
 from elmthread.limits import LEADER_LEASE
 from elmthread.net.http_client import ClientResponse
@@ -94,7 +95,7 @@
         state, cloud = self.world.ports[node]
         controller.store._caller = RecordingPort(state, node, self)
         runner = controller.leader_runner
-        runner.services = replace(runner.services, cloud=RecordingPort(cloud, node, self))
+        runner.services = msgspec.structs.replace(runner.services, cloud=RecordingPort(cloud, node, self))
 
         async def answered(request: Any) -> Any:
             reply = await answer(request)
