--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -77,6 +77,7 @@
         self._unsavable = unsavable_groups(backlog.groups, boot_s)
 
     def leaves_none_late(self, chosen: Sequence[InstanceOffer]) -> bool:
+        """Return whether no group that can be saved ends late with these instances."""
         added = [CoreSupply(offer.boot_s, offer.cores) for offer in chosen]
         return not late_groups(
             self._backlog.groups, [*self._supplies, *added], self._backlog.core_seconds_ahead, self._unsavable
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -26,6 +26,7 @@
     mean: float = 0.0
 
     def add(self, value: float) -> None:
+        """Take in the logarithm of one ratio; recent values weigh more."""
         self.count += 1
         weight = max(NEWEST_WEIGHT, 1 / self.count)
         self.mean += weight * (value - self.mean)
--- a/src/elmthread/net/http_client.py
+++ b/src/elmthread/net/http_client.py
@@ -110,12 +110,15 @@
     protocol: h11.Connection
 
     def is_closed(self) -> bool:
+        """Return whether either side has closed the connection."""
         return self.reader.at_eof() or self.writer.is_closing()
 
     def is_reusable(self) -> bool:
+        """Return whether the last exchange has ended and another may follow."""
         return self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
 
     def encode_request(self, method: str, path: str, host: str, payload: bytes) -> bytes:
+        """Return the bytes of a request whose body is `payload`."""
         headers = [
             (b"host", host.encode()),
             (b"content-type", b"application/cbor"),
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -153,6 +153,7 @@
         self.is_sorted = False
 
     def sort(self) -> list[FreeCapacity]:
+        """Return the machines that have room, those with the fewest free cores first."""
         if not self.is_sorted:
             self.capacities = [capacity for capacity in self.capacities if capacity.cpus > EPSILON]
             self.capacities.sort(key=_by_free_cpus)
@@ -160,6 +161,7 @@
         return self.capacities
 
     def by_image_access(self, request: TaskRequest) -> dict[ImageAccess, list[FreeCapacity]]:
+        """Return the machines by how they come by the image of the request."""
         by_access: dict[ImageAccess, list[FreeCapacity]] = {}
         for capacity in self.capacities:
             by_access.setdefault(image_access(request, capacity), []).append(capacity)
