--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,7 @@
 """The pages name files and code that exist."""
 
 import ast
+import graphlib
 import re
 from functools import cache
 from pathlib import Path
@@ -85,6 +86,30 @@
     assert [quoted for quoted in QUOTED.findall(text) if not is_known(quoted)] == []
 
 
+def imports_between_packages() -> dict[str, set[str]]:
+    """Return, by package or module of the top level, those that it imports."""
+    found: dict[str, set[str]] = {}
+    for path in PACKAGE.rglob("*.py"):
+        if "tests" in path.parts:
+            continue
+        importer = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("elmthread."):
+                imported = (node.module or "").split(".")[1]
+                found.setdefault(importer, set()).update({imported} - {importer})
+    return found
+
+
+def test_packages_import_one_another_in_one_direction() -> None:
+    """A cycle raises CycleError, which names it; decisions know nothing of the services."""
+    imports = imports_between_packages()
+    tuple(graphlib.TopologicalSorter(imports).static_order())
+    assert len(imports) > 15
+    services = {"api", "workers", "machines", "reachability", "rollout", "peers", "controller", "leader", "limits"}
+    for package in ("placement", "autoscaling", "persistence", "leadership", "cluster", "store", "net", "common"):
+        assert imports.get(package, set()) & services == set(), package
+
+
 def test_the_architecture_page_names_every_package() -> None:
     text = (ROOT / "docs" / "architecture.md").read_text()
     packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
