--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -3,6 +3,7 @@
 import ast
 import graphlib
 import re
+from collections.abc import Iterator
 from functools import cache
 from pathlib import Path
 
@@ -30,14 +31,26 @@
 NOT_IN_THE_REPOSITORY |= {"schemas/level-N.json", "messages.py", "EvalWithCompoundTypes", "Misread"}
 
 
+@cache
+def parsed(folder: Path) -> dict[Path, ast.Module]:
+    """Return the syntax trees of all modules in a folder."""
+    return {path: ast.parse(path.read_text()) for path in folder.rglob("*.py")}
+
+
+def nodes_in(*folders: Path) -> Iterator[ast.AST]:
+    """Yield each node of the modules in the folders."""
+    for folder in folders:
+        for tree in parsed(folder).values():
+            yield from ast.walk(tree)
+
+
 @cache
 def names_of_classes() -> dict[str, set[str]]:
     """By class, in the sources and tests, the names of its members."""
     found: dict[str, set[str]] = {}
-    for path in (*PACKAGE.rglob("*.py"), *(ROOT / "tests").rglob("*.py"), *(ROOT / "tools").rglob("*.py")):
-        for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ClassDef):
-                found.setdefault(node.name, set()).update(members(node))
+    for node in nodes_in(PACKAGE, ROOT / "tests", ROOT / "tools"):
+        if isinstance(node, ast.ClassDef):
+            found.setdefault(node.name, set()).update(members(node))
     return found
 
 
@@ -56,12 +69,8 @@
 @cache
 def constants() -> set[str]:
     """Names in capitals that the sources or tests give a value."""
-    found: set[str] = set()
-    for path in (*PACKAGE.rglob("*.py"), *(ROOT / "tests").rglob("*.py")):
-        for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store):
-                found.add(node.id)
-    return found
+    found = nodes_in(PACKAGE, ROOT / "tests")
+    return {node.id for node in found if isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store)}
 
 
 def is_known(quoted: str) -> bool:
@@ -89,11 +98,11 @@
 def imports_between_packages() -> dict[str, set[str]]:
     """Return, by package or module of the top level, those that it imports."""
     found: dict[str, set[str]] = {}
-    for path in PACKAGE.rglob("*.py"):
+    for path, tree in parsed(PACKAGE).items():
         if "tests" in path.parts:
             continue
         importer = path.relative_to(PACKAGE).parts[0].removesuffix(".py")
-        for node in ast.walk(ast.parse(path.read_text())):
+        for node in ast.walk(tree):
             if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("elmthread."):
                 imported = (node.module or "").split(".")[1]
                 found.setdefault(importer, set()).update({imported} - {importer})
@@ -139,8 +148,7 @@
     """Return all strings of the sources, with an ellipsis for each value."""
     return [
         FORMAT.sub("…", node.value)
-        for path in PACKAGE.rglob("*.py")
-        for node in ast.walk(ast.parse(path.read_text()))
+        for node in nodes_in(PACKAGE)
         if isinstance(node, ast.Constant) and isinstance(node.value, str)
     ]
 
@@ -148,13 +156,12 @@
 def log_calls() -> set[str]:
     """Return the lines that the sources log at one of the LEVELS, with an ellipsis for each value."""
     found: set[str] = set()
-    for path in PACKAGE.rglob("*.py"):
-        for node in ast.walk(ast.parse(path.read_text())):
-            match node:
-                case ast.Call(
-                    func=ast.Attribute(value=ast.Name(id="log"), attr=level), args=[ast.Constant(value=str(text)), *_]
-                ) if level in LEVELS:
-                    found.add(FORMAT.sub("…", text))
+    for node in nodes_in(PACKAGE):
+        match node:
+            case ast.Call(
+                func=ast.Attribute(value=ast.Name(id="log"), attr=level), args=[ast.Constant(value=str(text)), *_]
+            ) if level in LEVELS:
+                found.add(FORMAT.sub("…", text))
     return found
 
 
