--- a/src/elmthread/placement/__init__.py
+++ b/src/elmthread/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Scheduling decisions: which waiting task goes to which machine, in what order, and what is preempted."""
+"""Scheduling decisions: placement of waiting tasks on machines, placement order, and preemption."""
--- a/src/elmthread/placement/attempts.py
+++ b/src/elmthread/placement/attempts.py
@@ -1,14 +1,15 @@
-"""Attempt numbers, unique over all terms."""
+"""Attempt numbers, unique across all leadership terms."""
 
-# Attempts that one leader may start; the fencing token is higher in each term.
+# Maximum number of attempts in one leadership term. The fencing token increases with each term, so the ranges of
+# attempt numbers of different terms do not overlap.
 ATTEMPTS_PER_TERM = 10_000_000
 
 
 class AttemptCounter:
-    """Counts the attempts of one term."""
+    """Issues the attempt numbers of one leadership term."""
 
     def __init__(self, fencing_token: int) -> None:
-        """Start right after `fencing_token` times ATTEMPTS_PER_TERM."""
+        """Start numbering after `fencing_token` times ATTEMPTS_PER_TERM."""
         self.last = fencing_token * ATTEMPTS_PER_TERM
 
     def next(self) -> int:
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -9,17 +9,17 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
 
-# Tolerance for sums of fractional cores, GPUs and gigabytes.
+# Tolerance for rounding errors in sums of fractional cores, GPUs and gigabytes.
 EPSILON = 1e-6
-# The cost of a price above the cheapest price per core, as seconds of image fetching for each multiple of the
-# cheapest, and the largest multiple that counts.
+# Penalty for a price per core above the cheapest, in equivalent seconds of image fetch time for each multiple of the
+# cheapest price by which it is exceeded, and the upper limit of that multiple.
 PRICE_WEIGHT_S = 10.0
 URGENT_PRICE_WEIGHT_S = 2.0
 MAX_PRICE_EXCESS = 5.0
 
 
 class Placement(NamedTuple):
-    """Tasks of one request that go to one machine."""
+    """A number of tasks of one request that are assigned to one machine."""
 
     request: TaskRequest
     capacity: FreeCapacity
@@ -27,7 +27,7 @@
 
 
 def is_allowed(request: TaskRequest, machine_type: str, zone: str, spot: bool) -> bool:
-    """Return whether the job allows machines of this type and zone, and spot instances if `spot`."""
+    """Return whether the constraints of the job allow a machine of this type and zone, spot or on-demand."""
     return (
         (request.machine_types is None or machine_type in request.machine_types)
         and (request.zone is None or zone == request.zone)
@@ -41,7 +41,7 @@
 ) -> int:
     """Return how many of the tasks fit the machine, the team's quota and the limit for its zone.
 
-    `spread_replicas`: count no more than the preferred number of the job's tasks on one machine.
+    With `spread_replicas`, the job's tasks on the machine are limited to `preferred_max_per_machine`.
     """
     if capacity.name in request.excluded_machines or not is_allowed(
         request, capacity.machine_type, capacity.zone, capacity.spot
@@ -68,7 +68,7 @@
 
 
 def assign_tasks(request: TaskRequest, capacity: FreeCapacity, remaining_quota: RemainingQuota, count: int) -> None:
-    """Move `count` tasks from the request to the machine, and count them against both and the quota."""
+    """Assign `count` tasks of the request to the machine, and deduct them from request, capacity and quota."""
     request.count -= count
     request.tasks_by_zone[capacity.zone] = request.tasks_by_zone.get(capacity.zone, 0) + count
     capacity.cpus -= count * request.cpus
@@ -84,7 +84,7 @@
 
 
 class ImageAccess(IntEnum):
-    """How a machine would get a job's image; several fetches share the rate of one machine."""
+    """How a machine would obtain a job's image; concurrent fetches share the machine's bandwidth."""
 
     CACHED = 0
     FETCHING = 1
@@ -92,7 +92,7 @@
     FETCH_SHARED = 3
 
 
-# The cost of each, in multiples of the time to fetch the image alone.
+# Cost of each kind of access, in multiples of the time to fetch the image alone.
 IMAGE_ACCESS_COST = {
     ImageAccess.CACHED: 0.0,
     ImageAccess.FETCHING: 0.5,
@@ -102,7 +102,7 @@
 
 
 def image_access(request: TaskRequest, capacity: FreeCapacity) -> ImageAccess:
-    """Return how the machine would get the job's image."""
+    """Return how the machine would obtain the job's image."""
     if request.image in capacity.cached_images:
         return ImageAccess.CACHED
     if request.image in capacity.images_being_fetched:
@@ -111,7 +111,7 @@
 
 
 def price_penalty_s(request: TaskRequest, price: float, cheapest: float) -> float:
-    """Return the cost of the price per core, in seconds of image fetching."""
+    """Return the penalty for the price per core, in equivalent seconds of image fetch time."""
     weight = URGENT_PRICE_WEIGHT_S if request.urgent else PRICE_WEIGHT_S
     return weight * min(price / cheapest - 1.0 if cheapest > 0 else 0.0, MAX_PRICE_EXCESS)
 
@@ -121,10 +121,10 @@
     capacities: Iterable[FreeCapacity],
     remaining_quotas: dict[str, RemainingQuota],
 ) -> list[Placement]:
-    """Assign tasks to machines in the order of `requests`; requests, capacities and quotas are used up.
+    """Assign tasks to machines in the order of `requests`, and update requests, capacities and quotas in place.
 
     Machines that differ only in free capacity, images and zone form one group, so that a job is compared with
-    a few groups and not with every machine. The tests compare the result with that of `tests/reference.py`,
+    a few groups instead of every machine. The tests compare the result with that of `tests/reference.py`,
     which considers every machine.
     """
     packer = _Packer(capacities)
@@ -146,14 +146,14 @@
 
 
 class _MachineGroup:
-    """Machines that differ only in free capacity, images and zone, the fullest first."""
+    """Machines that differ only in free capacity, images and zone, those with the fewest free cores first."""
 
     def __init__(self, capacities: list[FreeCapacity]) -> None:
         self.capacities = capacities
         self.is_sorted = False
 
     def sort(self) -> list[FreeCapacity]:
-        """Return the machines that have room, those with the fewest free cores first."""
+        """Sort the machines that have free cores, those with the fewest first, and return them."""
         if not self.is_sorted:
             self.capacities = [capacity for capacity in self.capacities if capacity.cpus > EPSILON]
             self.capacities.sort(key=_by_free_cpus)
@@ -161,7 +161,7 @@
         return self.capacities
 
     def by_image_access(self, request: TaskRequest) -> dict[ImageAccess, list[FreeCapacity]]:
-        """Return the machines by how they come by the image of the request."""
+        """Return the machines by how they would obtain the image of the request."""
         by_access: dict[ImageAccess, list[FreeCapacity]] = {}
         for capacity in self.capacities:
             by_access.setdefault(image_access(request, capacity), []).append(capacity)
@@ -173,7 +173,7 @@
 
 
 class _Packer:
-    """Fills groups of machines with the tasks of one request after the other."""
+    """Packs the tasks of one request after another onto groups of machines."""
 
     def __init__(self, capacities: Iterable[FreeCapacity]) -> None:
         self.placements: list[Placement] = []
@@ -212,10 +212,10 @@
                     return
 
     def _ranks(self, request: TaskRequest) -> list[tuple[bool, float, int, ImageAccess]]:
-        """Rank each group that the job allows, once for each way in which its machines get the image.
+        """Rank each group that the job allows, once for each kind of image access.
 
         A rank is (draining, cost in seconds, index of the group, image access); the smallest is filled first.
-        It is a plain tuple, as many are made in each round.
+        It is a plain tuple because many are created in each round.
         """
         ranks: list[tuple[bool, float, int, ImageAccess]] = []
         for index, group in enumerate(self._groups):
--- a/src/elmthread/placement/capacity.py
+++ b/src/elmthread/placement/capacity.py
@@ -1,4 +1,4 @@
-"""The free capacity of a machine, as bin packing and preemption see it."""
+"""The free capacity of a machine, as used by bin packing and preemption."""
 
 import math
 from collections.abc import Collection
@@ -8,13 +8,13 @@
 from elmthread.cluster.machine import Machine
 from elmthread.cluster.state import ClusterState
 
-# An allocation in one of these states may still wait for its image.
+# States in which an allocation may still be waiting for its image.
 _BEFORE_START = frozenset({AllocationState.PLANNED, AllocationState.COMMITTED, AllocationState.FETCHING})
 
 
 @dataclass(slots=True)
 class FreeCapacity:
-    """The free capacity of one machine, which is used up while tasks are placed."""
+    """The free capacity of one machine, reduced as tasks are placed."""
 
     name: str
     machine_type: str
@@ -23,12 +23,12 @@
     cpus: float
     gpus: float
     memory_gb: float
-    price_per_core: float = 0.0  # for an hour
+    price_per_core: float = 0.0  # per hour
     image_fetch_gb_per_s: float = 1.0
     cached_images: Collection[str] = frozenset()
-    # Images that the machine is fetching, or will fetch for tasks that are assigned to it.
+    # Images that the machine is fetching, or will fetch for tasks assigned to it.
     images_being_fetched: set[str] = field(default_factory=set)
-    record_bytes_left: float = math.inf  # bytes that its record in the store may still take
+    record_bytes_left: float = math.inf  # bytes by which its record in the store may still grow
     draining: bool = False
 
 
--- a/src/elmthread/placement/feasibility.py
+++ b/src/elmthread/placement/feasibility.py
@@ -1,4 +1,4 @@
-"""Feasibility: whether a job can ever run, by its team's quota and the machine types that the cloud offers."""
+"""Feasibility: whether a job can ever run, given its team's quota and the machine types that the cloud offers."""
 
 from collections.abc import Iterable
 
@@ -8,7 +8,7 @@
 
 
 def infeasibility(request: TaskRequest, team: Team, machine_types: Iterable[MachineType]) -> str | None:
-    """Return why the job can never run, or None; `request.count` of its tasks must be able to run at once."""
+    """Return the reason why `request.count` tasks of the job can never run at the same time, or None if they can."""
     if request.cpus * request.count > team.cpu_quota or request.gpus * request.count > team.gpu_quota:
         subject = "one task needs" if request.count == 1 else "its replicas together need"
         return f"{subject} more than the team's limit"
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -11,12 +11,12 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import RequestFactory
 
-# A stop command reaches a machine within this many heartbeat intervals.
+# Upper bound on the delivery time of a stop command, in heartbeat intervals.
 STOP_DELIVERY_HEARTBEATS = 1.5
 
 
 def has_room_elsewhere(cluster: ClusterState, requests: RequestFactory, allocation: Allocation) -> bool:
-    """Return whether another machine has room for the task, once its own has released it."""
+    """Return whether another machine would have room for the task after its release from the current one."""
     request = requests.request_for_one_task(allocation.job)
     zone = allocation.machine.zone
     if zone in request.tasks_by_zone:
@@ -32,7 +32,7 @@
 
 
 class SpotInterruptions:
-    """Stops tasks on machines for which an interruption notice has come."""
+    """Stops tasks on machines that have received an interruption notice."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         run_times: RunTimeModel,
         heartbeat_interval: timedelta,
     ) -> None:
-        """`heartbeat_interval` bounds how soon a command reaches a machine."""
+        """Derive the maximum delivery delay of a stop command from `heartbeat_interval`."""
         self._cluster = cluster
         self._requests = requests
         self._run_times = run_times
         self._max_stop_delay = heartbeat_interval * STOP_DELIVERY_HEARTBEATS
 
     def stop_tasks(self, now: timedelta) -> None:
-        """Stop the tasks that can't end before their machine is reclaimed."""
+        """Stop the tasks that are not expected to end before their machine is reclaimed."""
         for machine in self._cluster.up_machines():
             if machine.interruption_at is None:
                 continue
@@ -61,7 +61,7 @@
                 allocation.stop_mode = StopMode.CHECKPOINT
 
     def _should_move(self, allocation: Allocation, time_left: timedelta) -> bool:
-        """Return whether to move a replica now; it runs on until another machine has room or little time is left."""
+        """Return whether to stop a replica now: another machine has room, or the time left is too short to wait."""
         stop_time = self._max_stop_delay + seconds(allocation.job.spec.checkpoint_duration_s)
         if allocation.started_at is None or time_left < stop_time:
             return True
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -1,8 +1,8 @@
 """The order in which waiting jobs are placed.
 
-The first task of each starving job comes first. Then come urgent jobs by priority and deadline, jobs within
-their team's guarantee, and the other jobs by deadline. Jobs that would only make others late are postponed:
-they come last.
+One task of each starving job comes first. Then come urgent jobs by priority and deadline, jobs within their
+team's guarantee, and other jobs by deadline. Jobs that would only cause others to miss their deadlines are
+postponed and come last.
 """
 
 from datetime import timedelta
@@ -18,21 +18,21 @@
 from elmthread.placement.quotas import TeamQuotas
 from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
 
-# How often guarantees and postponed jobs are determined; also when a job is submitted or ends.
+# Interval at which guaranteed and postponed jobs are recomputed, unless a job is submitted or ends earlier.
 REORDER_INTERVAL = seconds(1)
-# A job that has waited for this long without a task begun has one task placed before all others. A postponed
-# job of this age is placed among the others again, within a share of the cores for all such jobs.
+# A job that has waited for longer than this without starting a task gets one task placed before all others. Tasks of
+# postponed jobs of this age are placed with those of on-time jobs, up to a share of the cores for all such jobs.
 STARVATION_AGE = seconds(150)
 POSTPONED_CORE_SHARE = 0.1
 
 
 def is_starving(job: Job, now: timedelta) -> bool:
-    """Return whether the job has waited for long and no task of it is done."""
+    """Return whether the job has waited for longer than STARVATION_AGE without completing a task."""
     return not job.done_count and now - job.submitted_at > STARVATION_AGE
 
 
 class _Backlog(msgspec.Struct):
-    """The remaining work of all teams: deferrable jobs, urgent core-seconds, and cores of services."""
+    """The remaining work by team: deferrable jobs, core-seconds of urgent jobs, and cores of services."""
 
     deferrable: dict[str, list[JobWork]] = msgspec.field(default_factory=dict)
     urgent_core_seconds: dict[str, float] = msgspec.field(default_factory=dict)
@@ -40,12 +40,12 @@
 
 
 class JobOrder:
-    """Turns the waiting tasks of all jobs into requests, in the order in which they are placed."""
+    """Creates requests for the waiting tasks of all jobs, in placement order."""
 
     def __init__(
         self, context: TermContext, quotas: TeamQuotas, requests: RequestFactory, run_times: RunTimeModel
     ) -> None:
-        """`run_times` says how long tasks run."""
+        """Estimate how long tasks run by `run_times`."""
         self._cluster = context.cluster
         self._events = context.events
         self._quotas = quotas
@@ -56,7 +56,7 @@
         self._judged_at: timedelta | None = None
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
-        """Return the waiting requests, in the order in which they are placed."""
+        """Return the waiting requests in placement order."""
         if self._events.take_jobs_changed() or self._judged_at is None or now - self._judged_at >= REORDER_INTERVAL:
             self._judged_at = now
             self._guaranteed = self._quotas.guaranteed_jobs()
@@ -72,7 +72,7 @@
             request = self._requests.make(job, sort_key, count)
             requests.append(request)
             if is_starving(job, now) and not job.allocations:
-                # Every job makes some progress, whatever the load.
+                # Every job makes some progress under any load.
                 first_task = SortKey(PlacementClass.FIRST_TASK, job.priority_rank, sort_key.due_s)
                 requests.append(request.split_off(1, first_task))
             if sort_key.placement_class is PlacementClass.POSTPONED and now - job.submitted_at > STARVATION_AGE:
@@ -93,7 +93,7 @@
         return SortKey(PlacementClass.ON_TIME, 0, due_s)
 
     def _share_of_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
-        """Split off tasks of jobs postponed for long, which are placed among the others."""
+        """Split off tasks of the postponed requests within POSTPONED_CORE_SHARE, to be placed with on-time jobs."""
         requests = []
         cores = POSTPONED_CORE_SHARE * sum(
             machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable
@@ -107,10 +107,10 @@
         return requests
 
     def _jobs_to_postpone(self, now: timedelta) -> set[str]:
-        """Choose the deferrable jobs to place last, so that most of the others end in time.
+        """Choose the deferrable jobs to place last, so that as many others as possible meet their deadlines.
 
         Jobs are chosen for each team within its quota, and then for all teams within the cores that are up or
-        booting. Urgent work is counted as done first.
+        booting. Urgent work is assumed to run first.
         """
         backlog = self._backlog(now)
         postponed: set[str] = set()
@@ -126,19 +126,19 @@
         return postponed
 
     def _backlog(self, now: timedelta) -> _Backlog:
-        """Sum up the remaining work, and set the deadline by which each job is ordered."""
+        """Sum up the remaining work, and update the target deadline by which each job is ordered."""
         backlog = _Backlog()
         for job in self._cluster.open_jobs.values():
             team = self._quotas.teams.get(job.spec.team)
             if team is None:
                 continue
             if job.is_service:
-                # Replicas run for ever, so other jobs can't use their cores.
+                # Replicas run indefinitely, so other jobs can't use their cores.
                 cpus = job.task_count * job.spec.cpus
                 backlog.service_cpus[team.name] = backlog.service_cpus.get(team.name, 0.0) + cpus
                 continue
             run_time_s = self._run_times.expected(job).total_seconds()
-            # Running tasks have about half of their work left.
+            # On average, about half of the work of a running task is left.
             core_seconds = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * run_time_s
             min_duration_s = max(run_time_s, core_seconds / team.cpu_quota) if job.pending_tasks else 0.0
             if (job.submitted_at + job.deadline - now).total_seconds() < min_duration_s:
--- a/src/elmthread/placement/moore_hodgson.py
+++ b/src/elmthread/placement/moore_hodgson.py
@@ -1,4 +1,4 @@
-"""Moore and Hodgson's rule: which jobs to postpone so that the fewest are late."""
+"""The Moore-Hodgson algorithm: selects the jobs to postpone so that the fewest jobs are late."""
 
 from collections.abc import Sequence
 
@@ -11,14 +11,14 @@
     job_id: str
     due_s: float
     core_seconds: float
-    min_duration_s: float  # the soonest that it can end
+    min_duration_s: float  # the shortest time in which it can end
 
 
 def jobs_to_postpone(jobs: Sequence[JobWork], cores: float, core_seconds_ahead: float = 0.0) -> set[str]:
-    """Return the jobs to postpone so that the most others end in time, on `cores` shared by all.
+    """Return the jobs to postpone so that as many others as possible end on time, on `cores` shared by all.
 
     Jobs are scheduled by deadline; whenever one would end late, the scheduled job with the most work is
-    postponed. This rule leaves the fewest jobs late on one server.
+    postponed. On a single server, this minimizes the number of late jobs.
     """
     postponed: set[str] = set()
     scheduled: list[JobWork] = []
--- a/src/elmthread/placement/preemption.py
+++ b/src/elmthread/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: stops deferrable tasks, which are requeued, where urgent tasks find no room."""
+"""Preemption: stops and requeues deferrable tasks where urgent tasks find no room."""
 
 import logging
 from datetime import timedelta
@@ -17,20 +17,20 @@
 
 # Choosing victims considers all running tasks, so it is not done in every round.
 PREEMPTION_INTERVAL = seconds(0.5)
-# Requests for which victims are chosen in one round, to bound its work.
+# Maximum number of requests for which victims are chosen in one round, to bound its work.
 MAX_PREEMPTING_REQUESTS = 8
 
 
 class Preemption:
-    """Chooses the tasks that urgent requests preempt, and marks them to be stopped."""
+    """Selects the tasks that urgent requests preempt, and marks them to be stopped."""
 
     def __init__(self, cluster: ClusterState) -> None:
-        """Allow the first preemption at once."""
+        """Allow the first preemption immediately."""
         self._cluster = cluster
         self._last_at = ZERO
 
     def run(self, waiting: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], now: timedelta) -> None:
-        """Free room for the urgent ones of the waiting requests, at most once in PREEMPTION_INTERVAL."""
+        """Preempt tasks for the urgent requests in `waiting`, at most once per PREEMPTION_INTERVAL."""
         if now - self._last_at < PREEMPTION_INTERVAL:
             return
         urgent = [request for request in waiting if request.urgent and request.count > 0]
@@ -55,7 +55,7 @@
     def _candidates(
         self, capacity: FreeCapacity, remaining_quotas: dict[str, RemainingQuota], now: timedelta
     ) -> list[PreemptionCandidate]:
-        """Return the tasks that may be stopped on the machine; count those being stopped as free capacity."""
+        """Return the preemptible tasks on the machine, and add tasks that are being stopped to capacity and quotas."""
         candidates = []
         for allocation in self._cluster.machines[capacity.name].allocations.values():
             spec = allocation.job.spec
@@ -82,7 +82,7 @@
 
 
 def _is_preemptible(allocation: Allocation, now: timedelta) -> bool:
-    """Return whether urgent work may stop the task; the only task of a starving job may not be stopped."""
+    """Return whether urgent work may preempt the task; the only task of a starving job may not be preempted."""
     job = allocation.job
     return (
         not job.urgent
@@ -92,7 +92,7 @@
 
 
 def _loss(allocation: Allocation, now: timedelta) -> timedelta:
-    """Return the run time lost by stopping the task: that of the checkpoint, or all since its start."""
+    """Return the run time lost by stopping the task: the duration of its checkpoint, or all since its start."""
     if allocation.started_at is None:
         return ZERO
     if allocation.job.spec.makes_checkpoints:
--- a/src/elmthread/placement/quotas.py
+++ b/src/elmthread/placement/quotas.py
@@ -1,4 +1,4 @@
-"""Team quotas: what a team may still use, and which of its jobs lie within its guarantee."""
+"""Team quotas: what a team may still use, and which of its jobs are within its guarantee."""
 
 import math
 from collections.abc import Mapping
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class RemainingQuota:
-    """Cores and GPUs that a team may still use."""
+    """The cores and GPUs that a team may still use."""
 
     cpus: float = math.inf
     gpus: float = math.inf
 
     def hold_back(self) -> None:
-        """Reserve what is left for the team's urgent task, which smaller tasks would otherwise take each time."""
+        """Reserve the remaining cores for the team's urgent task; smaller tasks would otherwise take them each time."""
         self.cpus = 0.0
 
 
 class TeamQuotas:
-    """The quotas and guarantees of all teams, less what their tasks hold now."""
+    """The quotas of all teams, minus their current usage, and their guarantees."""
 
     def __init__(self, cluster: ClusterState, teams: Mapping[str, Team]) -> None:
-        """`cluster` counts what each team uses; `teams` are by name."""
+        """Take the usage of each team from `cluster`; `teams` are by name."""
         self.teams = teams
         self._cluster = cluster
 
@@ -33,7 +33,7 @@
         return self.teams[team].cpu_quota if team in self.teams else math.inf
 
     def remaining(self) -> dict[str, RemainingQuota]:
-        """Return what each team may still use, as new objects that the caller may use up."""
+        """Return what each team may still use, as new objects that the caller may modify."""
         return {
             name: RemainingQuota(
                 team.cpu_quota - self._cluster.cpus_by_team.get(name, 0.0),
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -1,4 +1,4 @@
-"""Requests for room: the waiting tasks of one job, what they need, and their place in the order."""
+"""Placement requests: the waiting tasks of one job, their requirements, and their position in the placement order."""
 
 import math
 from collections import Counter
@@ -18,7 +18,7 @@
 
 
 class PlacementClass(IntEnum):
-    """The classes of requests, in the order in which they are placed."""
+    """The classes of requests, in placement order."""
 
     FIRST_TASK = 0
     URGENT = 1
@@ -28,7 +28,7 @@
 
 
 class SortKey(NamedTuple):
-    """The place of a request in the order: by class, then priority rank, then deadline."""
+    """The position of a request in the placement order: by class, then priority rank, then deadline."""
 
     placement_class: PlacementClass
     priority_rank: int = 0
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class TaskRequest:
-    """Tasks of one job that wait for room, all alike; used up while they are placed."""
+    """Identical waiting tasks of one job; `count` decreases as they are placed."""
 
     job_id: str
     team: str
@@ -52,37 +52,37 @@
     zone: str | None = None
     spot: bool = True
     one_zone: bool = False
-    # Tasks of the job that may be on machines now, by zone.
+    # Tasks of the job that may currently be on machines, by zone.
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    max_per_zone: float = math.inf  # for a spread job: most tasks in one zone
-    # Machines on which the job has failed, where it is not placed.
+    max_per_zone: float = math.inf  # for a spread job: maximum number of tasks in one zone
+    # Machines on which the job has failed; its tasks are not placed there.
     excluded_machines: Collection[str] = frozenset()
     urgent: bool = False
     priority_rank: int = 0
-    # Bytes that its tasks take in a machine's record: once for the job, and for each task.
+    # Bytes that the tasks need in a machine's record: once for the job, and for each task.
     record_bytes_per_job: int = 0
     record_bytes_per_task: int = 0
-    # Replicas that are placed on one machine as long as others have room, so that the loss of a machine does
-    # not stop a whole service.
+    # Maximum number of replicas on one machine while other machines have room, so that the loss of a machine
+    # does not stop a whole service.
     preferred_max_per_machine: float = math.inf
-    # Tasks of the job that may be on machines now, by machine; only if `preferred_max_per_machine` is finite.
+    # Tasks of the job that may currently be on machines, by machine; only if `preferred_max_per_machine` is finite.
     tasks_by_machine: dict[str, int] = field(default_factory=dict)
 
     def split_off(self, count: int, sort_key: SortKey) -> Self:
-        """Move `count` of the tasks to another place in the order; the counts by zone stay shared."""
+        """Move `count` of the tasks to a new request with that sort key; both share the counts by zone and machine."""
         self.count -= count
         return replace(self, sort_key=sort_key, count=count)
 
 
 class RequestFactory:
-    """Makes requests from jobs."""
+    """Creates requests for tasks of jobs."""
 
     def __init__(self, attempts: AttemptCounter) -> None:
-        """Make requests for the next numbers of `attempts`, whose digits take bytes in a machine's record."""
+        """Estimate the record bytes of a task by the next number of `attempts`, whose digits are stored."""
         self._attempts = attempts
 
     def request_for_one_task(self, job: Job) -> TaskRequest:
-        """Return a request for one task of the job, whether any waits or not."""
+        """Return a request for one task of the job, even if none is waiting."""
         return self.make(job, SortKey(PlacementClass.ON_TIME), 1)
 
     def make(self, job: Job, sort_key: SortKey, count: int) -> TaskRequest:
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduling round: allocates waiting tasks, and stops interrupted and preempted ones."""
+"""The scheduling round: allocates waiting tasks, and stops interrupted and preempted tasks."""
 
 from collections.abc import Mapping
 from datetime import timedelta
@@ -23,21 +23,21 @@
 
 
 class AssignmentSink(Protocol):
-    """Makes the assignments of a machine durable."""
+    """Persists the assignments of machines."""
 
     def assign(self, machine: Machine) -> None:
         """Write the machine's new allocations; their tasks are started once the write is durable."""
 
 
 class SchedulerSettings(msgspec.Struct, frozen=True):
-    """The platform's settings that the scheduler uses."""
+    """The platform settings that the scheduler uses."""
 
     teams: Mapping[str, Team]
     heartbeat_interval: timedelta
 
 
 class Scheduler:
-    """Places waiting tasks on machines, and gives the autoscaler the waiting requests and the quotas."""
+    """Places waiting tasks on machines, and provides the waiting requests and the quotas to the autoscaler."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         assignments: AssignmentSink,
         run_times: RunTimeModel,
     ) -> None:
-        """Schedule for one term: `assignments` makes placements durable, `run_times` estimates how long tasks run."""
+        """Schedule for one term: `assignments` persists placements, `run_times` estimates how long tasks run."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._attempts = attempts
@@ -59,7 +59,7 @@
         self._preemption = Preemption(context.cluster)
 
     def run_round(self) -> None:
-        """Stop tasks on interrupted machines, place waiting tasks, and preempt for urgent ones left without room."""
+        """Stop tasks on interrupted machines, place waiting tasks, and preempt for urgent tasks that found no room."""
         now = self._clock()
         self._interruptions.stop_tasks(now)
         requests = self.requests(now)
@@ -96,15 +96,15 @@
         return tasks_left <= 0
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
-        """Return the waiting requests, in the order in which they are placed."""
+        """Return the waiting requests in placement order."""
         return self._job_order.requests(now)
 
     def request_for_one_task(self, job: Job) -> TaskRequest:
-        """Return a request for one task of the job, whether any waits or not."""
+        """Return a request for one task of the job, even if none is waiting."""
         return self._requests.request_for_one_task(job)
 
     def remaining_quotas(self) -> dict[str, RemainingQuota]:
-        """Return what each team may still use, as new objects that the caller may use up."""
+        """Return what each team may still use, as new objects that the caller may modify."""
         return self._quotas.remaining()
 
     def cpu_quota(self, team: str) -> float:
@@ -112,5 +112,5 @@
         return self._quotas.cpu_quota(team)
 
     def has_room_elsewhere(self, allocation: Allocation) -> bool:
-        """Return whether another machine has room for the task, once its own has released it."""
+        """Return whether another machine would have room for the task after its release from the current one."""
         return has_room_elsewhere(self._cluster, self._requests, allocation)
--- a/src/elmthread/placement/tests/clusters.py
+++ b/src/elmthread/placement/tests/clusters.py
@@ -1,4 +1,4 @@
-"""Requests and machines for the tests of placement."""
+"""Test data for placement: requests and machines."""
 
 import math
 import random
@@ -25,7 +25,7 @@
 def random_cluster(
     rng: random.Random, machines: int, jobs: int
 ) -> tuple[list[TaskRequest], list[FreeCapacity], dict[str, RemainingQuota]]:
-    """Return requests, machines of three types in some zones, some full and some with images, and quotas."""
+    """Return random requests, machines of three types in three zones (some full, some with images), and quotas."""
     kinds = [("s", 4.0, 0.025, 0.2), ("m", 8.0, 0.031, 0.5), ("l", 64.0, 0.04, 0.6)]
     capacities = []
     for number in range(machines):
--- a/src/elmthread/placement/tests/reference.py
+++ b/src/elmthread/placement/tests/reference.py
@@ -35,7 +35,7 @@
 def place(
     requests: list[TaskRequest], capacities: list[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[Placement]:
-    """Assign tasks to machines in the order of `requests`; requests, capacities and quotas are used up."""
+    """Assign tasks to machines in the order of `requests`, and update requests, capacities and quotas in place."""
     placements: list[Placement] = []
     cheapest = min((capacity.price_per_core for capacity in capacities), default=0.0)
     open_capacities = [capacity for capacity in capacities if capacity.cpus > EPSILON]
@@ -47,7 +47,7 @@
             if request.urgent:
                 remaining_quota.hold_back()
             continue
-        # Replicas are spread over machines as long as there is room for that, and then go wherever there is any.
+        # Replicas are first spread over machines; the remaining ones are placed wherever there is room.
         for spread_replicas in (True, False):
             choice = [
                 capacity
@@ -73,10 +73,10 @@
     candidates: list[PreemptionCandidate],
     remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
-    """Choose the tasks to stop so that `request` gets room: those that lose least for the room they free.
+    """Choose the tasks to preempt for `request`: those with the least loss for the capacity that they free.
 
-    `capacities` counts room that is already being freed. Each machine is filled as far as its
-    candidates allow; machines where the loss for each task gained is least come first.
+    `capacities` includes capacity that is already being freed. Each task is placed on the machine with the
+    least loss for the capacity of one task.
     """
     by_machine: dict[str, list[PreemptionCandidate]] = {}
     for candidate in candidates:
@@ -102,7 +102,7 @@
     by_machine: dict[str, list[PreemptionCandidate]],
     remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
-    """Free quota where the team is at its limit, by stopping its own tasks on any machine."""
+    """Free quota of a team that is at its limit by preempting its own tasks on any machine."""
     chosen: list[PreemptionCandidate] = []
     own = sorted(
         (candidate for held in by_machine.values() for candidate in held if candidate.team == request.team),
@@ -135,7 +135,7 @@
     capacities: dict[str, FreeCapacity],
     by_machine: dict[str, list[PreemptionCandidate]],
 ) -> tuple[str, list[PreemptionCandidate]] | None:
-    """Return the machine where one task's room costs the least loss, and the tasks to stop there."""
+    """Return the machine with the least loss for the capacity of one task, and the tasks to preempt there."""
     best: tuple[float, str, list[PreemptionCandidate]] | None = None
     for name, held in by_machine.items():
         capacity = capacities.get(name)
--- a/src/elmthread/placement/tests/test_bin_packing.py
+++ b/src/elmthread/placement/tests/test_bin_packing.py
@@ -1,4 +1,4 @@
-"""Bin packing against plain bounds, checked one by one, and the reference."""
+"""Tests of bin packing: its bounds, checked one by one, and agreement with the reference model."""
 
 import copy
 import math
@@ -85,7 +85,7 @@
             assert len(set(zones)) <= 1
         if request.max_per_zone < math.inf:
             assert all(zones.count(zone) <= request.max_per_zone for zone in zones)
-    # Nothing that waits could still be put anywhere, unless room is kept for urgent work.
+    # No waiting task fits on any machine, unless quota is reserved for urgent work.
     kept = any(request.urgent and request.count for request in jobs)
     for request in jobs:
         if request.count and not kept:
@@ -101,7 +101,7 @@
 
 
 def test_quota_is_held_back_for_urgent_work() -> None:
-    """Otherwise cores that come free one by one go to one-core tasks, and a two-core urgent one starves."""
+    """Otherwise, cores that become free one by one go to one-core tasks, and an urgent two-core task starves."""
     capacity = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)
     remaining_quotas = {"t": RemainingQuota(1.0)}
     urgent, other = make_request("u", 1, 2.0, urgent=True), make_request("o", 5, 1.0)
@@ -118,7 +118,7 @@
         def preferences(placements: list[Placement]) -> dict[str, list[tuple[object, ...]]]:
             by_job: dict[str, list[tuple[object, ...]]] = {}
             for request, capacity, count in placements:
-                # Machines equally good but for their zone may come in any order.
+                # Machines that differ only in zone may be chosen in any order.
                 kind = reference.preference(request, start[capacity.name], cheapest)[:2]  # noqa: B023
                 by_job.setdefault(request.job_id, []).extend([kind] * count)
             return {job: sorted(kinds) for job, kinds in by_job.items()}
@@ -131,7 +131,7 @@
 
 
 def test_the_work_of_a_round_does_not_grow_with_machines_times_jobs() -> None:
-    """Counted in lookups of a machine's images: each job looks at about the machines that it takes, not at all."""
+    """Counted in lookups of a machine's images: a job examines about as many machines as it uses, not all of them."""
     lookups = 0
     requests, capacities, remaining_quotas = random_cluster(random.Random(1), 600, 300)
 
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -1,4 +1,4 @@
-"""The order in which jobs are placed, against a literal check of its rules."""
+"""Tests of the placement order of jobs, with a direct check of each rule."""
 
 import random
 from collections import Counter
@@ -88,7 +88,7 @@
         for request in requests:
             assert request.count >= 0
             given[request.job_id] += request.count
-        # Every waiting task is in the order once.
+        # Every waiting task is requested exactly once.
         assert given == waiting
         places: dict[str, list[int]] = {}
         for place, request in enumerate(requests):
@@ -112,9 +112,9 @@
                     other = cluster.jobs[request.job_id]
                     old = NOW - other.submitted_at > STARVATION_AGE and not other.allocations and not other.done_count
                     assert not request.count or other.urgent or (old and request.count == 1)
-        # Otherwise: urgent by rank and deadline, then what fits a guarantee, then by deadline.
+        # All others: urgent jobs by rank and deadline, then jobs within a guarantee, then the rest by deadline.
         assert [request.sort_key for request in requests] == sorted(request.sort_key for request in requests)
-        # Postponed jobs that are placed among the others share a part of the cores.
+        # Postponed jobs that are placed with on-time jobs stay within their share of the cores.
         cores = sum(machine.cpus for machine in cluster.machines.values())
         postponed = {
             request.job_id for request in requests if request.sort_key.placement_class is PlacementClass.POSTPONED
--- a/src/elmthread/placement/tests/test_moore_hodgson.py
+++ b/src/elmthread/placement/tests/test_moore_hodgson.py
@@ -1,4 +1,4 @@
-"""Moore and Hodgson's rule against brute force over small cases."""
+"""Tests of the Moore-Hodgson algorithm against brute force on small inputs."""
 
 import itertools
 
--- a/src/elmthread/placement/tests/test_victims.py
+++ b/src/elmthread/placement/tests/test_victims.py
@@ -1,4 +1,4 @@
-"""Preemption against plain bounds and the reference."""
+"""Tests of preemption: its bounds, and agreement with the reference model."""
 
 import random
 from datetime import timedelta
@@ -36,7 +36,7 @@
     else:
         freed = free + sum(candidate.cpus for candidate in chosen)
         assert freed >= need
-        # The last one chosen was still needed.
+        # The last victim was necessary.
         assert freed - chosen[-1].cpus < need
 
 
@@ -66,7 +66,7 @@
 
 
 def test_only_work_of_lower_priority_is_preempted() -> None:
-    """A service of low priority is urgent, but does not preempt tasks of the same or a higher priority."""
+    """A low-priority service is urgent, but does not preempt tasks of the same or a higher priority."""
     for rank, others in ((0, [1, 2, 3]), (2, [3]), (3, [])):
         held = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
         capacity = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, memory_gb=9.0)
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -1,4 +1,4 @@
-"""Choice of the tasks that urgent requests preempt. Pure functions over candidates and free capacity."""
+"""Selection of the tasks that urgent requests preempt. Pure functions over candidates and free capacity."""
 
 import heapq
 from datetime import timedelta
@@ -13,7 +13,7 @@
 
 
 class PreemptionCandidate(msgspec.Struct):
-    """A running task that may be stopped, and the run time that stopping it loses."""
+    """A running task that may be preempted, and the run time lost by stopping it."""
 
     attempt: int
     machine: str
@@ -31,10 +31,10 @@
     candidates: dict[str, list[PreemptionCandidate]],
     remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
-    """Choose the tasks to stop so that `request` gets room: those that lose least for the room they free.
+    """Choose the tasks to preempt for `request`: those with the least loss for the capacity that they free.
 
-    `capacities` counts room that is already being freed; `candidates` are by machine, and those
-    that are chosen are removed. Machines where the loss for one task's room is least come first.
+    `capacities` includes capacity that is already being freed; `candidates` are by machine, and chosen ones
+    are removed. Machines with the least loss for the capacity of one task come first.
     """
     selection = _VictimSelection(request, capacities, candidates, remaining_quota)
     selection.stop_own_team()
@@ -46,7 +46,7 @@
 def least_loss_victims(
     request: TaskRequest, capacity: FreeCapacity, candidates: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
-    """Return the candidates with the least loss that free enough capacity for one task; None if all do not."""
+    """Return the candidates with the least loss that free capacity for one task, or None if all together do not."""
     cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
     victims: list[PreemptionCandidate] = []
     for candidate in sorted(
@@ -69,7 +69,7 @@
 
 
 class _VictimSelection:
-    """The choice for one request."""
+    """The selection of victims for one request."""
 
     def __init__(
         self,
@@ -83,11 +83,11 @@
         self._capacities = capacities
         self._candidates = candidates
         self._remaining_quota = remaining_quota
-        # A heap of machines by the weighted loss for one task's room; equal ones in the order of `candidates`.
+        # Heap of machines by the loss, weighted by cores, for one task's capacity; ties in the order of `candidates`.
         self._machines_by_loss: list[tuple[float, int, str]] = []
 
     def stop_own_team(self) -> None:
-        """Free quota where the team is at its limit, by stopping its own tasks on any machine."""
+        """Free quota of a team that is at its limit by preempting its own tasks on any machine."""
         request, quota = self._request, self._remaining_quota
         if quota.cpus + EPSILON >= request.count * request.cpus:
             return
@@ -108,9 +108,9 @@
             place([request], self._capacities.values(), {request.team: quota})
 
     def stop_by_machine(self) -> None:
-        """Free room for one task after the other on the machine where that loses least.
+        """Free capacity for one task after another, each on the machine with the least loss.
 
-        The loss of each machine is computed once, and again only after it was chosen, as no other one changes.
+        The loss of a machine is computed again only after the machine was chosen, as all others stay the same.
         """
         request, quota = self._request, self._remaining_quota
         for order, name in enumerate(self._candidates):
