--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
 """The autoscaling round, which scales the machines by two pressures (see docs/design.md).
 
 The urgent pressure is the share of urgent cores, which is kept in a band. The deferrable pressure is the
-number of groups of tasks that would miss their deadline, which is brought to 0 by the fewest machines.
+number of groups of tasks that would miss their deadline, which is reduced to 0 with the fewest machines.
 """
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
@@ -29,7 +29,7 @@
         run_times: RunTimeModel,
         operators: Operators,
     ) -> None:
-        """`machines` executes the decisions; `scheduler` has the waiting requests and the quotas."""
+        """Execute decisions through `machines`, and take the waiting requests and the quotas from `scheduler`."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._catalog = machines.catalog
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -1,4 +1,4 @@
-"""The collaborators that the parts of the autoscaler share, and their common view of one round."""
+"""The dependencies that the parts of the autoscaler share, and their snapshot of the cluster for one round."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 
 class ScalingContext(msgspec.Struct, frozen=True):
-    """The collaborators of the autoscaler."""
+    """The dependencies of the autoscaler."""
 
     cluster: ClusterState
     machines: MachineControl
@@ -25,10 +25,10 @@
 
 
 class RoundView(msgspec.Struct, frozen=True):
-    """The input of one round, taken at its beginning."""
+    """The input of one round, captured at its start."""
 
     now: timedelta
-    # The waiting requests, in the order in which they are placed, and what each team may still use.
+    # The waiting requests in placement order, and what each team may still use.
     requests: list[TaskRequest]
     remaining_quotas: Mapping[str, RemainingQuota]
     # Machines that accept tasks now or soon, by kind.
--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -7,17 +7,18 @@
 
 
 class DeferrablePool:
-    """Scales the pool in."""
+    """Scales in the deferrable pool."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """Share the collaborators of the autoscaler."""
+        """Use the dependencies of the autoscaler."""
         self._cluster = context.cluster
         self._machines = context.machines
 
     def scale_in(self, view: RoundView) -> None:
-        """Delete all machines of an idle pool, and the machines of a busy one that stay empty.
+        """Delete all machines of an idle pool, and the machines of a busy pool that stay empty.
 
-        The latter is an exception to the design, as one long task would otherwise keep the whole pool.
+        Deleting machines of a busy pool deviates from the design; otherwise, a single long task would keep the
+        whole pool running.
         """
         pool = [m for m in self._cluster.machines.values() if m.in_deferrable_pool and m.state is MachineState.UP]
         is_idle = all(request.urgent for request in view.requests) and all(not m.allocations for m in pool)
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -1,4 +1,4 @@
-"""The deferrable pressure: scale out for groups of deferrable tasks that would be late."""
+"""The deferrable pressure: scales out for groups of deferrable tasks that would miss their deadline."""
 
 import logging
 import math
@@ -21,18 +21,18 @@
 
 log = logging.getLogger(__name__)
 
-# Deadlines within this of one another form one group.
+# Tasks whose deadlines are in the same interval of this length form one group.
 GROUP_SPAN = seconds(20)
-# A group is to end within this part of the time to its deadline, as estimates are rough and starts take time.
+# A group should end within this fraction of its time to the deadline, as estimates are rough and starts take time.
 DEADLINE_MARGIN = 0.6
-# Work that can't meet its deadline any more is to end within this many times its shortest possible time.
+# Work that can no longer meet its deadline should end within this many times its shortest possible time.
 UNSAVABLE_DEADLINE_FACTOR = 1.5
 # A machine without a heartbeat within this many times its boot time is not counted as supply.
 MAX_BOOT_TIME_FACTOR = 2
 
 
 class _Needs(NamedTuple):
-    """The needs of a task that decide which machines could run it, except for memory."""
+    """The requirements of a task that determine which machines can run it, except for memory."""
 
     machine_types: frozenset[str] | None
     zone: str | None
@@ -42,7 +42,7 @@
 
 
 class _MachineShare(msgspec.Struct):
-    """Machines (by name) that could run the same requests, and the urgent requests that go first there."""
+    """Names of machines that can run the same requests, those requests, and the urgent ones placed ahead of them."""
 
     machines: set[str]
     waiting: list[TaskRequest] = msgspec.field(default_factory=list)
@@ -50,10 +50,10 @@
 
 
 class DeferrableScaling:
-    """Requests the fewest instances that leave no savable group late."""
+    """Requests the fewest instances with which all groups that can still meet their deadline do so."""
 
     def __init__(self, context: ScalingContext, run_times: RunTimeModel) -> None:
-        """`run_times` says how long tasks run."""
+        """Estimate how long tasks run by `run_times`."""
         self._cluster = context.cluster
         self._scheduler = context.scheduler
         self._offers = context.offers
@@ -61,17 +61,17 @@
         self._run_times = run_times
 
     def run(self, view: RoundView) -> None:
-        """Check the groups on each set of machines, and request the missing instances."""
+        """Check the deadline groups on each set of machines, and request missing instances."""
         running = RunningWork(self._cluster, self._run_times, view.now)
         for share in self._machine_shares(view):
             self._scale_out_for(share, view, running)
 
     def _machine_shares(self, view: RoundView) -> list[_MachineShare]:
-        """Divide the waiting requests by the machines that could run them.
+        """Partition the waiting requests by the machines that can run them.
 
-        Cores count only for work that may use them, so requests that could run on the same machines are
-        checked together. Otherwise a group that can't start at all would seem to be on time because of cores
-        of the wrong kind, or of machines too small for a task.
+        Cores count only for work that may use them, so requests that can run on the same machines are checked
+        together. Otherwise, a group that can't start at all would appear to be on time because of cores of the
+        wrong kind, or of machines too small for a task.
         """
         by_needs: dict[_Needs, list[TaskRequest]] = {}
         for request in view.requests:
@@ -82,8 +82,8 @@
         for alike in by_needs.values():
             machines = self._suitable_machines(alike[0], view)
             machine_names = set(machines)
-            # UrgentBand scales out for urgent requests, unless no machine could run them at all; they go ahead of
-            # the deferrable ones. ServiceScaling scales out for replicas, which have no deadline.
+            # UrgentBand scales out for urgent requests, unless no machine can run them at all; they are placed
+            # ahead of the deferrable ones. ServiceScaling scales out for replicas, which have no deadline.
             waiting = [
                 request
                 for request in alike
@@ -100,7 +100,7 @@
         return list(shares.values())
 
     def _suitable_machines(self, request: TaskRequest, view: RoundView) -> tuple[str, ...]:
-        """Return the machines, up or booting, that are large enough for a task and allowed."""
+        """Return the machines, up or booting, that the request allows and that are large enough for a task."""
         return tuple(
             machine.name
             for kind, machines in view.serving.items()
@@ -117,7 +117,7 @@
             return
         inexpensive = self._offers.without_expensive(offers)
         # Expensive instances are requested only for work that would miss its latest deadline without them, or
-        # that no machine could run at all.
+        # that no machine can run at all.
         last_resort = not inexpensive and bool(share.machines)
         offers = inexpensive or offers
         boot_s = min(offer.boot_s for offer in offers)
@@ -143,9 +143,9 @@
         boot_s: float,
         last_resort: bool,
     ) -> tuple[list[DeadlineGroup], float]:
-        """Return waiting tasks by deadline, and the cores they could use at once.
+        """Return the waiting tasks grouped by deadline, and the cores that they could use at once.
 
-        `last_resort`: leave out tasks that can't meet their latest deadline any more.
+        With `last_resort`, apply the latest deadlines, and leave out tasks that can no longer meet them.
         """
         group_by_span: dict[int, DeadlineGroup] = {}
         team_cores: dict[str, float] = {}
@@ -155,7 +155,7 @@
             quota = max(0.0, view.remaining_quotas[request.team].cpus - team_cores.get(request.team, 0.0))
             cores = min(quota, request.count * request.cpus)
             team_cores[request.team] = team_cores.get(request.team, 0.0) + cores
-            # A team at its quota can use all of it again as its running tasks end.
+            # A team at its quota can use all of it again once its running tasks end.
             usable = max(min(self._scheduler.cpu_quota(request.team), request.count * request.cpus), request.cpus)
             core_seconds = request.count * request.cpus * task_time_s
             time_allowed = job.latest_deadline if last_resort else job.target_deadline * DEADLINE_MARGIN
@@ -164,7 +164,7 @@
             if due_s < soonest_s:
                 if last_resort:
                     continue
-                # It misses its deadline in any case, so it gets a later one: it must not wait for ever.
+                # The deadline is missed in any case; a later one keeps the tasks from waiting indefinitely.
                 due_s = soonest_s * UNSAVABLE_DEADLINE_FACTOR
             span = math.floor(due_s / GROUP_SPAN.total_seconds())
             group = group_by_span.setdefault(span, DeadlineGroup(due_s, 0.0, 0.0, 0.0))
@@ -175,7 +175,7 @@
         return [group_by_span[span] for span in sorted(group_by_span)], sum(team_cores.values())
 
     def _supplies(self, share: _MachineShare, view: RoundView) -> list[CoreSupply]:
-        """Return the cores that serve the share, now or once machines have booted."""
+        """Return the cores available to the requests, now or once machines have booted."""
         supplies = [
             supply
             for machine in self._cluster.machines.values()
@@ -189,13 +189,13 @@
 
     def _supply(self, machine: Machine, view: RoundView) -> CoreSupply | None:
         if machine.state is not MachineState.BOOTING:
-            # Cores that replicas hold are never free for other work.
+            # Cores allocated to replicas never become available to other work.
             return CoreSupply(0.0, machine.cpus - machine.service_cpus)
         boot_s = self._catalog.types[machine.machine_type].boot_s
         age_s = (view.now - machine.first_seen_at).total_seconds()
         if age_s >= boot_s * MAX_BOOT_TIME_FACTOR:
             return None
-        # In whole seconds, so that machines that boot at about the same time are merged.
+        # Rounded to whole seconds, so that machines that boot at about the same time are merged.
         return CoreSupply(float(max(1, round(boot_s * BOOT_TIME_FACTOR - age_s))), machine.cpus)
 
     def _job(self, request: TaskRequest) -> Job:
--- a/src/elmthread/autoscaling/draining.py
+++ b/src/elmthread/autoscaling/draining.py
@@ -1,4 +1,4 @@
-"""Draining: machines that the booked and waiting work does not need get no new tasks, and are emptied."""
+"""Draining: machines not needed for running and waiting work get no new tasks, and are emptied."""
 
 import logging
 from datetime import timedelta
@@ -10,37 +10,37 @@
 
 log = logging.getLogger(__name__)
 
-# Cores kept for each core that work needs, as some of the free capacity is too fragmented to be used.
+# Cores kept for each core of demand, as some of the free capacity is too fragmented to be used.
 CAPACITY_FACTOR = 1.1
-# Tasks are moved off machines that cost this many times the cheapest per core, once all of them have run for
-# MIN_RUN_TIME_BEFORE_RELOCATION, as each move costs run time.
+# Tasks are moved off machines whose price per core is at least this many times the cheapest, once all of them have
+# run for MIN_RUN_TIME_BEFORE_RELOCATION, as each move costs run time.
 RELOCATION_PRICE_RATIO = 1.4
 MIN_RUN_TIME_BEFORE_RELOCATION = seconds(30)
-# How long a draining machine is kept before replicas are moved off it.
+# How long a machine drains before its replicas are moved to other machines.
 MAX_DRAINING_FOR_REPLICAS = seconds(600)
 
 
 class Draining:
-    """Marks the machines to drain, and moves tasks off them where that pays."""
+    """Marks the machines to drain, and relocates their tasks where this reduces cost."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """Share the collaborators of the autoscaler; which machines drain is marked on the machines."""
+        """Use the dependencies of the autoscaler; the draining state is kept on the machines."""
         self._cluster = context.cluster
         self._scheduler = context.scheduler
 
     def run(self, view: RoundView, urgent_cores: float, min_urgent_share: float) -> None:
         """Mark the machines that are not needed, the most expensive first, and empty some of them.
 
-        They get no new tasks while others have room. If all tasks of one make checkpoints and would fit
-        elsewhere, they are moved. This is an exception to the design, in which machines empty only as tasks
-        end: long tasks would keep expensive machines for minutes.
+        They get no new tasks while others have room. If all tasks of such a machine make checkpoints and would
+        fit elsewhere, they are moved. This deviates from the design, in which machines empty only as tasks end:
+        long tasks would keep expensive machines running for minutes.
         """
         serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
-        # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count.
+        # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count as demand.
         demand = sum(m.cpus_used for m in self._cluster.up_machines()) + view.usable_cores(view.requests)
         needed = max(demand * CAPACITY_FACTOR, urgent_cores / min_urgent_share)
         spare = 0.0
-        # Of equally expensive machines the fullest are kept, as the others will be empty sooner.
+        # Among equally expensive machines, the fullest are kept, as the others will be empty sooner.
         serving.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
         for machine in serving:
             _mark(machine, needed <= 0 and not machine.reserved, view.now)
@@ -58,7 +58,7 @@
                 self._relocate_replicas(machine)
 
     def _relocate_tasks(self, machine: Machine, now: timedelta) -> None:
-        """Stop all tasks of the machine, if each makes checkpoints and has run for long enough."""
+        """Stop all tasks of the machine if each makes checkpoints and has run for long enough."""
         allocations = list(machine.allocations.values())
         if any(allocation.stop_mode is None for allocation in allocations) and all(
             allocation.job.spec.makes_checkpoints
@@ -71,9 +71,9 @@
                 allocation.stop_mode = allocation.stop_mode or StopMode.CHECKPOINT
 
     def _relocate_replicas(self, machine: Machine) -> None:
-        """Stop replicas that fit on other machines, if nothing but replicas is left on this one.
+        """Stop replicas that fit on other machines, if only replicas are left on this one.
 
-        Only one replica of a job moves at a time, as it does not serve meanwhile.
+        Only one replica of a job moves at a time, as it is unavailable meanwhile.
         """
         if not all(allocation.job.is_service for allocation in machine.allocations.values()):
             return
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -14,11 +14,11 @@
 from elmthread.placement.requests import TaskRequest
 from elmthread.store.machine_type import MachineType
 
-# Actual boot times, as multiples of those that the cloud states.
+# Ratio of actual boot times to those stated by the cloud.
 BOOT_TIME_FACTOR = 1.2
-# Machines that cost more than this many times the cheapest per core are requested only if no others are available.
+# Instances whose price per core is above this many times the cheapest are requested only if no others are available.
 EXPENSIVE_PRICE_RATIO = 1.6
-# Instances requested at once for one purpose.
+# Maximum number of instances requested at once for one purpose.
 MAX_INSTANCES_PER_ROUND = 500
 
 
@@ -27,19 +27,19 @@
 
     @property
     def name(self) -> str:
-        """Its unique name."""
+        """The unique name of the request."""
 
     @property
     def kind(self) -> InstanceKind:
-        """What was requested."""
+        """The requested kind of instance."""
 
     @property
     def count(self) -> int:
-        """How many instances were requested."""
+        """The number of requested instances."""
 
     @property
     def for_deferrable_pool(self) -> bool:
-        """Whether the machines will belong to the deferrable pool."""
+        """Whether the machines will be part of the deferrable pool."""
 
 
 class MachineControl(Protocol):
@@ -54,17 +54,17 @@
         """All requests without a response yet, by name."""
 
     def is_unavailable(self, kind: InstanceKind, /) -> bool:
-        """Return whether machines of that kind can't be requested now."""
+        """Return whether machines of the kind can't be requested now."""
 
     def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool, /) -> None:
-        """Request that many machines from the cloud."""
+        """Request `count` machines from the cloud."""
 
     def delete_machine(self, machine: Machine, reason: DeletionReason, /) -> None:
         """Delete the machine."""
 
 
 class InstanceOffer(msgspec.Struct, frozen=True):
-    """A kind of instance that can be requested; at most `max_count` may be available."""
+    """A kind of instance that can be requested, at most `max_count` times at once."""
 
     machine_type: str
     zone: str
@@ -77,15 +77,15 @@
     memory_gb: float = math.inf
 
     def is_expensive(self, cheapest: float) -> bool:
-        """Return whether it costs much more than `cheapest`, a price per hour and core."""
+        """Return whether the offer costs much more than `cheapest`, a price per hour and core."""
         return self.price_per_hour > EXPENSIVE_PRICE_RATIO * cheapest * self.cores
 
 
 class InstanceOffers:
-    """The offers of the cloud, and requests for them."""
+    """Lists the offers of the cloud, and requests instances."""
 
     def __init__(self, machines: MachineControl) -> None:
-        """`machines` sends the requests."""
+        """Send requests through `machines`."""
         self._machines = machines
         self._catalog = machines.catalog
 
@@ -102,7 +102,7 @@
         return offers
 
     def without_expensive(self, offers: Sequence[InstanceOffer]) -> list[InstanceOffer]:
-        """Return those that are not expensive compared with the cheapest kind, which may be unavailable."""
+        """Return the offers that are not expensive compared with the cheapest kind, which may be unavailable."""
         cheapest = min(kind.spot_price / kind.cpus for kind in self._catalog.types.values() if kind.cpus)
         return [offer for offer in offers if not offer.is_expensive(cheapest)]
 
@@ -114,7 +114,7 @@
             self._machines.request_instances(kind, count, for_deferrable_pool)
 
     def pending(self) -> Iterator[tuple[PendingRequest, MachineType]]:
-        """Yield the requests without a response yet, with their machine types if these are known."""
+        """Yield the requests without a response yet whose machine type is known, with that type."""
         for request in self._machines.instance_requests.values():
             machine_type = self._catalog.types.get(request.kind.machine_type)
             if machine_type is not None:
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -1,4 +1,4 @@
-"""Choice of the instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
+"""Selection of the instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
 
 Pure functions over offers (Chiron's algorithm 2, section 5.3).
 """
@@ -16,16 +16,16 @@
     unsavable_groups,
 )
 
-# Lateness checks spent on finding cheaper instances.
+# Maximum number of lateness checks for finding cheaper instances.
 MAX_PRICE_TRIALS = 60
 
 
 class DeferrableBacklog(msgspec.Struct, frozen=True):
-    """Waiting deferrable work, and the work that goes ahead of it."""
+    """Waiting deferrable work, and the amount of work that runs before it."""
 
     groups: Sequence[DeadlineGroup]  # in order of deadline
     core_seconds_ahead: float
-    usable_cores: float  # more than waiting tasks could use is never requested
+    usable_cores: float  # that tasks could use at once; no more are requested
 
 
 def fewest_instances(
@@ -34,9 +34,10 @@
     offers: Sequence[InstanceOffer],
     max_count: int = 50,
 ) -> list[InstanceOffer]:
-    """Return the fewest instances that leave no savable group late; among those, about the cheapest.
+    """Return the fewest instances that leave no feasible group late; among those, approximately the cheapest.
 
-    If even `max_count` instances leave a group late, return as many as waiting tasks could use.
+    A group is feasible if enough instances, requested now, would still let it meet its deadline. If even
+    `max_count` instances leave a feasible group late, return as many as waiting tasks could use.
     """
     offers = [offer for offer in offers if offer.cores > 0 and offer.max_count > 0]
     if not offers or not backlog.groups:
@@ -47,7 +48,7 @@
     ranked = _largest_first(offers, backlog.usable_cores, max_count)
     if not ranked or not check.leaves_none_late(ranked):
         return ranked
-    # More machines never make a group late, so the shortest sufficient prefix is found by halving.
+    # More machines never make a group late, so the shortest sufficient prefix is found by binary search.
     low, high = 0, len(ranked)
     while high - low > 1:
         middle = (low + high) // 2
@@ -56,7 +57,7 @@
 
 
 def cover_shortfall(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return the fewest instances with so many cores; the last is the cheapest that suffices."""
+    """Return the fewest instances that cover that number of cores; the last is the cheapest that suffices."""
     chosen = _largest_first(offers, cores, max_count)
     if not chosen:
         return []
@@ -69,7 +70,7 @@
 
 
 class _LatenessCheck:
-    """Checks whether additional instances leave no group late, except those that can't be saved."""
+    """Checks whether additional instances leave no feasible group late."""
 
     def __init__(self, backlog: DeferrableBacklog, supplies: Sequence[CoreSupply], boot_s: float) -> None:
         self._backlog = backlog
@@ -77,7 +78,7 @@
         self._unsavable = unsavable_groups(backlog.groups, boot_s)
 
     def leaves_none_late(self, chosen: Sequence[InstanceOffer]) -> bool:
-        """Return whether no group that can be saved ends late with these instances."""
+        """Return whether all feasible groups meet their deadlines with these instances."""
         added = [CoreSupply(offer.boot_s, offer.cores) for offer in chosen]
         return not late_groups(
             self._backlog.groups, [*self._supplies, *added], self._backlog.core_seconds_ahead, self._unsavable
@@ -85,11 +86,11 @@
 
 
 def _largest_first(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return instances for up to so many cores, the largest first, so that they are the fewest.
+    """Return instances that cover that number of cores, the largest first, so that they are the fewest.
 
-    Of equally large ones, those that boot sooner come first, then the cheaper. Zones take turns, as the
-    capacity that is left in each is unknown. Expensive kinds come after all others: fewer machines are not
-    worth their price.
+    Among equally large ones, those that boot faster come first, then the cheaper ones. Zones are used in
+    rotation, as the capacity left in each is unknown. Expensive kinds come after all others: fewer machines are
+    not worth their price.
     """
     cheapest = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
     ranks: dict[tuple[bool, float, float, float], list[InstanceOffer]] = {}
@@ -109,7 +110,7 @@
 def _with_cheaper(
     chosen: list[InstanceOffer], offers: Sequence[InstanceOffer], check: _LatenessCheck
 ) -> list[InstanceOffer]:
-    """Replace as many instances by cheaper ones as possible without making a group late."""
+    """Replace as many instances with cheaper ones as possible without making a feasible group late."""
     by_price = sorted(offers, key=lambda offer: offer.price_per_hour)
     trials_left = MAX_PRICE_TRIALS
     for current in sorted(set(chosen), key=lambda offer: -offer.price_per_hour):
@@ -131,7 +132,7 @@
 def _replaced(
     chosen: list[InstanceOffer], current: InstanceOffer, cheaper: InstanceOffer, count: int
 ) -> list[InstanceOffer]:
-    """Return `chosen` with the first `count` of one offer replaced by the other."""
+    """Return `chosen` with the first `count` occurrences of `current` replaced by `cheaper`."""
     result = []
     for offer in chosen:
         if offer == current and count > 0:
--- a/src/elmthread/autoscaling/lateness.py
+++ b/src/elmthread/autoscaling/lateness.py
@@ -1,6 +1,6 @@
 """Lateness: which groups of deferrable tasks end after their deadline (Chiron, section 5.3). Pure functions.
 
-All times are in seconds from now, as nothing here outlasts one round.
+All times are in seconds from now, as no value is kept for longer than one round.
 """
 
 import math
@@ -21,17 +21,17 @@
 
     due_s: float
     core_seconds: float
-    longest_task_s: float  # of one task, image included
-    usable_cores: float  # what its tasks, within their teams' quotas, can use at once
+    longest_task_s: float  # run time of its longest task, including the image fetch
+    usable_cores: float  # that its tasks can use at once within their teams' quotas
 
     @property
     def min_duration_s(self) -> float:
-        """The shortest time that the group takes: that of one task, or of all on the cores they may use."""
+        """The shortest possible duration: that of its longest task, or that of all tasks on the cores they may use."""
         return max(self.longest_task_s, self.core_seconds / self.usable_cores if self.usable_cores > 0 else math.inf)
 
 
 def merge_supplies(supplies: Sequence[CoreSupply]) -> list[CoreSupply]:
-    """Return the supplies in order of start, those with the same start merged into one."""
+    """Return the supplies in order of start, with those of the same start merged."""
     cores: dict[float, float] = {}
     for supply in supplies:
         cores[supply.start_s] = cores.get(supply.start_s, 0.0) + supply.cores
@@ -39,7 +39,7 @@
 
 
 def finish_time_s(core_seconds: float, supplies: Sequence[CoreSupply]) -> float:
-    """Return when so much work is done by merged supplies; infinite without any cores."""
+    """Return when merged supplies complete that much work; infinite without any cores."""
     at_s, cores = 0.0, 0.0
     for supply in supplies:
         if supply.start_s > at_s:
@@ -56,7 +56,7 @@
 def group_end_times_s(
     groups: Sequence[DeadlineGroup], supplies: Sequence[CoreSupply], core_seconds_ahead: float
 ) -> list[float]:
-    """Return when each group (in order of deadline) ends: after the work ahead of it and its own."""
+    """Return when each group ends, after the work ahead of it and its own; `groups` are in order of deadline."""
     end_times_s = []
     supplies = merge_supplies(supplies)
     wait_s = finish_time_s(core_seconds_ahead, supplies)
--- a/src/elmthread/autoscaling/replica_room.py
+++ b/src/elmthread/autoscaling/replica_room.py
@@ -1,4 +1,7 @@
-"""Room for replicas of services: what lacks room, and instances for it. Pure functions, except DemandTrend."""
+"""Room for replicas of services: replicas without room, and instances for them.
+
+Pure functions, except DemandTrend.
+"""
 
 from collections import deque
 from collections.abc import Iterable, Sequence
@@ -13,13 +16,13 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
 
-# The window in which the growth of the services' demand is measured, and the shortest time it is spread over.
+# Window in which the growth of the services' demand is measured, and the minimum time over which it is averaged.
 TREND_WINDOW = seconds(60)
 MIN_TREND_TIME = seconds(20)
 
 
 class DemandTrend:
-    """The growth of the cores that replicas need, since the lowest need in the window."""
+    """Measures the growth of the cores that replicas need, since the lowest demand in the window."""
 
     def __init__(self) -> None:
         """Start without history."""
@@ -38,7 +41,7 @@
 def unplaced(
     requests: Iterable[TaskRequest], capacities: Sequence[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[TaskRequest]:
-    """Return the requests that find no room in `capacities`, which are used up, though the quotas allow them."""
+    """Return what the quotas allow but `capacities` have no room for; both are reduced by what fits."""
     left = [
         replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
         for request in requests
@@ -57,7 +60,7 @@
     remaining_quotas: dict[str, RemainingQuota],
     max_count: int,
 ) -> list[InstanceOffer]:
-    """Return instances on which the tasks fit, in zones and memory too; each is filled before the next."""
+    """Return instances that fit the tasks, also by zone and memory; each is filled before the next one is added."""
     chosen: list[InstanceOffer] = []
     capacities: list[FreeCapacity] = []
     for request in requests:
@@ -85,7 +88,7 @@
 def _best_offer(request: TaskRequest, offers: Sequence[InstanceOffer]) -> InstanceOffer | None:
     """Return the offer with the lowest price per core in the zone with the fewest of the job's replicas.
 
-    Of equally cheap ones it is the largest, so that the fewest instances are requested.
+    Among equally cheap offers, return the largest, so that the fewest instances are requested.
     """
     fitting = [offer for offer in offers if _fits(request, offer)]
     if not fitting:
@@ -111,7 +114,7 @@
 
 
 class ReplicaCapacity(NamedTuple):
-    """A machine and the cores that replicas could have there."""
+    """A machine, and the cores that replicas could use on it."""
 
     machine: str
     zone: str
@@ -119,7 +122,7 @@
 
 
 def machines_to_reserve(machines: Iterable[ReplicaCapacity], cores: float) -> set[str]:
-    """Return the machines to keep in reserve, in the given order, until they have so many cores.
+    """Return the machines to keep in reserve, taken in the given order until they have that number of cores.
 
     No zone counts for more than half of the cores, as at most half of the replicas of a spread job may run
     in one zone.
--- a/src/elmthread/autoscaling/running_work.py
+++ b/src/elmthread/autoscaling/running_work.py
@@ -10,22 +10,22 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.cluster.state import ClusterState
 
-# A task is expected to run for at least this part of its expected run time more.
+# Minimum remaining time of a running task, as a fraction of its expected run time.
 MIN_REMAINING_PART = 0.2
 
 
 class HeldWork(NamedTuple):
-    """Cores that tasks hold, and the core-seconds that they still take."""
+    """Cores allocated to tasks, and the core-seconds that these tasks still need."""
 
     cores: float
     core_seconds: float
 
 
 class RunningWork:
-    """Sums of one round, which are cached, as shares of machines overlap."""
+    """Caches the sums of one round by job and machine, as sets of machines overlap."""
 
     def __init__(self, cluster: ClusterState, run_times: RunTimeModel, now: timedelta) -> None:
-        """`run_times` says how long tasks run; sums are computed when first needed."""
+        """Estimate how long tasks run by `run_times`; compute sums when they are first needed."""
         self._cluster = cluster
         self._run_times = run_times
         self._now = now
@@ -40,7 +40,7 @@
         return task_time_s
 
     def on_machines(self, names: Iterable[str]) -> HeldWork:
-        """Return what tasks, except replicas, hold on these machines."""
+        """Return the allocated cores and remaining work of tasks on these machines, except replicas."""
         cores = core_seconds = 0.0
         for name in names:
             held = self._held.get(name)
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -1,9 +1,9 @@
 """Scaling for services, in addition to the urgent band, which counts cores of every kind.
 
-Replicas hold their cores as long as the service runs. Often they may not use spot instances, or at most half
-of them may run in one zone, so free cores of the wrong kind don't help them. Therefore instances are requested
-at once for replicas that fit nowhere, and the share of replicas in the cores that they may use is kept in the
-same band. (This is an exception to the design.)
+Replicas hold their cores as long as the service runs. Often they may not use spot instances, or at most half of
+them may run in one zone, so free cores of the wrong kind are of no use to them. Therefore, instances are requested
+immediately for replicas that fit nowhere, and the share of replicas in the cores that they may use is kept in the
+same band. This deviates from the design.
 """
 
 from collections.abc import Sequence
@@ -32,18 +32,18 @@
 
 
 class _OnDemandNeed(msgspec.Struct, frozen=True):
-    """Cores of on-demand machines that services need."""
+    """The cores of on-demand machines that services need."""
 
     booked: float
-    soon: float  # expected to be booked when an instance requested now is up
-    largest_job: float  # for all replicas of the largest service
+    soon: float  # expected need when an instance requested now is up
+    largest_job: float  # of all replicas of the largest service
 
 
 class ServiceScaling:
     """Scales out for replicas, and keeps on-demand machines in reserve for them."""
 
     def __init__(self, context: ScalingContext) -> None:
-        """Start without services, until the first round."""
+        """Assume that no services run until the first round."""
         self.services_run = False
         self._cluster = context.cluster
         self._scheduler = context.scheduler
@@ -61,13 +61,13 @@
             for machine in self._cluster.machines.values():
                 machine.reserved = False
             return
-        # The machines that a failing service avoids count for it, or it would request machine after machine.
+        # Machines that a failing service avoids count as room for it; otherwise it would request ever more machines.
         waiting = [
             replace(request, excluded_machines=()) if job.backoff else request
             for request in view.requests
             if (job := self._cluster.jobs[request.job_id]).is_service
         ]
-        # There must be room for one more service like the largest one, in the zones that it may use.
+        # Room is kept for one more service like the largest one, in the zones that it may use.
         largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         self._request_room([*waiting, self._whole_job(largest)], view.now)
         on_demand_machines = [
@@ -80,7 +80,7 @@
         self._reserve(on_demand_machines, need if spot_excluded else None)
 
     def _whole_job(self, job: Job) -> TaskRequest:
-        """Return a request for all tasks of a job like this one, none of which is placed."""
+        """Return a request for all tasks of the job, as if none of them were placed."""
         return replace(
             self._scheduler.request_for_one_task(job),
             count=job.task_count,
@@ -90,7 +90,7 @@
         )
 
     def _request_room(self, waiting: Sequence[TaskRequest], now: timedelta) -> None:
-        """Request instances for replicas that will fit nowhere."""
+        """Request instances for replicas that fit neither on present nor on expected machines."""
         remaining_quotas = self._scheduler.remaining_quotas()
         left = unplaced(waiting, self._coming_capacity(waiting, now), remaining_quotas)
         if left:
@@ -99,7 +99,7 @@
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _coming_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
-        """Return the capacity for replicas, once deferrable tasks are preempted and pending machines are up."""
+        """Return the capacity for replicas after preempting deferrable tasks and booting pending machines."""
         capacities = [
             _capacity_for_replicas(machine)
             for machine in self._cluster.machines.values()
@@ -135,7 +135,7 @@
     def _hold_band(
         self, spot_excluded: Sequence[Job], need: _OnDemandNeed, on_demand_machines: Sequence[Machine]
     ) -> None:
-        """Request on-demand instances where the share of replicas is above the band, or will be soon."""
+        """Request on-demand instances if the share of replicas is above the band, or too few cores are expected."""
         theta, delta = self._operators.target_urgent_share, self._operators.urgent_share_tolerance
         cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand_machines)
         cores += sum(
@@ -151,7 +151,7 @@
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _reserve(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
-        """Mark the machines in reserve: first those that hold replicas, then the cheapest."""
+        """Mark the machines to reserve: first those that run the most replica cores, then the cheapest."""
         needed = 0.0
         if need is not None:
             booked, min_share = (
@@ -168,7 +168,7 @@
 
 
 def _capacity_for_replicas(machine: Machine) -> FreeCapacity:
-    """Return the capacity that urgent tasks leave; their GPUs and memory are estimated by their part of the CPUs."""
+    """Return the capacity left by urgent tasks, whose GPUs and memory are estimated by their share of the used CPUs."""
     urgent_part = machine.urgent_cpus / machine.cpus_used if machine.cpus_used else 0.0
     return FreeCapacity(
         machine.name,
--- a/src/elmthread/autoscaling/tests/test_instance_selection.py
+++ b/src/elmthread/autoscaling/tests/test_instance_selection.py
@@ -1,4 +1,4 @@
-"""The choice of instances against brute force over small cases."""
+"""Tests of instance selection against brute force on small inputs."""
 
 import itertools
 
@@ -53,7 +53,7 @@
         None,
     )
     if best is None:
-        assert len(chosen) == 4  # all that may be requested: it helps, though it does not save all
+        assert len(chosen) == 4  # the maximum, although some groups are still late
     else:
         assert len(chosen) == best and is_sufficient(tuple(chosen))
 
@@ -77,7 +77,7 @@
         )
     )
     assert len(chosen) == best and sum(offer.cores for offer in chosen) >= shortfall
-    # The last machine is no more expensive than it must be.
+    # The last instance is the cheapest that suffices.
     if chosen:
         missing = shortfall - sum(offer.cores for offer in chosen[:-1])
         assert chosen[-1].price_per_hour == min(offer.price_per_hour for offer in OFFERS if offer.cores >= missing)
--- a/src/elmthread/autoscaling/tests/test_lateness.py
+++ b/src/elmthread/autoscaling/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""When deferrable work ends, against small steps of time."""
+"""Tests of the end times of deferrable work against a simulation in small time steps."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 
 
 def plain_finish(work: float, supplies: list[CoreSupply]) -> float:
-    """Return the finish time by a simulation in small steps."""
+    """Return the finish time according to a simulation in small steps."""
     at, step = 0.0, 0.01
     while work > 1e-9 and at < 500:
         work -= step * sum(supply.cores for supply in supplies if supply.start_s <= at + 1e-9)
--- a/src/elmthread/autoscaling/tests/test_replica_room.py
+++ b/src/elmthread/autoscaling/tests/test_replica_room.py
@@ -1,4 +1,4 @@
-"""Room for replicas of services, against brute force and the rules read literally."""
+"""Tests of room for replicas of services, against brute force and a direct check of each rule."""
 
 import copy
 import itertools
@@ -56,7 +56,7 @@
         max_placed = min(tasks, int(remaining_quotas["t"].cpus / 2) if remaining_quotas["t"].cpus < math.inf else tasks)
         chosen = instances_for([wanted], OFFERS, remaining_quotas, 50)
         assert not any(offer.spot for offer in chosen)
-        # All that quotas allow is placed, and no instance is superfluous.
+        # All tasks that the quotas allow are placed, and no instance is superfluous.
         assert tasks - wanted.count == max_placed
         assert sum(offer.cores for offer in chosen) - 2 * max_placed < 32 * len(chosen)
         for zone, count in wanted.tasks_by_zone.items():
@@ -72,7 +72,7 @@
         ]
         one = make_request(rng.randint(1, 5), rng.choice([math.inf, 2.0]))
         left = unplaced([one], copy.deepcopy(capacities), {"t": RemainingQuota()})
-        # By brute force: the most replicas that any distribution can place.
+        # The maximum number of replicas that any distribution can place, by brute force.
         best = 0
         each = [
             range(int(s.cpus // 2) + 1) if is_allowed(one, s.machine_type, s.zone, s.spot) else range(1)
@@ -92,7 +92,7 @@
 def test_reserve_has_the_cores_and_no_zone_counts_for_more_than_half() -> None:
     machines = [ReplicaCapacity(name, zone, 8.0) for name, zone in zip("abcde", "xxxyz", strict=True)]
     assert machines_to_reserve(machines, 0.0) == set()
-    # One large machine has the cores, but half of a spread service could not run on it.
+    # One large machine has enough cores, but only half of a spread service may run in its zone.
     assert machines_to_reserve([ReplicaCapacity("l", "x", 64.0), *machines], 10.0) == {"l", "d"}
     assert machines_to_reserve(machines, 16.0) == {"a", "d"}
     assert machines_to_reserve(machines, 32.0) == {"a", "b", "d", "e"}
@@ -101,7 +101,7 @@
 def test_growth_is_measured_soon_and_falls_to_0_after_its_end() -> None:
     trend = DemandTrend()
     assert trend.growth(seconds(0), 0.0) == 0.0
-    # Two cores a second from 100 s on.
+    # Demand grows by two cores per second from 100 s on.
     rises = [trend.growth(seconds(at), max(0.0, 2.0 * (at - 100))) for at in range(5, 131, 5)]
     assert rises[-1] == 2.0 and rises[20] <= 2.0
     later = [trend.growth(seconds(at), 60.0) for at in range(135, 300, 5)]
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -1,4 +1,4 @@
-"""Work per round: each job and machine is evaluated once, and only suspect machines one by one."""
+"""Tests of the work per round: jobs and machines are evaluated once, and only suspect machines individually."""
 
 import asyncio
 from datetime import timedelta
@@ -19,7 +19,7 @@
 
 
 async def filled(world: World) -> Leader:
-    """Return a leader with running and waiting jobs of many kinds, on machines of all kinds."""
+    """Return a leader with running and waiting jobs of various kinds, on machines of all kinds."""
     for number in range(12):
         changes: dict[str, Any] = {"pieces": 20, "true_s": 40.0, "expected_s": 40.0}
         changes |= {"builds": ["large"]} if number % 4 == 1 else {}
@@ -33,7 +33,7 @@
 
 
 def test_a_round_estimates_each_job_once_and_sums_up_all_that_machines_hold(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Groups of jobs share machines; summing up all tasks again for each group is too slow on small controllers."""
+    """Groups of jobs share machines, and summing up all tasks for each group again is too slow on small controllers."""
 
     async def script(world: World) -> None:
         leader = await filled(world)
--- a/src/elmthread/autoscaling/tests/test_running_work.py
+++ b/src/elmthread/autoscaling/tests/test_running_work.py
@@ -1,4 +1,4 @@
-"""The work that machines hold, against sums written out by hand."""
+"""Tests of the remaining work on machines, against sums computed by hand."""
 
 from datetime import UTC, datetime
 
--- a/src/elmthread/autoscaling/tests/test_urgent_band.py
+++ b/src/elmthread/autoscaling/tests/test_urgent_band.py
@@ -1,4 +1,4 @@
-"""The band of the urgent share."""
+"""Tests of the band of the urgent share."""
 
 from elmthread.autoscaling.urgent_band import BandDecision, band_decision
 
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -1,6 +1,6 @@
 """The urgent pressure: keeps the share of urgent cores in a band (Chiron, sections 5.1 and 5.2).
 
-Theta is the centre of the band and delta its half width; both come from the operators' settings.
+Theta is the center of the band and delta half its width; both come from the operators' settings.
 """
 
 from collections import deque
@@ -16,16 +16,16 @@
 from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.common.clock import seconds
 
-# The window of urgent demand by which theta is adapted, once there is as much history as the second says.
+# Window of urgent demand from which theta is computed, and the minimum history for doing so.
 DEMAND_WINDOW = seconds(300)
 MIN_DEMAND_HISTORY = seconds(60)
 MAX_THETA = 0.9
-# The lowest value of the lower end of the band, however wide the band is.
+# Minimum of the lower end of the band, regardless of its width.
 MIN_URGENT_SHARE = 0.05
 
 
 class BandDecision(Enum):
-    """How to bring the urgent share into its band, or keep it there."""
+    """How to bring the urgent share into the band, or keep it there."""
 
     SCALE_OUT = auto()
     KEEP = auto()
@@ -63,12 +63,12 @@
         return max(self.theta - self._delta, MIN_URGENT_SHARE)
 
     def urgent_cores(self, view: RoundView) -> float:
-        """Return the urgent cores: those booked, and those that waiting tasks could use within their teams' quotas."""
+        """Return the urgent cores: those allocated, and those that waiting tasks could use within the quotas."""
         booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
         return booked + view.usable_cores(request for request in view.requests if request.urgent)
 
     def run(self, view: RoundView, urgent_cores: float, services_run: bool) -> None:
-        """Scale out or in, if the urgent share is outside of the band."""
+        """Scale out or in if the urgent share is outside the band."""
         self._track_theta(urgent_cores, view.now)
         machines = [
             m
@@ -91,7 +91,7 @@
                 pass
 
     def _track_theta(self, urgent_cores: float, now: timedelta) -> None:
-        """Set theta to the mean-to-peak ratio of the urgent demand in the window."""
+        """Update theta to the mean-to-peak ratio of the urgent demand in the window, within its limits."""
         self._demand.append((now, urgent_cores))
         while self._demand[0][0] < now - DEMAND_WINDOW:
             self._demand.popleft()
@@ -113,7 +113,7 @@
         self._offers.request(chosen, for_deferrable_pool=False)
 
     def _scale_in(self, unneeded: Sequence[Machine], urgent_cores: float, cores: float) -> None:
-        """Delete machines, the most expensive first, as far as the share stays in the band."""
+        """Delete machines, the most expensive first, as long as the share stays in the band."""
         max_share = self.theta + self._delta
         for machine in sorted(unneeded, key=lambda m: -m.price_per_core):
             if urgent_cores <= max_share * (cores - machine.cpus):
@@ -123,7 +123,7 @@
     def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
         """Return whether the machine has been empty for long enough to be deleted.
 
-        While services run, an on-demand machine is kept for as long as another would take to boot, as services
+        While services run, an on-demand machine is kept for as long as another one would take to boot, as services
         may be unable to use any other kind.
         """
         if not machine.is_schedulable or not machine.draining or machine.allocations:
