--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -134,14 +134,14 @@
             continue
         if remaining_quota.cpus + EPSILON < request.cpus:
             if request.urgent:
-                remaining_quota.hold_back()
+                remaining_quota.reserve_for_urgent()
             continue
         if request.preferred_max_per_machine < math.inf:
             packer.pack(request, remaining_quota, spread_replicas=True)
         if request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
             packer.pack(request, remaining_quota, spread_replicas=False)
         if request.urgent and request.count > 0 and remaining_quota.cpus + EPSILON < request.cpus:
-            remaining_quota.hold_back()
+            remaining_quota.reserve_for_urgent()
     return packer.placements
 
 
@@ -192,7 +192,7 @@
                     ),
                     [],
                 ).append(capacity)
-        self._groups = [_MachineGroup(alike) for alike in by_kind.values()]
+        self._groups = [_MachineGroup(members) for members in by_kind.values()]
 
     def pack(self, request: TaskRequest, remaining_quota: RemainingQuota, spread_replicas: bool) -> None:
         """Place as many of the tasks as fit."""
--- a/src/elmthread/placement/feasibility.py
+++ b/src/elmthread/placement/feasibility.py
@@ -12,11 +12,15 @@
     if request.cpus * request.count > team.cpu_quota or request.gpus * request.count > team.gpu_quota:
         subject = "one task needs" if request.count == 1 else "its replicas together need"
         return f"{subject} more than the team's limit"
-    for kind in machine_types:
-        if request.machine_types is not None and kind.name not in request.machine_types:
+    for machine_type in machine_types:
+        if request.machine_types is not None and machine_type.name not in request.machine_types:
             continue
-        if request.zone is not None and request.zone not in kind.zones:
+        if request.zone is not None and request.zone not in machine_type.zones:
             continue
-        if request.cpus <= kind.cpus and request.gpus <= kind.gpus and request.memory_gb <= kind.memory_gb:
+        if (
+            request.cpus <= machine_type.cpus
+            and request.gpus <= machine_type.gpus
+            and request.memory_gb <= machine_type.memory_gb
+        ):
             return None
     return "a task fits no allowed machine type"
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -56,11 +56,11 @@
             for allocation in machine.allocations.values():
                 if allocation.stop_mode is not None or self._ends_within(allocation, time_left, now):
                     continue
-                if allocation.job.is_service and not self._should_move(allocation, time_left):
+                if allocation.job.is_service and not self._should_stop_replica(allocation, time_left):
                     continue
                 allocation.stop_mode = StopMode.CHECKPOINT
 
-    def _should_move(self, allocation: Allocation, time_left: timedelta) -> bool:
+    def _should_stop_replica(self, allocation: Allocation, time_left: timedelta) -> bool:
         """Return whether to stop a replica now: another machine has room, or the time left is too short to wait."""
         stop_time = self._max_stop_delay + seconds(allocation.job.spec.checkpoint_duration_s)
         if allocation.started_at is None or time_left < stop_time:
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -53,12 +53,16 @@
         self._run_times = run_times
         self._guaranteed: set[str] = set()
         self._postponed: set[str] = set()
-        self._judged_at: timedelta | None = None
+        self._last_reorder_at: timedelta | None = None
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
         """Return the waiting requests in placement order."""
-        if self._events.take_jobs_changed() or self._judged_at is None or now - self._judged_at >= REORDER_INTERVAL:
-            self._judged_at = now
+        if (
+            self._events.take_jobs_changed()
+            or self._last_reorder_at is None
+            or now - self._last_reorder_at >= REORDER_INTERVAL
+        ):
+            self._last_reorder_at = now
             self._guaranteed = self._quotas.guaranteed_jobs()
             self._postponed = self._jobs_to_postpone(now)
         requests: list[TaskRequest] = []
@@ -78,7 +82,7 @@
             if sort_key.placement_class is PlacementClass.POSTPONED and now - job.submitted_at > STARVATION_AGE:
                 postponed.append((job.submitted_at, request))
         if postponed:
-            requests += self._share_of_postponed(postponed)
+            requests += self._promote_postponed(postponed)
         requests.sort(key=lambda request: request.sort_key)
         return requests
 
@@ -92,7 +96,7 @@
             return SortKey(PlacementClass.POSTPONED, 0, due_s)
         return SortKey(PlacementClass.ON_TIME, 0, due_s)
 
-    def _share_of_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
+    def _promote_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
         """Split off tasks of the postponed requests within POSTPONED_CORE_SHARE, to be placed with on-time jobs."""
         requests = []
         cores = POSTPONED_CORE_SHARE * sum(
--- a/src/elmthread/placement/preemption.py
+++ b/src/elmthread/placement/preemption.py
@@ -27,16 +27,16 @@
     def __init__(self, cluster: ClusterState) -> None:
         """Allow the first preemption immediately."""
         self._cluster = cluster
-        self._last_at = ZERO
+        self._last_run_at = ZERO
 
     def run(self, waiting: list[TaskRequest], remaining_quotas: dict[str, RemainingQuota], now: timedelta) -> None:
         """Preempt tasks for the urgent requests in `waiting`, at most once per PREEMPTION_INTERVAL."""
-        if now - self._last_at < PREEMPTION_INTERVAL:
+        if now - self._last_run_at < PREEMPTION_INTERVAL:
             return
         urgent = [request for request in waiting if request.urgent and request.count > 0]
         if not urgent:
             return
-        self._last_at = now
+        self._last_run_at = now
         capacities = {
             machine.name: free_capacity(machine, self._cluster)
             for machine in self._cluster.up_machines()
--- a/src/elmthread/placement/quotas.py
+++ b/src/elmthread/placement/quotas.py
@@ -15,7 +15,7 @@
     cpus: float = math.inf
     gpus: float = math.inf
 
-    def hold_back(self) -> None:
+    def reserve_for_urgent(self) -> None:
         """Reserve the remaining cores for the team's urgent task; smaller tasks would otherwise take them each time."""
         self.cpus = 0.0
 
--- a/src/elmthread/placement/tests/clusters.py
+++ b/src/elmthread/placement/tests/clusters.py
@@ -26,10 +26,10 @@
     rng: random.Random, machines: int, jobs: int
 ) -> tuple[list[TaskRequest], list[FreeCapacity], dict[str, RemainingQuota]]:
     """Return random requests, machines of three types in three zones (some full, some with images), and quotas."""
-    kinds = [("s", 4.0, 0.025, 0.2), ("m", 8.0, 0.031, 0.5), ("l", 64.0, 0.04, 0.6)]
+    type_specs = [("s", 4.0, 0.025, 0.2), ("m", 8.0, 0.031, 0.5), ("l", 64.0, 0.04, 0.6)]
     capacities = []
     for number in range(machines):
-        machine_type, cores, price, rate = rng.choices(kinds, [6, 3, 1])[0]
+        machine_type, cores, price, rate = rng.choices(type_specs, [6, 3, 1])[0]
         spot = rng.random() < 0.8
         capacities.append(
             FreeCapacity(
--- a/src/elmthread/placement/tests/reference.py
+++ b/src/elmthread/placement/tests/reference.py
@@ -45,24 +45,24 @@
             continue
         if remaining_quota.cpus + EPSILON < request.cpus:
             if request.urgent:
-                remaining_quota.hold_back()
+                remaining_quota.reserve_for_urgent()
             continue
         # Replicas are first spread over machines; the remaining ones are placed wherever there is room.
         for spread_replicas in (True, False):
-            choice = [
+            fitting = [
                 capacity
                 for capacity in open_capacities
                 if fitting_tasks(request, capacity, remaining_quota, spread_replicas)
             ]
-            choice.sort(key=lambda capacity: preference(request, capacity, cheapest))
-            for capacity in choice:
+            fitting.sort(key=lambda capacity: preference(request, capacity, cheapest))
+            for capacity in fitting:
                 count = fitting_tasks(request, capacity, remaining_quota, spread_replicas)
                 if count <= 0:
                     continue
                 assign_tasks(request, capacity, remaining_quota, count)
                 placements.append(Placement(request, capacity, count))
         if request.urgent and request.count > 0 and remaining_quota.cpus + EPSILON < request.cpus:
-            remaining_quota.hold_back()
+            remaining_quota.reserve_for_urgent()
         open_capacities = [capacity for capacity in open_capacities if capacity.cpus > EPSILON]
     return placements
 
@@ -81,22 +81,22 @@
     by_machine: dict[str, list[PreemptionCandidate]] = {}
     for candidate in candidates:
         by_machine.setdefault(candidate.machine, []).append(candidate)
-    chosen = _stop_own_team(request, capacities, by_machine, remaining_quota)
+    chosen = _preempt_own_team(request, capacities, by_machine, remaining_quota)
     if chosen:
         place([request], list(capacities.values()), {request.team: remaining_quota})
     while request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
-        victims = _least_loss(request, capacities, by_machine)
-        if victims is None:
+        selection = _least_loss(request, capacities, by_machine)
+        if selection is None:
             break
-        name, stopped = victims
-        for candidate in stopped:
-            _stop(candidate, capacities, by_machine)
-        chosen += stopped
+        name, preempted = selection
+        for candidate in preempted:
+            _preempt(candidate, capacities, by_machine)
+        chosen += preempted
         assign_tasks(request, capacities[name], remaining_quota, 1)
     return chosen
 
 
-def _stop_own_team(
+def _preempt_own_team(
     request: TaskRequest,
     capacities: dict[str, FreeCapacity],
     by_machine: dict[str, list[PreemptionCandidate]],
@@ -104,20 +104,25 @@
 ) -> list[PreemptionCandidate]:
     """Free quota of a team that is at its limit by preempting its own tasks on any machine."""
     chosen: list[PreemptionCandidate] = []
-    own = sorted(
-        (candidate for held in by_machine.values() for candidate in held if candidate.team == request.team),
+    own_candidates = sorted(
+        (
+            candidate
+            for machine_candidates in by_machine.values()
+            for candidate in machine_candidates
+            if candidate.team == request.team
+        ),
         key=lambda candidate: candidate.loss,
     )
-    while own and remaining_quota.cpus + EPSILON < request.count * request.cpus:
-        candidate = own.pop(0)
+    while own_candidates and remaining_quota.cpus + EPSILON < request.count * request.cpus:
+        candidate = own_candidates.pop(0)
         remaining_quota.cpus += candidate.cpus
         remaining_quota.gpus += candidate.gpus
-        _stop(candidate, capacities, by_machine)
+        _preempt(candidate, capacities, by_machine)
         chosen.append(candidate)
     return chosen
 
 
-def _stop(
+def _preempt(
     candidate: PreemptionCandidate,
     capacities: dict[str, FreeCapacity],
     by_machine: dict[str, list[PreemptionCandidate]],
@@ -137,7 +142,7 @@
 ) -> tuple[str, list[PreemptionCandidate]] | None:
     """Return the machine with the least loss for the capacity of one task, and the tasks to preempt there."""
     best: tuple[float, str, list[PreemptionCandidate]] | None = None
-    for name, held in by_machine.items():
+    for name, machine_candidates in by_machine.items():
         capacity = capacities.get(name)
         if (
             capacity is None
@@ -147,7 +152,7 @@
             continue
         if request.max_per_zone < math.inf and request.tasks_by_zone.get(capacity.zone, 0) >= request.max_per_zone:
             continue
-        victims = least_loss_victims(request, capacity, held)
+        victims = least_loss_victims(request, capacity, machine_candidates)
         if victims is None:
             continue
         loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
--- a/src/elmthread/placement/tests/test_bin_packing.py
+++ b/src/elmthread/placement/tests/test_bin_packing.py
@@ -14,7 +14,7 @@
 from elmthread.placement.tests import reference
 from elmthread.placement.tests.clusters import make_request, random_cluster
 
-steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+deterministic = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 machine_lists = st.lists(
     st.builds(
@@ -53,42 +53,42 @@
 )
 
 
-@steady
+@deterministic
 @given(machine_lists, request_lists, st.integers(0, 8))
 def test_placement_keeps_all_bounds_and_leaves_no_room_unused(
-    machines: list[FreeCapacity], jobs: list[TaskRequest], limit: int
+    machines: list[FreeCapacity], requests: list[TaskRequest], cpu_quota: int
 ) -> None:
-    jobs.sort(key=lambda request: request.sort_key)
-    before = {capacity.name: (capacity.cpus, capacity.memory_gb) for capacity in machines}
-    counts = {request.job_id: request.count for request in jobs}
-    remaining_quotas = {"t1": RemainingQuota(float(limit)), "t2": RemainingQuota()}
-    placed = place(jobs, machines, remaining_quotas)
+    requests.sort(key=lambda request: request.sort_key)
+    initial = {capacity.name: (capacity.cpus, capacity.memory_gb) for capacity in machines}
+    counts = {request.job_id: request.count for request in requests}
+    remaining_quotas = {"t1": RemainingQuota(float(cpu_quota)), "t2": RemainingQuota()}
+    placed = place(requests, machines, remaining_quotas)
     used: dict[str, float] = {}
-    team = 0.0
-    where: dict[str, list[str]] = {}
+    team_cpus = 0.0
+    zones_by_job: dict[str, list[str]] = {}
     for request, capacity, count in placed:
         assert count > 0
         used[capacity.name] = used.get(capacity.name, 0.0) + count * request.cpus
-        team += count * request.cpus if request.team == "t1" else 0.0
-        where.setdefault(request.job_id, []).extend([capacity.zone] * count)
+        team_cpus += count * request.cpus if request.team == "t1" else 0.0
+        zones_by_job.setdefault(request.job_id, []).extend([capacity.zone] * count)
         assert (request.machine_types is None or capacity.machine_type in request.machine_types) and (
             request.zone in (None, capacity.zone)
         )
         assert request.spot or not capacity.spot
-    assert team <= limit
+    assert team_cpus <= cpu_quota
     for name, cpus in used.items():
-        assert cpus <= before[name][0]
-    for request in jobs:
-        zones = where.get(request.job_id, [])
+        assert cpus <= initial[name][0]
+    for request in requests:
+        zones = zones_by_job.get(request.job_id, [])
         assert len(zones) <= counts[request.job_id]
         if request.one_zone:
             assert len(set(zones)) <= 1
         if request.max_per_zone < math.inf:
             assert all(zones.count(zone) <= request.max_per_zone for zone in zones)
     # No waiting task fits on any machine, unless quota is reserved for urgent work.
-    kept = any(request.urgent and request.count for request in jobs)
-    for request in jobs:
-        if request.count and not kept:
+    quota_reserved = any(request.urgent and request.count for request in requests)
+    for request in requests:
+        if request.count and not quota_reserved:
             for capacity in machines:
                 fits = (
                     capacity.cpus >= request.cpus
@@ -100,7 +100,7 @@
                 assert not fits
 
 
-def test_quota_is_held_back_for_urgent_work() -> None:
+def test_quota_is_reserved_for_urgent_work() -> None:
     """Otherwise, cores that become free one by one go to one-core tasks, and an urgent two-core task starves."""
     capacity = FreeCapacity("m", "s", "x", False, cpus=8.0, gpus=0.0, memory_gb=8.0)
     remaining_quotas = {"t": RemainingQuota(1.0)}
@@ -110,23 +110,23 @@
 
 def test_groups_of_machines_are_packed_as_in_the_reference() -> None:
     for seed in range(60):
-        one, other = random_cluster(random.Random(seed), 80, 30), random_cluster(random.Random(seed), 80, 30)
-        cheapest = min(capacity.price_per_core for capacity in one[1])
-        start = {capacity.name: copy.deepcopy(capacity) for capacity in one[1]}
-        placed, expected = place(*one), reference.place(*other)
+        grouped, plain = random_cluster(random.Random(seed), 80, 30), random_cluster(random.Random(seed), 80, 30)
+        cheapest = min(capacity.price_per_core for capacity in grouped[1])
+        initial = {capacity.name: copy.deepcopy(capacity) for capacity in grouped[1]}
+        placed, expected = place(*grouped), reference.place(*plain)
 
         def preferences(placements: list[Placement]) -> dict[str, list[tuple[object, ...]]]:
             by_job: dict[str, list[tuple[object, ...]]] = {}
             for request, capacity, count in placements:
                 # Machines that differ only in zone may be chosen in any order.
-                kind = reference.preference(request, start[capacity.name], cheapest)[:2]  # noqa: B023
-                by_job.setdefault(request.job_id, []).extend([kind] * count)
-            return {job: sorted(kinds) for job, kinds in by_job.items()}
+                rank = reference.preference(request, initial[capacity.name], cheapest)[:2]  # noqa: B023
+                by_job.setdefault(request.job_id, []).extend([rank] * count)
+            return {job: sorted(ranks) for job, ranks in by_job.items()}
 
-        assert [request.count for request in one[0]] == [request.count for request in other[0]]
+        assert [request.count for request in grouped[0]] == [request.count for request in plain[0]]
         assert preferences(placed) == preferences(expected)
-        assert {team: remaining_quota.cpus for team, remaining_quota in one[2].items()} == {
-            t: r.cpus for t, r in other[2].items()
+        assert {team: remaining_quota.cpus for team, remaining_quota in grouped[2].items()} == {
+            t: r.cpus for t, r in plain[2].items()
         }
 
 
@@ -135,13 +135,16 @@
     lookups = 0
     requests, capacities, remaining_quotas = random_cluster(random.Random(1), 600, 300)
 
-    class Counted(FreeCapacity):
+    class CountingCapacity(FreeCapacity):
         def __getattribute__(self, name: str) -> object:
             nonlocal lookups
             lookups += name == "cached_images"
             return super().__getattribute__(name)
 
-    counted = [Counted(**{name: getattr(capacity, name) for name in FreeCapacity.__slots__}) for capacity in capacities]
-    placed = place(requests, counted, remaining_quotas)
+    counting_capacities = [
+        CountingCapacity(**{name: getattr(capacity, name) for name in FreeCapacity.__slots__})
+        for capacity in capacities
+    ]
+    placed = place(requests, counting_capacities, remaining_quotas)
     assert sum(count for _, _, count in placed) > 1000
     assert 0 < lookups < 300 * 600 / 8, lookups
--- a/src/elmthread/placement/tests/test_moore_hodgson.py
+++ b/src/elmthread/placement/tests/test_moore_hodgson.py
@@ -7,10 +7,10 @@
 
 from elmthread.placement.moore_hodgson import JobWork, jobs_to_postpone
 
-steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+deterministic = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
-@steady
+@deterministic
 @given(
     st.lists(st.tuples(st.integers(1, 30), st.integers(1, 20)), min_size=1, max_size=7),
     st.integers(1, 3),
@@ -26,9 +26,9 @@
                 return False
         return True
 
-    most = max(
+    max_on_time = max(
         count
         for count in range(len(all_jobs) + 1)
         if any(feasible(subset) for subset in itertools.combinations(all_jobs, count))
     )
-    assert len(all_jobs) - len(jobs_to_postpone(all_jobs, float(cores))) == most
+    assert len(all_jobs) - len(jobs_to_postpone(all_jobs, float(cores))) == max_on_time
--- a/src/elmthread/placement/tests/test_victims.py
+++ b/src/elmthread/placement/tests/test_victims.py
@@ -12,7 +12,7 @@
 from elmthread.placement.tests.clusters import make_request, random_cluster
 from elmthread.placement.victims import PreemptionCandidate, preempt
 
-steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+deterministic = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
 def test_a_team_at_its_quota_preempts_its_own_tasks() -> None:
@@ -22,22 +22,26 @@
     assert [candidate.team for candidate in chosen] == ["t", "t"]
 
 
-@steady
+@deterministic
 @given(st.lists(st.tuples(st.integers(1, 3), st.integers(0, 9)), max_size=6), st.integers(0, 3), st.integers(1, 4))
-def test_preemption_frees_enough_and_no_more_than_needed(held: list[tuple[int, int]], free: int, need: int) -> None:
+def test_preemption_frees_enough_and_no_more_than_needed(
+    running: list[tuple[int, int]], free_cpus: int, needed_cpus: int
+) -> None:
     candidates = [
         PreemptionCandidate(n, "m", "other", float(cpus), 0.0, 0.0, timedelta(seconds=loss))
-        for n, (cpus, loss) in enumerate(held)
+        for n, (cpus, loss) in enumerate(running)
     ]
-    capacity = FreeCapacity("m", "s", "x", False, cpus=float(free), gpus=0.0, memory_gb=9.0)
-    chosen = preempt(make_request("u", 1, float(need)), {"m": capacity}, {"m": list(candidates)}, RemainingQuota())
-    if free + sum(cpus for cpus, _ in held) < need or free >= need:
+    capacity = FreeCapacity("m", "s", "x", False, cpus=float(free_cpus), gpus=0.0, memory_gb=9.0)
+    chosen = preempt(
+        make_request("u", 1, float(needed_cpus)), {"m": capacity}, {"m": list(candidates)}, RemainingQuota()
+    )
+    if free_cpus + sum(cpus for cpus, _ in running) < needed_cpus or free_cpus >= needed_cpus:
         assert chosen == []
     else:
-        freed = free + sum(candidate.cpus for candidate in chosen)
-        assert freed >= need
+        freed = free_cpus + sum(candidate.cpus for candidate in chosen)
+        assert freed >= needed_cpus
         # The last victim was necessary.
-        assert freed - chosen[-1].cpus < need
+        assert freed - chosen[-1].cpus < needed_cpus
 
 
 def test_preemption_stops_what_the_reference_stops() -> None:
@@ -52,25 +56,25 @@
                 )
                 for n in range(150)
             ]
-            need = make_request("u", rng.randint(1, 40), 2.0, team="t1", urgent=True)
+            request = make_request("u", rng.randint(1, 40), 2.0, team="t1", urgent=True)
             by_name = {capacity.name: capacity for capacity in capacities}
             if implementation is preempt:
-                held: dict[str, list[PreemptionCandidate]] = {}
+                by_machine: dict[str, list[PreemptionCandidate]] = {}
                 for candidate in candidates:
-                    held.setdefault(candidate.machine, []).append(candidate)
-                chosen = preempt(need, by_name, held, RemainingQuota(rng.choice([4.0, 500.0])))
+                    by_machine.setdefault(candidate.machine, []).append(candidate)
+                chosen = preempt(request, by_name, by_machine, RemainingQuota(rng.choice([4.0, 500.0])))
             else:
-                chosen = reference.preempt(need, by_name, candidates, RemainingQuota(rng.choice([4.0, 500.0])))
-            outcomes.append((sorted(candidate.attempt for candidate in chosen), need.count))
+                chosen = reference.preempt(request, by_name, candidates, RemainingQuota(rng.choice([4.0, 500.0])))
+            outcomes.append((sorted(candidate.attempt for candidate in chosen), request.count))
         assert outcomes[0] == outcomes[1]
 
 
 def test_only_work_of_lower_priority_is_preempted() -> None:
     """A low-priority service is urgent, but does not preempt tasks of the same or a higher priority."""
-    for rank, others in ((0, [1, 2, 3]), (2, [3]), (3, [])):
-        held = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
+    for rank, preempted_ranks in ((0, [1, 2, 3]), (2, [3]), (3, [])):
+        candidates = [PreemptionCandidate(n, "m", "other", 2.0, 0.0, 0.0, timedelta(seconds=n), n) for n in range(1, 4)]
         capacity = FreeCapacity("m", "s", "x", False, cpus=0.0, gpus=0.0, memory_gb=9.0)
-        need = make_request("u", 3, 2.0, urgent=True)
-        need.priority_rank = rank
-        chosen = preempt(need, {"m": capacity}, {"m": held}, RemainingQuota())
-        assert sorted(candidate.priority_rank for candidate in chosen) == others
+        request = make_request("u", 3, 2.0, urgent=True)
+        request.priority_rank = rank
+        chosen = preempt(request, {"m": capacity}, {"m": candidates}, RemainingQuota())
+        assert sorted(candidate.priority_rank for candidate in chosen) == preempted_ranks
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -37,9 +37,9 @@
     are removed. Machines with the least loss for the capacity of one task come first.
     """
     selection = _VictimSelection(request, capacities, candidates, remaining_quota)
-    selection.stop_own_team()
+    selection.preempt_own_team()
     if request.count > 0 and remaining_quota.cpus + EPSILON >= request.cpus:
-        selection.stop_by_machine()
+        selection.preempt_by_machine()
     return selection.chosen
 
 
@@ -86,35 +86,35 @@
         # Heap of machines by the loss, weighted by cores, for one task's capacity; ties in the order of `candidates`.
         self._machines_by_loss: list[tuple[float, int, str]] = []
 
-    def stop_own_team(self) -> None:
+    def preempt_own_team(self) -> None:
         """Free quota of a team that is at its limit by preempting its own tasks on any machine."""
         request, quota = self._request, self._remaining_quota
         if quota.cpus + EPSILON >= request.count * request.cpus:
             return
-        own = [
+        own_candidates = [
             candidate
-            for held in self._candidates.values()
-            for candidate in held
+            for machine_candidates in self._candidates.values()
+            for candidate in machine_candidates
             if candidate.team == request.team and candidate.priority_rank > request.priority_rank
         ]
-        own.sort(key=lambda candidate: candidate.loss)
-        for candidate in own:
+        own_candidates.sort(key=lambda candidate: candidate.loss)
+        for candidate in own_candidates:
             if quota.cpus + EPSILON >= request.count * request.cpus:
                 break
             quota.cpus += candidate.cpus
             quota.gpus += candidate.gpus
-            self._stop(candidate)
+            self._preempt(candidate)
         if self.chosen:
             place([request], self._capacities.values(), {request.team: quota})
 
-    def stop_by_machine(self) -> None:
+    def preempt_by_machine(self) -> None:
         """Free capacity for one task after another, each on the machine with the least loss.
 
         The loss of a machine is computed again only after the machine was chosen, as all others stay the same.
         """
         request, quota = self._request, self._remaining_quota
         for order, name in enumerate(self._candidates):
-            self._offer(order, name)
+            self._push_machine(order, name)
         while self._machines_by_loss and request.count > 0 and quota.cpus + EPSILON >= request.cpus:
             _, order, name = heapq.heappop(self._machines_by_loss)
             capacity = self._capacities[name]
@@ -126,11 +126,11 @@
             if victims is None:
                 continue
             for candidate in victims:
-                self._stop(candidate)
+                self._preempt(candidate)
             assign_tasks(request, capacity, quota, 1)
-            self._offer(order, name)
+            self._push_machine(order, name)
 
-    def _offer(self, order: int, name: str) -> None:
+    def _push_machine(self, order: int, name: str) -> None:
         request, capacity = self._request, self._capacities.get(name)
         if (
             capacity is None
@@ -143,7 +143,7 @@
             loss = sum(candidate.loss.total_seconds() * candidate.cpus for candidate in victims)
             heapq.heappush(self._machines_by_loss, (loss, order, name))
 
-    def _stop(self, candidate: PreemptionCandidate) -> None:
+    def _preempt(self, candidate: PreemptionCandidate) -> None:
         self._candidates[candidate.machine].remove(candidate)
         capacity = self._capacities.get(candidate.machine)
         if capacity is not None:
