--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -50,13 +50,13 @@
         self._deferrable_pool.scale_in(view)
         self._deferrable.run(view)
         urgent_cores = self._urgent_band.urgent_cores(view)
-        self._urgent_band.run(view, urgent_cores, self._services.services_run)
+        self._urgent_band.run(view, urgent_cores, self._services.has_services)
         self._draining.run(view, urgent_cores, self._urgent_band.min_share)
 
     def _view(self) -> RoundView:
         now = self._clock()
-        serving: dict[InstanceKind, list[Machine]] = {}
+        machines_by_kind: dict[InstanceKind, list[Machine]] = {}
         for machine in self._cluster.machines.values():
             if machine.provides_capacity(now):
-                serving.setdefault(machine.kind, []).append(machine)
-        return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), serving)
+                machines_by_kind.setdefault(machine.kind, []).append(machine)
+        return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), machines_by_kind)
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -32,7 +32,7 @@
     requests: list[TaskRequest]
     remaining_quotas: Mapping[str, RemainingQuota]
     # Machines that accept tasks now or soon, by kind.
-    serving: Mapping[InstanceKind, list[Machine]]
+    machines_by_kind: Mapping[InstanceKind, list[Machine]]
 
     def usable_cores(self, requests: Iterable[TaskRequest]) -> float:
         """Return the cores that the requests could use at once within their teams' quotas."""
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -24,14 +24,14 @@
 # Tasks whose deadlines are in the same interval of this length form one group.
 GROUP_SPAN = seconds(20)
 # A group should end within this fraction of its time to the deadline, as estimates are rough and starts take time.
-DEADLINE_MARGIN = 0.6
+DEADLINE_FRACTION = 0.6
 # Work that can no longer meet its deadline should end within this many times its shortest possible time.
-UNSAVABLE_DEADLINE_FACTOR = 1.5
+INFEASIBLE_DEADLINE_FACTOR = 1.5
 # A machine without a heartbeat within this many times its boot time is not counted as supply.
 MAX_BOOT_TIME_FACTOR = 2
 
 
-class _Needs(NamedTuple):
+class _Requirements(NamedTuple):
     """The requirements of a task that determine which machines can run it, except for memory."""
 
     machine_types: frozenset[str] | None
@@ -41,7 +41,7 @@
     gpus: float
 
 
-class _MachineShare(msgspec.Struct):
+class _MachineSet(msgspec.Struct):
     """Names of machines that can run the same requests, those requests, and the urgent ones placed ahead of them."""
 
     machines: set[str]
@@ -63,47 +63,50 @@
     def run(self, view: RoundView) -> None:
         """Check the deadline groups on each set of machines, and request missing instances."""
         running = RunningWork(self._cluster, self._run_times, view.now)
-        for share in self._machine_shares(view):
-            self._scale_out_for(share, view, running)
+        for machine_set in self._machine_sets(view):
+            self._scale_out_for(machine_set, view, running)
 
-    def _machine_shares(self, view: RoundView) -> list[_MachineShare]:
+    def _machine_sets(self, view: RoundView) -> list[_MachineSet]:
         """Partition the waiting requests by the machines that can run them.
 
         Cores count only for work that may use them, so requests that can run on the same machines are checked
         together. Otherwise, a group that can't start at all would appear to be on time because of cores of the
         wrong kind, or of machines too small for a task.
         """
-        by_needs: dict[_Needs, list[TaskRequest]] = {}
+        by_requirements: dict[_Requirements, list[TaskRequest]] = {}
         for request in view.requests:
-            needs = _Needs(request.machine_types, request.zone, request.spot, request.cpus, request.gpus)
-            by_needs.setdefault(needs, []).append(request)
-        shares: dict[tuple[str, ...], _MachineShare] = {}
+            requirements = _Requirements(request.machine_types, request.zone, request.spot, request.cpus, request.gpus)
+            by_requirements.setdefault(requirements, []).append(request)
+        machine_sets: dict[tuple[str, ...], _MachineSet] = {}
         urgent: list[tuple[set[str], list[TaskRequest]]] = []
-        for alike in by_needs.values():
-            machines = self._suitable_machines(alike[0], view)
+        for matching in by_requirements.values():
+            machines = self._suitable_machines(matching[0], view)
             machine_names = set(machines)
             # UrgentBand scales out for urgent requests, unless no machine can run them at all; they are placed
             # ahead of the deferrable ones. ServiceScaling scales out for replicas, which have no deadline.
             waiting = [
                 request
-                for request in alike
+                for request in matching
                 if not self._job(request).is_service and (not request.urgent or not machines)
             ]
             if waiting:
-                shares.setdefault(machines, _MachineShare(machine_names)).waiting.extend(waiting)
+                machine_sets.setdefault(machines, _MachineSet(machine_names)).waiting.extend(waiting)
             if machines:
-                urgent.append((machine_names, [request for request in alike if request.urgent]))
-        for share in shares.values():
-            share.urgent = [
-                request for names, requests in urgent if not share.machines.isdisjoint(names) for request in requests
+                urgent.append((machine_names, [request for request in matching if request.urgent]))
+        for machine_set in machine_sets.values():
+            machine_set.urgent = [
+                request
+                for names, requests in urgent
+                if not machine_set.machines.isdisjoint(names)
+                for request in requests
             ]
-        return list(shares.values())
+        return list(machine_sets.values())
 
     def _suitable_machines(self, request: TaskRequest, view: RoundView) -> tuple[str, ...]:
         """Return the machines, up or booting, that the request allows and that are large enough for a task."""
         return tuple(
             machine.name
-            for kind, machines in view.serving.items()
+            for kind, machines in view.machines_by_kind.items()
             if is_allowed(request, kind.machine_type, kind.zone, kind.spot)
             and request.cpus <= machines[0].cpus
             and request.gpus <= machines[0].gpus
@@ -111,24 +114,24 @@
             for machine in machines
         )
 
-    def _scale_out_for(self, share: _MachineShare, view: RoundView, running: RunningWork) -> None:
-        offers = self._offers.for_requests(share.waiting)
+    def _scale_out_for(self, machine_set: _MachineSet, view: RoundView, running: RunningWork) -> None:
+        offers = self._offers.for_requests(machine_set.waiting)
         if not offers:
             return
         inexpensive = self._offers.without_expensive(offers)
         # Expensive instances are requested only for work that would miss its latest deadline without them, or
         # that no machine can run at all.
-        last_resort = not inexpensive and bool(share.machines)
+        use_latest_deadline = not inexpensive and bool(machine_set.machines)
         offers = inexpensive or offers
         boot_s = min(offer.boot_s for offer in offers)
-        groups, usable = self._deadline_groups(share.waiting, view, running, boot_s, last_resort)
-        supplies = self._supplies(share, view)
-        held_cores, core_seconds_ahead = running.on_machines(share.machines)
-        for request in share.urgent:
+        groups, usable = self._deadline_groups(machine_set.waiting, view, running, boot_s, use_latest_deadline)
+        supplies = self._supplies(machine_set, view)
+        running_cores, core_seconds_ahead = running.on_machines(machine_set.machines)
+        for request in machine_set.urgent:
             job = self._job(request)
             if not job.is_service:
                 core_seconds_ahead += request.count * request.cpus * running.task_time_s(job)
-        usable += view.usable_cores(share.urgent) + held_cores - sum(supply.cores for supply in supplies)
+        usable += view.usable_cores(machine_set.urgent) + running_cores - sum(supply.cores for supply in supplies)
         backlog = DeferrableBacklog(groups, core_seconds_ahead, usable)
         chosen = fewest_instances(backlog, supplies, offers, MAX_INSTANCES_PER_ROUND)
         if chosen:
@@ -141,11 +144,11 @@
         view: RoundView,
         running: RunningWork,
         boot_s: float,
-        last_resort: bool,
+        use_latest_deadline: bool,
     ) -> tuple[list[DeadlineGroup], float]:
         """Return the waiting tasks grouped by deadline, and the cores that they could use at once.
 
-        With `last_resort`, apply the latest deadlines, and leave out tasks that can no longer meet them.
+        With `use_latest_deadline`, apply the latest deadlines, and leave out tasks that can no longer meet them.
         """
         group_by_span: dict[int, DeadlineGroup] = {}
         team_cores: dict[str, float] = {}
@@ -158,14 +161,14 @@
             # A team at its quota can use all of it again once its running tasks end.
             usable = max(min(self._scheduler.cpu_quota(request.team), request.count * request.cpus), request.cpus)
             core_seconds = request.count * request.cpus * task_time_s
-            time_allowed = job.latest_deadline if last_resort else job.target_deadline * DEADLINE_MARGIN
+            time_allowed = job.latest_deadline if use_latest_deadline else job.target_deadline * DEADLINE_FRACTION
             due_s = (job.submitted_at + time_allowed - view.now).total_seconds()
-            soonest_s = boot_s + max(task_time_s, core_seconds / usable)
-            if due_s < soonest_s:
-                if last_resort:
+            min_completion_s = boot_s + max(task_time_s, core_seconds / usable)
+            if due_s < min_completion_s:
+                if use_latest_deadline:
                     continue
                 # The deadline is missed in any case; a later one keeps the tasks from waiting indefinitely.
-                due_s = soonest_s * UNSAVABLE_DEADLINE_FACTOR
+                due_s = min_completion_s * INFEASIBLE_DEADLINE_FACTOR
             span = math.floor(due_s / GROUP_SPAN.total_seconds())
             group = group_by_span.setdefault(span, DeadlineGroup(due_s, 0.0, 0.0, 0.0))
             group.due_s = min(group.due_s, due_s)
@@ -174,14 +177,14 @@
             group.usable_cores += usable
         return [group_by_span[span] for span in sorted(group_by_span)], sum(team_cores.values())
 
-    def _supplies(self, share: _MachineShare, view: RoundView) -> list[CoreSupply]:
+    def _supplies(self, machine_set: _MachineSet, view: RoundView) -> list[CoreSupply]:
         """Return the cores available to the requests, now or once machines have booted."""
         supplies = [
             supply
             for machine in self._cluster.machines.values()
-            if machine.name in share.machines and (supply := self._supply(machine, view)) is not None
+            if machine.name in machine_set.machines and (supply := self._supply(machine, view)) is not None
         ]
-        sample = share.waiting[0]
+        sample = machine_set.waiting[0]
         for pending, machine_type in self._offers.pending():
             if is_allowed(sample, pending.kind.machine_type, pending.kind.zone, pending.kind.spot):
                 supplies.append(CoreSupply(machine_type.boot_s * BOOT_TIME_FACTOR, machine_type.cpus * pending.count))
--- a/src/elmthread/autoscaling/draining.py
+++ b/src/elmthread/autoscaling/draining.py
@@ -17,7 +17,7 @@
 RELOCATION_PRICE_RATIO = 1.4
 MIN_RUN_TIME_BEFORE_RELOCATION = seconds(30)
 # How long a machine drains before its replicas are moved to other machines.
-MAX_DRAINING_FOR_REPLICAS = seconds(600)
+MAX_REPLICA_DRAIN_TIME = seconds(600)
 
 
 class Draining:
@@ -35,26 +35,26 @@
         fit elsewhere, they are moved. This deviates from the design, in which machines empty only as tasks end:
         long tasks would keep expensive machines running for minutes.
         """
-        serving = [m for m in self._cluster.machines.values() if m.is_schedulable]
+        schedulable = [m for m in self._cluster.machines.values() if m.is_schedulable]
         # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count as demand.
         demand = sum(m.cpus_used for m in self._cluster.up_machines()) + view.usable_cores(view.requests)
         needed = max(demand * CAPACITY_FACTOR, urgent_cores / min_urgent_share)
-        spare = 0.0
+        spare_cores = 0.0
         # Among equally expensive machines, the fullest are kept, as the others will be empty sooner.
-        serving.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
-        for machine in serving:
-            _mark(machine, needed <= 0 and not machine.reserved, view.now)
+        schedulable.sort(key=lambda m: (round(m.price_per_core, 3), -m.cpus_used, m.name))
+        for machine in schedulable:
+            _set_draining(machine, needed <= 0 and not machine.reserved, view.now)
             needed -= machine.cpus
             if not machine.draining:
-                spare += machine.free_cpus
+                spare_cores += machine.free_cpus
             elif (
                 machine.allocations
-                and machine.cpus_used <= spare
-                and machine.price_per_core >= RELOCATION_PRICE_RATIO * serving[0].price_per_core
+                and machine.cpus_used <= spare_cores
+                and machine.price_per_core >= RELOCATION_PRICE_RATIO * schedulable[0].price_per_core
             ):
-                spare -= machine.cpus_used
+                spare_cores -= machine.cpus_used
                 self._relocate_tasks(machine, view.now)
-            elif machine.draining_since is not None and view.now - machine.draining_since > MAX_DRAINING_FOR_REPLICAS:
+            elif machine.draining_since is not None and view.now - machine.draining_since > MAX_REPLICA_DRAIN_TIME:
                 self._relocate_replicas(machine)
 
     def _relocate_tasks(self, machine: Machine, now: timedelta) -> None:
@@ -85,7 +85,7 @@
                 allocation.stop_mode = StopMode.CHECKPOINT
 
 
-def _mark(machine: Machine, draining: bool, now: timedelta) -> None:
+def _set_draining(machine: Machine, draining: bool, now: timedelta) -> None:
     machine.draining = draining
     if not draining:
         machine.draining_since = None
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -103,7 +103,11 @@
 
     def without_expensive(self, offers: Sequence[InstanceOffer]) -> list[InstanceOffer]:
         """Return the offers that are not expensive compared with the cheapest kind, which may be unavailable."""
-        cheapest = min(kind.spot_price / kind.cpus for kind in self._catalog.types.values() if kind.cpus)
+        cheapest = min(
+            machine_type.spot_price / machine_type.cpus
+            for machine_type in self._catalog.types.values()
+            if machine_type.cpus
+        )
         return [offer for offer in offers if not offer.is_expensive(cheapest)]
 
     def request(self, chosen: Sequence[InstanceOffer], for_deferrable_pool: bool) -> None:
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -11,9 +11,9 @@
 from elmthread.autoscaling.lateness import (
     CoreSupply,
     DeadlineGroup,
+    infeasible_groups,
     late_groups,
     merge_supplies,
-    unsavable_groups,
 )
 
 # Maximum number of lateness checks for finding cheaper instances.
@@ -43,17 +43,17 @@
     if not offers or not backlog.groups:
         return []
     check = _LatenessCheck(backlog, supplies, min(offer.boot_s for offer in offers))
-    if check.leaves_none_late([]):
+    if check.meets_deadlines([]):
         return []
     ranked = _largest_first(offers, backlog.usable_cores, max_count)
-    if not ranked or not check.leaves_none_late(ranked):
+    if not ranked or not check.meets_deadlines(ranked):
         return ranked
     # More machines never make a group late, so the shortest sufficient prefix is found by binary search.
     low, high = 0, len(ranked)
     while high - low > 1:
         middle = (low + high) // 2
-        low, high = (low, middle) if check.leaves_none_late(ranked[:middle]) else (middle, high)
-    return _with_cheaper(ranked[:high], offers, check)
+        low, high = (low, middle) if check.meets_deadlines(ranked[:middle]) else (middle, high)
+    return _substitute_cheaper(ranked[:high], offers, check)
 
 
 def cover_shortfall(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
@@ -75,13 +75,13 @@
     def __init__(self, backlog: DeferrableBacklog, supplies: Sequence[CoreSupply], boot_s: float) -> None:
         self._backlog = backlog
         self._supplies = merge_supplies(supplies)
-        self._unsavable = unsavable_groups(backlog.groups, boot_s)
+        self._infeasible = infeasible_groups(backlog.groups, boot_s)
 
-    def leaves_none_late(self, chosen: Sequence[InstanceOffer]) -> bool:
+    def meets_deadlines(self, chosen: Sequence[InstanceOffer]) -> bool:
         """Return whether all feasible groups meet their deadlines with these instances."""
         added = [CoreSupply(offer.boot_s, offer.cores) for offer in chosen]
         return not late_groups(
-            self._backlog.groups, [*self._supplies, *added], self._backlog.core_seconds_ahead, self._unsavable
+            self._backlog.groups, [*self._supplies, *added], self._backlog.core_seconds_ahead, self._infeasible
         )
 
 
@@ -107,7 +107,7 @@
     return chosen
 
 
-def _with_cheaper(
+def _substitute_cheaper(
     chosen: list[InstanceOffer], offers: Sequence[InstanceOffer], check: _LatenessCheck
 ) -> list[InstanceOffer]:
     """Replace as many instances with cheaper ones as possible without making a feasible group late."""
@@ -121,7 +121,7 @@
             while high - low > 1 and trials_left > 0:
                 trials_left -= 1
                 middle = (low + high) // 2
-                if check.leaves_none_late(_replaced(chosen, current, cheaper, middle)):
+                if check.meets_deadlines(_replaced(chosen, current, cheaper, middle)):
                     low = middle
                 else:
                     high = middle
--- a/src/elmthread/autoscaling/lateness.py
+++ b/src/elmthread/autoscaling/lateness.py
@@ -82,6 +82,6 @@
     ]
 
 
-def unsavable_groups(groups: Sequence[DeadlineGroup], boot_s: float) -> frozenset[int]:
+def infeasible_groups(groups: Sequence[DeadlineGroup], boot_s: float) -> frozenset[int]:
     """Return the indices of the groups that would be late even if unlimited machines were requested now."""
     return frozenset(index for index, group in enumerate(groups) if boot_s + group.min_duration_s > group.due_s)
--- a/src/elmthread/autoscaling/replica_room.py
+++ b/src/elmthread/autoscaling/replica_room.py
@@ -38,23 +38,23 @@
         return (cores - lowest) / max(now - lowest_at, MIN_TREND_TIME).total_seconds()
 
 
-def unplaced(
+def unplaced_requests(
     requests: Iterable[TaskRequest], capacities: Sequence[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[TaskRequest]:
     """Return what the quotas allow but `capacities` have no room for; both are reduced by what fits."""
-    left = [
+    remaining = [
         replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
         for request in requests
     ]
-    place(left, capacities, remaining_quotas)
+    place(remaining, capacities, remaining_quotas)
     return [
         request
-        for request in left
+        for request in remaining
         if request.count > 0 and remaining_quotas[request.team].cpus + EPSILON >= request.cpus
     ]
 
 
-def instances_for(
+def instances_for_replicas(
     requests: Iterable[TaskRequest],
     offers: Sequence[InstanceOffer],
     remaining_quotas: dict[str, RemainingQuota],
--- a/src/elmthread/autoscaling/running_work.py
+++ b/src/elmthread/autoscaling/running_work.py
@@ -11,10 +11,10 @@
 from elmthread.cluster.state import ClusterState
 
 # Minimum remaining time of a running task, as a fraction of its expected run time.
-MIN_REMAINING_PART = 0.2
+MIN_REMAINING_FRACTION = 0.2
 
 
-class HeldWork(NamedTuple):
+class AllocatedWork(NamedTuple):
     """Cores allocated to tasks, and the core-seconds that these tasks still need."""
 
     cores: float
@@ -30,7 +30,7 @@
         self._run_times = run_times
         self._now = now
         self._task_time_s: dict[str, float] = {}
-        self._held: dict[str, HeldWork] = {}
+        self._by_machine: dict[str, AllocatedWork] = {}
 
     def task_time_s(self, job: Job) -> float:
         """Return how long a task of the job is expected to run."""
@@ -39,28 +39,30 @@
             task_time_s = self._task_time_s[job.id] = self._run_times.expected(job).total_seconds()
         return task_time_s
 
-    def on_machines(self, names: Iterable[str]) -> HeldWork:
+    def on_machines(self, names: Iterable[str]) -> AllocatedWork:
         """Return the allocated cores and remaining work of tasks on these machines, except replicas."""
         cores = core_seconds = 0.0
         for name in names:
-            held = self._held.get(name)
-            if held is None:
-                held = self._held[name] = self._on_machine(self._cluster.machines[name])
-            cores += held.cores
-            core_seconds += held.core_seconds
-        return HeldWork(cores, core_seconds)
+            work = self._by_machine.get(name)
+            if work is None:
+                work = self._by_machine[name] = self._on_machine(self._cluster.machines[name])
+            cores += work.cores
+            core_seconds += work.core_seconds
+        return AllocatedWork(cores, core_seconds)
 
-    def _on_machine(self, machine: Machine) -> HeldWork:
+    def _on_machine(self, machine: Machine) -> AllocatedWork:
         cores = core_seconds = 0.0
         for allocation in machine.allocations.values():
             if not allocation.job.is_service:
                 cpus = allocation.job.spec.cpus
                 cores += cpus
                 core_seconds += cpus * self._time_left_s(allocation)
-        return HeldWork(cores, core_seconds)
+        return AllocatedWork(cores, core_seconds)
 
     def _time_left_s(self, allocation: Allocation) -> float:
-        whole_s = self.task_time_s(allocation.job)
+        run_time_s = self.task_time_s(allocation.job)
         if allocation.started_at is None:
-            return whole_s
-        return max(whole_s - (self._now - allocation.started_at).total_seconds(), whole_s * MIN_REMAINING_PART)
+            return run_time_s
+        return max(
+            run_time_s - (self._now - allocation.started_at).total_seconds(), run_time_s * MIN_REMAINING_FRACTION
+        )
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -18,9 +18,9 @@
 from elmthread.autoscaling.replica_room import (
     DemandTrend,
     ReplicaCapacity,
-    instances_for,
+    instances_for_replicas,
     machines_to_reserve,
-    unplaced,
+    unplaced_requests,
 )
 from elmthread.autoscaling.urgent_band import MIN_URGENT_SHARE, BandDecision, band_decision
 from elmthread.cluster.job import Job
@@ -34,9 +34,9 @@
 class _OnDemandNeed(msgspec.Struct, frozen=True):
     """The cores of on-demand machines that services need."""
 
-    booked: float
-    soon: float  # expected need when an instance requested now is up
-    largest_job: float  # of all replicas of the largest service
+    current_cores: float
+    projected_cores: float  # expected need when an instance requested now is up
+    largest_job_cores: float  # of all replicas of the largest service
 
 
 class ServiceScaling:
@@ -44,7 +44,7 @@
 
     def __init__(self, context: ScalingContext) -> None:
         """Assume that no services run until the first round."""
-        self.services_run = False
+        self.has_services = False
         self._cluster = context.cluster
         self._scheduler = context.scheduler
         self._operators = context.operators
@@ -55,7 +55,7 @@
     def run(self, view: RoundView) -> None:
         """Request instances for replicas, and mark the machines to keep in reserve for them."""
         services = [job for job in self._cluster.open_jobs.values() if job.is_service]
-        self.services_run = bool(services)
+        self.has_services = bool(services)
         if not services:
             self._trend.growth(view.now, 0.0)
             for machine in self._cluster.machines.values():
@@ -69,17 +69,17 @@
         ]
         # Room is kept for one more service like the largest one, in the zones that it may use.
         largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
-        self._request_room([*waiting, self._whole_job(largest)], view.now)
+        self._scale_out_for_replicas([*waiting, self._request_for_all_tasks(largest)], view.now)
         on_demand_machines = [
             m for m in self._cluster.machines.values() if not m.spot and m.provides_capacity(view.now)
         ]
-        spot_excluded = [job for job in services if not job.spec.spot]
+        on_demand_only = [job for job in services if not job.spec.spot]
         need = self._on_demand_need(waiting, on_demand_machines, largest, view.now)
-        if spot_excluded:
-            self._hold_band(spot_excluded, need, on_demand_machines)
-        self._reserve(on_demand_machines, need if spot_excluded else None)
+        if on_demand_only:
+            self._keep_in_band(on_demand_only, need, on_demand_machines)
+        self._mark_reserved(on_demand_machines, need if on_demand_only else None)
 
-    def _whole_job(self, job: Job) -> TaskRequest:
+    def _request_for_all_tasks(self, job: Job) -> TaskRequest:
         """Return a request for all tasks of the job, as if none of them were placed."""
         return replace(
             self._scheduler.request_for_one_task(job),
@@ -89,16 +89,16 @@
             excluded_machines=(),
         )
 
-    def _request_room(self, waiting: Sequence[TaskRequest], now: timedelta) -> None:
+    def _scale_out_for_replicas(self, waiting: Sequence[TaskRequest], now: timedelta) -> None:
         """Request instances for replicas that fit neither on present nor on expected machines."""
         remaining_quotas = self._scheduler.remaining_quotas()
-        left = unplaced(waiting, self._coming_capacity(waiting, now), remaining_quotas)
-        if left:
-            offers = self._offers.for_requests(left)
-            chosen = instances_for(left, offers, remaining_quotas, MAX_INSTANCES_PER_ROUND)
+        remaining = unplaced_requests(waiting, self._expected_capacity(waiting, now), remaining_quotas)
+        if remaining:
+            offers = self._offers.for_requests(remaining)
+            chosen = instances_for_replicas(remaining, offers, remaining_quotas, MAX_INSTANCES_PER_ROUND)
             self._offers.request(chosen, for_deferrable_pool=False)
 
-    def _coming_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
+    def _expected_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
         """Return the capacity for replicas after preempting deferrable tasks and booting pending machines."""
         capacities = [
             _capacity_for_replicas(machine)
@@ -125,15 +125,17 @@
     def _on_demand_need(
         self, waiting: Sequence[TaskRequest], on_demand_machines: Sequence[Machine], largest: Job, now: timedelta
     ) -> _OnDemandNeed:
-        booked = sum(m.service_cpus for m in on_demand_machines)
-        booked += usable_cores([request for request in waiting if not request.spot], self._scheduler.remaining_quotas())
+        current_cores = sum(m.service_cpus for m in on_demand_machines)
+        current_cores += usable_cores(
+            [request for request in waiting if not request.spot], self._scheduler.remaining_quotas()
+        )
         max_boot_s = max(machine_type.boot_s for machine_type in self._catalog.types.values())
-        boot = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.urgent_share_check_interval
-        soon = booked + self._trend.growth(now, booked) * boot.total_seconds()
-        return _OnDemandNeed(booked, soon, largest.task_count * largest.spec.cpus)
+        boot_time = seconds(max_boot_s * BOOT_TIME_FACTOR) + self._operators.urgent_share_check_interval
+        projected_cores = current_cores + self._trend.growth(now, current_cores) * boot_time.total_seconds()
+        return _OnDemandNeed(current_cores, projected_cores, largest.task_count * largest.spec.cpus)
 
-    def _hold_band(
-        self, spot_excluded: Sequence[Job], need: _OnDemandNeed, on_demand_machines: Sequence[Machine]
+    def _keep_in_band(
+        self, on_demand_only: Sequence[Job], need: _OnDemandNeed, on_demand_machines: Sequence[Machine]
     ) -> None:
         """Request on-demand instances if the share of replicas is above the band, or too few cores are expected."""
         theta, delta = self._operators.target_urgent_share, self._operators.urgent_share_tolerance
@@ -143,22 +145,25 @@
             for pending, machine_type in self._offers.pending()
             if not pending.kind.spot
         )
-        decision = band_decision(need.booked, cores, theta, delta)
-        if decision is BandDecision.SCALE_OUT or need.soon > cores:
-            offers = self._offers.for_requests([self._scheduler.request_for_one_task(job) for job in spot_excluded])
-            shortfall = max(need.booked / theta, need.soon) - cores
+        decision = band_decision(need.current_cores, cores, theta, delta)
+        if decision is BandDecision.SCALE_OUT or need.projected_cores > cores:
+            offers = self._offers.for_requests([self._scheduler.request_for_one_task(job) for job in on_demand_only])
+            shortfall = max(need.current_cores / theta, need.projected_cores) - cores
             chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
             self._offers.request(chosen, for_deferrable_pool=False)
 
-    def _reserve(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
+    def _mark_reserved(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
         """Mark the machines to reserve: first those that run the most replica cores, then the cheapest."""
         needed = 0.0
         if need is not None:
-            booked, min_share = (
-                need.booked,
+            current_cores, min_share = (
+                need.current_cores,
                 max(self._operators.target_urgent_share - self._operators.urgent_share_tolerance, MIN_URGENT_SHARE),
             )
-            needed = max(booked / min_share, need.soon, booked + need.largest_job) - booked
+            needed = (
+                max(current_cores / min_share, need.projected_cores, current_cores + need.largest_job_cores)
+                - current_cores
+            )
         on_demand_machines.sort(key=lambda m: (-m.service_cpus, m.price_per_core, m.name))
         reserved = machines_to_reserve(
             (ReplicaCapacity(m.name, m.zone, m.cpus - m.urgent_cpus) for m in on_demand_machines), needed
@@ -169,13 +174,13 @@
 
 def _capacity_for_replicas(machine: Machine) -> FreeCapacity:
     """Return the capacity left by urgent tasks, whose GPUs and memory are estimated by their share of the used CPUs."""
-    urgent_part = machine.urgent_cpus / machine.cpus_used if machine.cpus_used else 0.0
+    urgent_fraction = machine.urgent_cpus / machine.cpus_used if machine.cpus_used else 0.0
     return FreeCapacity(
         machine.name,
         machine.machine_type,
         machine.zone,
         machine.spot,
         machine.cpus - machine.urgent_cpus,
-        machine.gpus - machine.gpus_used * urgent_part,
-        machine.memory_gb - machine.memory_gb_used * urgent_part,
+        machine.gpus - machine.gpus_used * urgent_fraction,
+        machine.memory_gb - machine.memory_gb_used * urgent_fraction,
     )
--- a/src/elmthread/autoscaling/tests/test_instance_selection.py
+++ b/src/elmthread/autoscaling/tests/test_instance_selection.py
@@ -7,9 +7,9 @@
 
 from elmthread.autoscaling.instance_offers import InstanceOffer
 from elmthread.autoscaling.instance_selection import DeferrableBacklog, cover_shortfall, fewest_instances
-from elmthread.autoscaling.lateness import CoreSupply, DeadlineGroup, group_end_times_s, unsavable_groups
+from elmthread.autoscaling.lateness import CoreSupply, DeadlineGroup, group_end_times_s, infeasible_groups
 
-steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+deterministic = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
 deadline_groups = st.lists(
@@ -30,21 +30,24 @@
 ]
 
 
-@steady
+@deterministic
 @given(deadline_groups, st.integers(0, 4), st.integers(0, 40))
 def test_fewest_instances_are_fewest(groups: list[DeadlineGroup], cores: int, core_seconds_ahead: int) -> None:
     supplies = [CoreSupply(0.0, float(cores))] if cores else []
-    skip = unsavable_groups(groups, 5.0)
+    infeasible = infeasible_groups(groups, 5.0)
     chosen = fewest_instances(
         DeferrableBacklog(groups, float(core_seconds_ahead), 1000.0), supplies, OFFERS, max_count=4
     )
 
     def is_sufficient(machines: tuple[InstanceOffer, ...]) -> bool:
-        more = [CoreSupply(offer.boot_s, offer.cores) for offer in machines]
-        found = group_end_times_s(groups, [*supplies, *more], float(core_seconds_ahead))
-        return all(end <= group.due_s or n in skip for n, (end, group) in enumerate(zip(found, groups, strict=True)))
+        added = [CoreSupply(offer.boot_s, offer.cores) for offer in machines]
+        end_times_s = group_end_times_s(groups, [*supplies, *added], float(core_seconds_ahead))
+        return all(
+            end <= group.due_s or n in infeasible
+            for n, (end, group) in enumerate(zip(end_times_s, groups, strict=True))
+        )
 
-    best = next(
+    fewest = next(
         (
             count
             for count in range(5)
@@ -52,10 +55,10 @@
         ),
         None,
     )
-    if best is None:
+    if fewest is None:
         assert len(chosen) == 4  # the maximum, although some groups are still late
     else:
-        assert len(chosen) == best and is_sufficient(tuple(chosen))
+        assert len(chosen) == fewest and is_sufficient(tuple(chosen))
 
 
 def test_requests_stay_within_what_waiting_tasks_can_use() -> None:
@@ -64,11 +67,11 @@
     assert fewest_instances(DeferrableBacklog(groups, 0.0, 0.0), [], OFFERS) == []
 
 
-@steady
+@deterministic
 @given(st.integers(0, 60))
 def test_a_shortfall_is_covered_by_the_fewest_instances(shortfall: int) -> None:
     chosen = cover_shortfall(OFFERS, float(shortfall), 50)
-    best = next(
+    fewest = next(
         count
         for count in itertools.count()
         if any(
@@ -76,7 +79,7 @@
             for selection in itertools.combinations_with_replacement(OFFERS, count)
         )
     )
-    assert len(chosen) == best and sum(offer.cores for offer in chosen) >= shortfall
+    assert len(chosen) == fewest and sum(offer.cores for offer in chosen) >= shortfall
     # The last instance is the cheapest that suffices.
     if chosen:
         missing = shortfall - sum(offer.cores for offer in chosen[:-1])
--- a/src/elmthread/autoscaling/tests/test_lateness.py
+++ b/src/elmthread/autoscaling/tests/test_lateness.py
@@ -5,10 +5,10 @@
 
 from elmthread.autoscaling.lateness import CoreSupply, DeadlineGroup, finish_time_s, group_end_times_s, merge_supplies
 
-steady = settings(max_examples=150, deadline=None, derandomize=True, database=None)
+deterministic = settings(max_examples=150, deadline=None, derandomize=True, database=None)
 
 
-def plain_finish(work: float, supplies: list[CoreSupply]) -> float:
+def simulated_finish_s(work: float, supplies: list[CoreSupply]) -> float:
     """Return the finish time according to a simulation in small steps."""
     at, step = 0.0, 0.01
     while work > 1e-9 and at < 500:
@@ -17,13 +17,13 @@
     return at
 
 
-@steady
+@deterministic
 @given(
     st.integers(1, 60).map(float),
     st.lists(st.builds(CoreSupply, st.integers(0, 9).map(float), st.integers(1, 4).map(float)), min_size=1, max_size=4),
 )
-def test_finish_agrees_with_small_steps(work: float, supplies: list[CoreSupply]) -> None:
-    assert abs(finish_time_s(work, merge_supplies(supplies)) - plain_finish(work, supplies)) < 0.05
+def test_finish_time_agrees_with_a_simulation(work: float, supplies: list[CoreSupply]) -> None:
+    assert abs(finish_time_s(work, merge_supplies(supplies)) - simulated_finish_s(work, supplies)) < 0.05
 
 
 def test_a_group_is_never_faster_than_one_task_or_its_usable_cores() -> None:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -7,7 +7,7 @@
 import pytest
 
 from elmthread.autoscaling.deferrable_scaling import DeferrableScaling
-from elmthread.autoscaling.running_work import HeldWork, RunningWork
+from elmthread.autoscaling.running_work import AllocatedWork, RunningWork
 from elmthread.cluster.job import Job
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.leader import Leader
@@ -18,7 +18,7 @@
 from tests.world.world import World
 
 
-async def filled(world: World) -> Leader:
+async def start_loaded_leader(world: World) -> Leader:
     """Return a leader with running and waiting jobs of various kinds, on machines of all kinds."""
     for number in range(12):
         changes: dict[str, Any] = {"pieces": 20, "true_s": 40.0, "expected_s": 40.0}
@@ -32,30 +32,30 @@
     return world.leader.leader
 
 
-def test_a_round_estimates_each_job_once_and_sums_up_all_that_machines_hold(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_round_estimates_each_job_once_and_counts_all_work_on_machines(monkeypatch: pytest.MonkeyPatch) -> None:
     """Groups of jobs share machines, and summing up all tasks for each group again is too slow on small controllers."""
 
     async def script(world: World) -> None:
-        leader = await filled(world)
+        leader = await start_loaded_leader(world)
         autoscaler, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
-        asked: list[str] = []
+        estimated_jobs: list[str] = []
         expected = leader.run_times.expected
 
-        class Counted:
+        class RecordingRunTimes:
             """Run times that record each job that the autoscaler asks for."""
 
-            def expected(self, one: Job) -> timedelta:
-                asked.append(one.id)
-                return expected(one)
+            def expected(self, estimated_job: Job) -> timedelta:
+                estimated_jobs.append(estimated_job.id)
+                return expected(estimated_job)
 
-        monkeypatch.setattr(autoscaler._deferrable, "_run_times", Counted())
+        monkeypatch.setattr(autoscaler._deferrable, "_run_times", RecordingRunTimes())
         checked = 0
         suitable_machines, on_machines = DeferrableScaling._suitable_machines, RunningWork.on_machines
 
         def checked_machines(self: DeferrableScaling, request: Any, view: Any) -> tuple[str, ...]:
             nonlocal checked
             found = suitable_machines(self, request, view)
-            plain = {
+            expected_names = {
                 machine.name
                 for machine in cluster.machines.values()
                 if machine.provides_capacity(now)
@@ -64,28 +64,28 @@
                 and request.gpus <= machine.gpus
                 and request.memory_gb <= machine.memory_gb
             }
-            assert set(found) == plain and len(found) == len(plain)
+            assert set(found) == expected_names and len(found) == len(expected_names)
             checked += 1
             return found
 
-        def checked_sum(self: RunningWork, names: set[str]) -> HeldWork:
+        def checked_sum(self: RunningWork, names: set[str]) -> AllocatedWork:
             nonlocal checked
             cores, core_seconds = work = on_machines(self, names)
-            held = [
+            running = [
                 allocation
                 for name in names
                 for allocation in cluster.machines[name].allocations.values()
                 if not allocation.job.is_service
             ]
-            assert cores == pytest.approx(sum(allocation.job.spec.cpus for allocation in held))
-            plain = 0.0
-            for allocation in held:
-                whole = expected(allocation.job).total_seconds()
-                ran = 0.0 if allocation.started_at is None else (now - allocation.started_at).total_seconds()
-                plain += allocation.job.spec.cpus * (
-                    whole if allocation.started_at is None else max(whole - ran, whole * 0.2)
+            assert cores == pytest.approx(sum(allocation.job.spec.cpus for allocation in running))
+            expected_core_seconds = 0.0
+            for allocation in running:
+                run_time_s = expected(allocation.job).total_seconds()
+                elapsed_s = 0.0 if allocation.started_at is None else (now - allocation.started_at).total_seconds()
+                expected_core_seconds += allocation.job.spec.cpus * (
+                    run_time_s if allocation.started_at is None else max(run_time_s - elapsed_s, run_time_s * 0.2)
                 )
-            assert core_seconds == pytest.approx(plain)
+            assert core_seconds == pytest.approx(expected_core_seconds)
             checked += 1
             return work
 
@@ -93,37 +93,37 @@
         monkeypatch.setattr(RunningWork, "on_machines", checked_sum)
         autoscaler.run_round()
         assert checked > 4 and sum(len(machine.allocations) for machine in cluster.machines.values()) > 60
-        assert 0 < len(asked) == len(set(asked)) <= len(cluster.open_jobs)
+        assert 0 < len(estimated_jobs) == len(set(estimated_jobs)) <= len(cluster.open_jobs)
 
     day(script, machines=6)
 
 
 def test_only_suspect_machines_are_checked_one_by_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def script(world: World) -> None:
-        leader = await filled(world)
+        leader = await start_loaded_leader(world)
         await asyncio.sleep(10)
-        judged: list[Machine] = []
+        evaluated: list[Machine] = []
         release_expired = FailureDetector._release_expired
 
-        def noted(self: FailureDetector, machine: Machine, now: Any) -> None:
-            judged.append(machine)
+        def recording(self: FailureDetector, machine: Machine, now: Any) -> None:
+            evaluated.append(machine)
             release_expired(self, machine, now)
 
-        monkeypatch.setattr(FailureDetector, "_release_expired", noted)
+        monkeypatch.setattr(FailureDetector, "_release_expired", recording)
         up = [machine for machine in leader.cluster.machines.values() if machine.state is MachineState.UP]
         assert len(up) >= 6
         leader.machine_manager.failure_detector.check()
-        assert len(judged) <= 1
+        assert len(evaluated) <= 1
         # Silent, interrupted and quarantined machines are checked.
-        silent, noticed, quarantined = up[:3]
+        silent, interrupted, quarantined = up[:3]
         for node in world.nodes:
             world.cut_worker_links.add((silent.name, node))
-        noticed.interruption_at = leader.context.clock() * 2
+        interrupted.interruption_at = leader.context.clock() * 2
         quarantined.quarantined = True
         await asyncio.sleep(6)
-        judged.clear()
+        evaluated.clear()
         leader.machine_manager.failure_detector.check()
-        assert {silent.name, noticed.name, quarantined.name} <= {machine.name for machine in judged}
-        assert silent.heartbeat_overdue and not noticed.heartbeat_overdue
+        assert {silent.name, interrupted.name, quarantined.name} <= {machine.name for machine in evaluated}
+        assert silent.heartbeat_overdue and not interrupted.heartbeat_overdue
 
     day(script, machines=8, each=0)
--- a/src/elmthread/autoscaling/tests/test_running_work.py
+++ b/src/elmthread/autoscaling/tests/test_running_work.py
@@ -30,7 +30,7 @@
     return cluster.allocate(cluster.machines["m"], new, 0, number, AllocationState.RUNNING)
 
 
-def test_running_tasks_count_with_what_is_left_of_them_and_replicas_not_at_all(cluster: ClusterState) -> None:
+def test_running_tasks_count_with_their_remaining_work_and_replicas_not_at_all(cluster: ClusterState) -> None:
     not_started = allocate(cluster, 1, job(1, expected_s=40.0))
     half_done = allocate(cluster, 2, job(2, expected_s=40.0))
     half_done.started_at = NOW - seconds(20)
@@ -38,6 +38,6 @@
     overdue.started_at = NOW - seconds(90)
     allocate(cluster, 4, daemon(4))
     cpus = not_started.job.spec.cpus
-    held = RunningWork(cluster, RunTimeModel(), NOW).on_machines(["m"])
-    assert held.cores == 3 * cpus
-    assert held.core_seconds == pytest.approx(cpus * (40.0 + 20.0 + 8.0))
+    work = RunningWork(cluster, RunTimeModel(), NOW).on_machines(["m"])
+    assert work.cores == 3 * cpus
+    assert work.core_seconds == pytest.approx(cpus * (40.0 + 20.0 + 8.0))
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -64,12 +64,12 @@
 
     def urgent_cores(self, view: RoundView) -> float:
         """Return the urgent cores: those allocated, and those that waiting tasks could use within the quotas."""
-        booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
-        return booked + view.usable_cores(request for request in view.requests if request.urgent)
+        allocated = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
+        return allocated + view.usable_cores(request for request in view.requests if request.urgent)
 
-    def run(self, view: RoundView, urgent_cores: float, services_run: bool) -> None:
+    def run(self, view: RoundView, urgent_cores: float, has_services: bool) -> None:
         """Scale out or in if the urgent share is outside the band."""
-        self._track_theta(urgent_cores, view.now)
+        self._update_theta(urgent_cores, view.now)
         machines = [
             m
             for m in self._cluster.machines.values()
@@ -85,12 +85,12 @@
             case BandDecision.SCALE_OUT:
                 self._scale_out(view, urgent_cores, cores)
             case BandDecision.SCALE_IN:
-                unneeded = [m for m in machines if self._is_unneeded(m, view.now, services_run)]
+                unneeded = [m for m in machines if self._is_unneeded(m, view.now, has_services)]
                 self._scale_in(unneeded, urgent_cores, cores)
             case BandDecision.KEEP:
                 pass
 
-    def _track_theta(self, urgent_cores: float, now: timedelta) -> None:
+    def _update_theta(self, urgent_cores: float, now: timedelta) -> None:
         """Update theta to the mean-to-peak ratio of the urgent demand in the window, within its limits."""
         self._demand.append((now, urgent_cores))
         while self._demand[0][0] < now - DEMAND_WINDOW:
@@ -120,7 +120,7 @@
                 cores -= machine.cpus
                 self._machines.delete_machine(machine, DeletionReason.NOT_NEEDED)
 
-    def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
+    def _is_unneeded(self, machine: Machine, now: timedelta, has_services: bool) -> bool:
         """Return whether the machine has been empty for long enough to be deleted.
 
         While services run, an on-demand machine is kept for as long as another one would take to boot, as services
@@ -128,6 +128,6 @@
         """
         if not machine.is_schedulable or not machine.draining or machine.allocations:
             return False
-        is_kept_longer = services_run and not machine.spot
+        is_kept_longer = has_services and not machine.spot
         max_idle_time = boot_idle_time(machine, self._machines.catalog) if is_kept_longer else MIN_IDLE_TIME
         return now - machine.idle_since > max_idle_time
