--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -39,14 +39,14 @@
         leader = await start_loaded_leader(world)
         autoscaler, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
         estimated_jobs: list[str] = []
-        expected = leader.run_times.expected
+        expected_run_time = leader.run_times.expected_run_time
 
         class RecordingRunTimes:
             """Run times that record each job that the autoscaler asks for."""
 
-            def expected(self, estimated_job: Job) -> timedelta:
+            def expected_run_time(self, estimated_job: Job) -> timedelta:
                 estimated_jobs.append(estimated_job.id)
-                return expected(estimated_job)
+                return expected_run_time(estimated_job)
 
         monkeypatch.setattr(autoscaler._deferrable, "_run_times", RecordingRunTimes())
         checked = 0
@@ -80,7 +80,7 @@
             assert cores == pytest.approx(sum(allocation.job.spec.cpus for allocation in running))
             expected_core_seconds = 0.0
             for allocation in running:
-                run_time_s = expected(allocation.job).total_seconds()
+                run_time_s = expected_run_time(allocation.job).total_seconds()
                 elapsed_s = 0.0 if allocation.started_at is None else (now - allocation.started_at).total_seconds()
                 expected_core_seconds += allocation.job.spec.cpus * (
                     run_time_s if allocation.started_at is None else max(run_time_s - elapsed_s, run_time_s * 0.2)
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -75,12 +75,12 @@
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
         """Return whether that kind can't be requested now: its zone is cut off, or the cloud had no capacity."""
-        if kind.zone in self._zones.unreachable or self._zones.is_in_doubt(kind.zone):
+        if kind.zone in self._zones.unreachable or self._zones.is_own_link_suspect(kind.zone):
             return True
         refusal = self._refusals.get(kind)
         return refusal is not None and self._clock() < refusal.paused_until
 
-    def forget_refusal(self, kind: InstanceKind) -> None:
+    def clear_refusal(self, kind: InstanceKind) -> None:
         """Allow requests of that kind at once, as a machine of it was deleted or provisioned."""
         self._refusals.pop(kind, None)
 
@@ -116,7 +116,7 @@
         if len(names) < request.count:
             self._pause(request.kind)
         else:
-            self.forget_refusal(request.kind)
+            self.clear_refusal(request.kind)
 
     def _add_to_unsent(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> int:
         """Add instances to requests that have not been sent yet, to save calls; return how many were added."""
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -24,12 +24,12 @@
 
 
 class NullAssignmentSink:
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         pass
 
 
 class ConstantRunTimes(RunTimeModel):
-    def expected(self, job: Job) -> timedelta:
+    def expected_run_time(self, job: Job) -> timedelta:
         return RUN_TIME
 
 
