--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -18,16 +18,16 @@
 
 CONNECT_TIMEOUT = seconds(1)
 RECONNECT_DELAY = seconds(0.5)
-# The other side announces itself each second, so a connection that is idle for longer is dead.
+# The other side sends an announcement every second, so a connection that is idle for longer is considered dead.
 IDLE_TIMEOUT = seconds(2.8)
 
 
 class PeerUnreachableError(ElmthreadError):
-    """The other node did not respond; it may have acted all the same."""
+    """The other node did not respond, although it may have processed the request."""
 
 
 class ConnectionState(Enum):
-    """Whether a connection to another node stands."""
+    """The state of the connection to another node."""
 
     DOWN = auto()
     CONNECTING = auto()
@@ -42,7 +42,7 @@
 
 
 class PeerAddress(msgspec.Struct, frozen=True):
-    """Where a controller listens for the others."""
+    """The address at which a controller listens for the others."""
 
     node: str
     host: str
@@ -55,7 +55,7 @@
     def __init__(
         self, address: PeerAddress, handler: PeerMessageHandler, rejected: RejectedFrames, max_pending: int
     ) -> None:
-        """`max_pending` requests may wait for a response."""
+        """Allow at most `max_pending` requests to wait for a response."""
         self.node = address.node
         self._address = address
         self._handler = handler
@@ -70,7 +70,7 @@
         self.state = transition(f"connection to {self.node}", CONNECTION_STEPS, self.state, state)
 
     async def run(self) -> None:
-        """Connect, and connect again whenever the connection ends, until cancelled."""
+        """Connect, and reconnect whenever the connection ends, until cancelled."""
         while True:
             self._set_state(ConnectionState.CONNECTING)
             try:
@@ -83,14 +83,14 @@
             await asyncio.sleep(RECONNECT_DELAY.total_seconds())
 
     async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Return when the connection has ended; requests without a response fail then."""
+        """Receive messages until the connection ends, then fail the pending requests."""
         self._writer = writer
         self._set_state(ConnectionState.UP)
         self.announce()
         try:
             await receive_messages(reader, self.node, self._receive, IDLE_TIMEOUT, self._rejected)
         except (OSError, TimeoutError) as error:
-            log.info("connection to %s ended: %s", self.node, error or type(error).__name__)
+            log.info("connection to %s closed: %s", self.node, error or type(error).__name__)
         finally:
             self._writer = None
             self._set_state(ConnectionState.DOWN)
@@ -101,7 +101,7 @@
             self._pending.clear()
 
     def announce(self, frame: bytes | None = None) -> None:
-        """Announce this node's state; `frame` is that announcement where others receive it too."""
+        """Announce this node's state; `frame` is the encoded announcement if it is sent to several nodes."""
         if self._writer is not None:
             self._writer.write(frame or encode_frame(self._handler.make_announcement()))
 
@@ -118,7 +118,7 @@
         if self._writer is None:
             raise PeerUnreachableError(self.node)
         if len(self._pending) >= self._max_pending:
-            log.info("request to %s refused: %s wait for a response already", self.node, len(self._pending))
+            log.info("request to %s rejected: %s requests are already pending", self.node, len(self._pending))
             raise PeerUnreachableError(self.node)
         self._last_number += 1
         request.number = self._last_number
--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -1,4 +1,4 @@
-"""Frames of the connections between controllers: netstrings, each a message."""
+"""Netstring framing of messages on the connections between controllers."""
 
 import asyncio
 import logging
@@ -18,14 +18,14 @@
 
 
 class RejectedFrames:
-    """Counts frames that can't be read: one is an accident, many are a fault on the other side."""
+    """Counts frames that can't be decoded; a single one may be chance, many indicate a fault of the sender."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start with a count of zero."""
         self.count = 0
 
     def add(self, sender: str, error: Exception) -> None:
-        """Count one more, and log it."""
+        """Count and log a rejected frame."""
         self.count += 1
         log.warning("frame from %s rejected (%s so far): %s", sender, self.count, error)
 
@@ -62,9 +62,9 @@
     idle_timeout: timedelta,
     rejected: RejectedFrames,
 ) -> None:
-    """Hand each message to `handle` until the connection ends or what comes is no frame.
+    """Pass each message to `handle` until the connection ends or a frame is malformed.
 
-    A frame that is no message is counted and skipped. Raises TimeoutError and OSError.
+    A frame without a valid message is counted and skipped. Raises TimeoutError and OSError.
     """
     async with aclosing(read_frames(reader, idle_timeout)) as frames:
         try:
--- a/src/elmthread/peers/handler.py
+++ b/src/elmthread/peers/handler.py
@@ -1,4 +1,4 @@
-"""What a controller does with the messages of the others; the network of connections calls it."""
+"""The interface through which `PeerNetwork` passes the other controllers' messages to this controller."""
 
 from typing import Protocol
 
@@ -6,13 +6,13 @@
 
 
 class PeerMessageHandler(Protocol):
-    """The side of a controller that the other controllers see."""
+    """Handles the messages of other controllers."""
 
     async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
-        """Return the response to a request of another controller."""
+        """Process a request of another controller and return the response."""
 
     def handle_announcement(self, announcement: LeaderAnnouncement) -> None:
-        """Note what another controller announces."""
+        """Process an announcement of another controller."""
 
     def make_announcement(self) -> LeaderAnnouncement:
-        """Return this node's state, as the others are to know it now."""
+        """Return the announcement of this node's current state."""
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -8,14 +8,14 @@
 
 
 class RequestVerb(StrEnum):
-    """What one controller asks of another; the values are the words of the wire."""
+    """The request types between controllers; the values are sent in messages."""
 
     SUBMIT = "submit"
     STATUS = "status"
     CANCEL = "withdraw"
-    # Whether no process of that node has won a later term than that of the token. An earlier version confirms nothing.
+    # Asks whether no process of the node has won a later term than that of the token. Earlier versions never confirm it.
     CONFIRM_NO_LATER_TERM = "vouch"
-    # Which process of its node this is. An earlier version refuses the request.
+    # Asks for the id of the node's current process. Earlier versions reject the request.
     WHICH_PROCESS = "process"
 
 
@@ -30,34 +30,34 @@
         "machine_count": "machines",
     },
 ):
-    """Who leads, as far as the sender knows, and by which token."""
+    """The leader known to the sender, with its fencing token, and further state of the sender."""
 
     leader: str | None
     fencing_token: int
     node: str = ""
-    # Machines that came to the sender of late because they did not reach that leader, and some of them:
-    # machine, incarnation and sequence of the heartbeat.
+    # The number of machines that recently sent the sender heartbeats because they could not reach that leader, and a
+    # sample: machine, incarnation and sequence number of each heartbeat.
     misdirected_count: int = 0
     misdirected_sample: Sequence[tuple[str, int, int]] = []
-    # Machines that a leader has, by which the others judge how many misdirected ones are many.
+    # The number of machines that the leader manages; the others derive their thresholds for misdirected ones from it.
     machine_count: int = 0
-    # The active compatibility level, once it is above the first; earlier versions never receive it.
+    # The active compatibility level if it is above the first; earlier versions never receive this field.
     level: int | msgspec.UnsetType = msgspec.UNSET
-    # The sender's view of its links (`reachability/messages.py`), once all controllers read it. It is decoded
-    # separately, so that a malformed one does not invalidate the announcement.
+    # The sender's view of its links (`reachability/messages.py`), once all controllers can read it. It is decoded
+    # separately, so that a malformed view does not invalidate the announcement.
     links: msgspec.Raw | msgspec.UnsetType = msgspec.UNSET
 
 
 class ForwardedRequest(msgspec.Struct, tag_field="kind", tag="ask", rename={"fencing_token": "token"}):
-    """A user's request, parsed by the node that received it, or a request of that node itself."""
+    """A user's request, parsed and forwarded by the node that received it, or a request of that node itself."""
 
     number: int
     verb: str
     job_id: str
-    # The term that is asked; any other one would answer from another cluster state.
+    # The term to which the request is addressed; a leader of another term has a different cluster state.
     fencing_token: int = 0
     body: dict[str, Any] | None = None
-    # Why the body is no valid submission; the leader says so only if it does not know the job.
+    # Why the body is not a valid submission; the leader returns this error only if it does not know the job.
     fault: str | None = None
 
 
@@ -68,7 +68,7 @@
     status: int
     body: dict[str, Any] | None = None
     retry_after_s: float | None = None
-    # The term that answers, as far as one does.
+    # The term in which the request was processed; 0 if it was processed in none.
     fencing_token: int = 0
 
 
--- a/src/elmthread/peers/network.py
+++ b/src/elmthread/peers/network.py
@@ -1,7 +1,7 @@
-"""All connections between this controller and the others.
+"""The connections between this controller and the others.
 
-Each node keeps one outgoing connection to each other node. Requests go out on it and
-their responses come back on it; announcements go both ways on every connection.
+Each node maintains one outgoing connection to each other node, on which it sends requests and receives their
+responses. Announcements are sent in both directions on every connection.
 """
 
 import asyncio
@@ -25,12 +25,12 @@
 
 
 class PeerNetwork:
-    """The outgoing connections of this node, and the incoming ones."""
+    """The outgoing and incoming connections of this node."""
 
     def __init__(
         self, addresses: Iterable[PeerAddress], handler: PeerMessageHandler, max_pending: int = DEFAULT_MAX_PENDING
     ) -> None:
-        """`max_pending` requests may wait for a response on each outgoing connection, and on all incoming ones."""
+        """Allow `max_pending` unanswered requests on each outgoing connection, and on all incoming ones together."""
         self._handler = handler
         self._max_pending = max_pending
         self.rejected = RejectedFrames()
@@ -42,7 +42,7 @@
         self._server: asyncio.Server | None = None
 
     def is_connected(self, node: str) -> bool:
-        """Return whether a connection to the node stands."""
+        """Return whether the connection to the node is up."""
         connection = self._outgoing.get(node)
         return connection is not None and connection.state is ConnectionState.UP
 
@@ -54,7 +54,7 @@
         return await connection.request(request, timeout)
 
     def announce(self) -> None:
-        """Announce this node's state at once: a change of leader must not wait for the interval."""
+        """Announce this node's state immediately, since a change of leader must not wait for the next interval."""
         frame = encode_frame(self._handler.make_announcement())
         for connection in self._outgoing.values():
             connection.announce(frame)
@@ -62,7 +62,7 @@
             writer.write(frame)
 
     async def run(self, host: str, port: int) -> None:
-        """Listen there, keep all connections, and announce this node's state at intervals, until cancelled."""
+        """Listen on the address, maintain all connections and send announcements periodically, until cancelled."""
         self._server = await asyncio.start_server(self._serve, host, port)
         async with asyncio.TaskGroup() as group:
             for connection in self._outgoing.values():
@@ -80,7 +80,7 @@
         try:
             await receive_messages(reader, "an incoming connection", receive, INCOMING_IDLE_TIMEOUT, self.rejected)
         except (OSError, TimeoutError) as error:
-            log.info("incoming connection of a controller ended: %s", error or type(error).__name__)
+            log.info("incoming peer connection closed: %s", error or type(error).__name__)
         finally:
             self._incoming.discard(writer)
             writer.transport.abort()
@@ -93,7 +93,7 @@
 
     def _begin_response(self, writer: asyncio.StreamWriter, request: ForwardedRequest) -> None:
         if len(self._responding) >= self._max_pending:
-            log.info("request of a controller refused: %s wait for a response already", len(self._responding))
+            log.info("peer request rejected: %s requests are already in progress", len(self._responding))
             self._send(writer, ForwardedResponse(request.number, 503, {"error": "busy"}, BUSY_RETRY_AFTER_S))
             return
         task = asyncio.get_running_loop().create_task(self._respond(writer, request))
@@ -104,7 +104,7 @@
         try:
             response = await self._handler.handle_request(request)
         except Exception:
-            log.exception("request of a controller failed: %s", request.verb)
+            log.exception("peer request failed: %s", request.verb)
             response = ForwardedResponse(request.number, 503, {"error": "internal error"}, BUSY_RETRY_AFTER_S)
         response.number = request.number
         self._send(writer, response)
--- a/src/elmthread/peers/tests/test_network.py
+++ b/src/elmthread/peers/tests/test_network.py
@@ -1,4 +1,4 @@
-"""Connections between controllers, over real sockets on loopback."""
+"""Tests of the connections between controllers, over real sockets on the loopback interface."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -15,7 +15,7 @@
 
 
 class Handler:
-    """Responds to submissions at once and to other requests after 5 s, and keeps the announcements."""
+    """Responds to status requests after 5 s and to others immediately, and records the announcements."""
 
     def __init__(self) -> None:
         self.announcements: list[LeaderAnnouncement] = []
@@ -52,11 +52,11 @@
         assert reply.status == 200 and reply.body == {"id": "run-1"} and reply.retry_after_s == 1.5
         try:
             await one.request("b", ForwardedRequest(0, "status", "run-1"), seconds(0.2))
-            raise AssertionError("a response out of nothing")
+            raise AssertionError("received a response after the timeout")
         except PeerUnreachableError:
             pass
         await asyncio.sleep(1.2)
-        # The two that were no messages, and what was longer than any frame may be.
+        # Two frames without a valid message, and one longer than the maximum.
         assert two.rejected.count == 3
         assert LeaderAnnouncement("b", 7) in handler.announcements
         for task in tasks:
--- a/src/elmthread/reachability/__init__.py
+++ b/src/elmthread/reachability/__init__.py
@@ -1,1 +1,1 @@
-"""Which links a controller can confirm, and what a leader does that reaches only a part of the system."""
+"""Link monitoring between controllers, the store and workers, and leader step-down on partial connectivity."""
--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -1,4 +1,4 @@
-"""How long a node leaves leadership to others after a term that a cut ended: longer while cuts return."""
+"""Exponential backoff of candidacies after a term that ended because links of the leader failed."""
 
 import logging
 import random
@@ -11,29 +11,29 @@
 
 
 class LeadershipBackoff:
-    """The backoff after a term, in memory only: a process that is started again begins without one.
+    """Tracks the backoff after a term. It is kept in memory only, so a restarted process has none.
 
-    During a backoff a node is a candidate only where there has been no leader for `min_backoff`, and hands leadership
-    over to nobody: leading with a part of the links is better than a change of leader every few seconds.
+    During a backoff, a node becomes a candidate only after there has been no leader for `min_backoff`, and a leader
+    does not hand over leadership: leading with some links down is better than changing leaders every few seconds.
     """
 
     def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, alone: bool) -> None:
-        """`alone`: there is no other controller, so nothing is left to anybody. `rng` draws the jitter."""
+        """Start without a backoff. A node that is `alone` never backs off; `rng` draws the jitter."""
         self._bounds = bounds
         self._clock = clock
         self._rng = rng
         self._alone = alone
-        # Backoffs that still lengthen the next one, and when the last one ends.
+        # The number of recent backoffs, each of which doubles the next one, and the time at which the last one ends.
         self._recent_count = 0
         self._until = ZERO
 
     @property
     def is_active(self) -> bool:
-        """Whether leadership is left to others."""
+        """Whether this node currently refrains from seeking leadership."""
         return not self._alone and self._clock() < self._until
 
     def begin(self, longest: bool = False) -> None:
-        """Begin a backoff after a term; the `longest` one where nobody is known to be better off."""
+        """Start a backoff after a term; `longest` makes it the maximum, for when no better connected node is known."""
         if self._alone:
             return
         now = self._clock()
@@ -42,26 +42,26 @@
             self._until = now + self._bounds.max_backoff
         else:
             self._until = max(self._until, now + self._next_duration())
-        log.info("leadership is left to other controllers for %.1f s", (self._until - now).total_seconds())
+        log.info("backing off from leadership for %.1f s", (self._until - now).total_seconds())
 
     def candidacy_delay(self, vacant_for: timedelta) -> timedelta:
-        """Return how long to go on leaving a vacant leadership to others."""
+        """Return how much longer to delay a candidacy when there has been no leader for `vacant_for`."""
         if not self.is_active:
             return ZERO
         return max(ZERO, min(self._bounds.min_backoff - vacant_for, self._until - self._clock()))
 
     def _next_duration(self) -> timedelta:
-        """Return twice the duration of the last backoff, less a random part."""
+        """Return twice the duration of the last backoff, up to the maximum, shortened by random jitter."""
         longest = self._bounds.max_backoff
         duration = min(longest, self._bounds.min_backoff * 2**self._recent_count)
         if duration < longest:
             self._recent_count += 1
-        # Shorter than a vacancy may last, the first backoff would have no effect.
+        # The first backoff would have no effect if it were shorter than the time for which leadership may be vacant.
         jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
         return max(jittered, self._bounds.min_backoff)
 
     def _forget_past(self, now: timedelta) -> None:
-        """Forget one backoff for each `max_backoff` that has passed since the last one ended."""
+        """Decrease the count of recent backoffs by one for each `max_backoff` since the last one ended."""
         if now > self._until:
             forgotten = int((now - self._until) / self._bounds.max_backoff)
             self._recent_count = max(0, self._recent_count - forgotten)
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds of reachability, computed from the lease of leadership and the workers' settings."""
+"""Timeouts for links and leadership, derived from the leader's lease and the worker settings."""
 
 import math
 from datetime import timedelta
@@ -9,25 +9,25 @@
 from elmthread.peers.network import ANNOUNCEMENT_INTERVAL
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT
 
-# Workers send a heartbeat every `heartbeat_interval`, give or take a quarter.
+# Workers jitter `heartbeat_interval` by up to a quarter in either direction.
 MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25
-# The part of a worker's lease that an overdue heartbeat may take of it, whatever the interval.
+# A heartbeat is overdue after this share of the worker's lease at the latest, whatever the interval.
 OVERDUE_LEASE_SHARE = 0.3
-# A worker that has given a controller up turns to the next one after this time.
+# A worker that gets no response from a controller tries the next one after this delay.
 NEXT_CONTROLLER_DELAY = seconds(1)
-# For a heartbeat's way and for the node's own work before it is read.
+# Allowance for network latency and for the time until this node reads the heartbeat.
 HEARTBEAT_SLACK = seconds(0.5)
-# So many announcements in a row are not lost by accident.
+# A link is no longer confirmed after this many consecutive lost announcements, which is unlikely to be chance.
 MISSED_ANNOUNCEMENTS = 3
-# The longest backoff after a term, in leases of workers.
+# The longest backoff after a term, as a multiple of the worker lease.
 MAX_BACKOFF_LEASES = 8
-# How far a backoff may be drawn below its nominal length.
+# The largest share by which jitter shortens a backoff.
 BACKOFF_JITTER = 0.25
 HOUR = seconds(3600)
 
 
 class ReachabilityBounds(msgspec.Struct, frozen=True):
-    """All times by which links are judged and leadership is given up; `docs/reachability-design.md` derives them."""
+    """The timeouts for links, step-down and backoff; `docs/reachability-design.md` derives them."""
 
     # The duration of the leader's lease.
     ttl: timedelta
@@ -37,74 +37,74 @@
 
     @property
     def heartbeat_timeout(self) -> timedelta:
-        """A machine that is silent for longer has missed a heartbeat, or its heartbeat is lost."""
+        """The time since a machine's last heartbeat after which the next one is considered skipped or lost."""
         longest_interval = self.heartbeat_interval * MAX_HEARTBEAT_INTERVAL_FACTOR + HEARTBEAT_SLACK
         return min(longest_interval, self.lease * OVERDUE_LEASE_SHARE)
 
     @property
     def store_confirmed_for(self) -> timedelta:
-        """The key-value store counts as reached for so long after a request began that was answered."""
+        """How long an answered request confirms the link to the key-value store, counted from when it was sent."""
         return self.follower_watch * 2 + self.ttl / 2
 
     @property
     def follower_watch(self) -> timedelta:
-        """A follower asks the key-value store again after this time, which confirms its link."""
+        """How long a follower watches the key-value store per request; each response confirms its link."""
         return self.ttl
 
     @property
     def peer_confirmed_for(self) -> timedelta:
-        """Another controller counts as reached for so long after a message was sent that it has echoed."""
+        """How long an echoed message confirms the link to another controller, counted from when it was sent."""
         return ANNOUNCEMENT_INTERVAL * MISSED_ANNOUNCEMENTS
 
     @property
     def workers_confirmed_for(self) -> timedelta:
-        """The workers of a zone count as reached for so long after the oldest heartbeat by which they were counted."""
+        """How long a zone's heartbeats confirm the link to its workers, counted from the oldest heartbeat included."""
         return self.heartbeat_timeout + ANNOUNCEMENT_INTERVAL
 
     @property
     def cut_after(self) -> timedelta:
-        """A link that nothing has confirmed for so long is cut; a worker's response timeout and a heartbeat fit in."""
+        """The age of the last confirmation beyond which a link is cut; it covers a response timeout and a heartbeat."""
         return self.lease / 2
 
     @property
     def max_view_age(self) -> timedelta:
-        """What another node said counts for so long after the message of ours that it echoes was sent."""
+        """How long another node's view is valid, counted from when this node sent the message that it echoes."""
         return self.peer_confirmed_for + ANNOUNCEMENT_INTERVAL
 
     @property
     def successor_precedence(self) -> timedelta:
-        """The other nodes leave leadership to a named successor for this long after it was announced to them."""
+        """How long the other nodes give a named successor precedence, counted from when they receive its name."""
         return self.ttl / 4
 
     @property
     def isolated_candidacy_delay(self) -> timedelta:
-        """A node that neither workers nor other nodes reach leaves a vacant leadership to others for this long.
+        """How long a node that neither workers nor other nodes reach delays its candidacy for a vacant leadership.
 
-        By then the workers that turned to one node in vain have come to the next.
+        By then, workers that got no response from one node have tried the next.
         """
         return HEARTBEAT_RESPONSE_TIMEOUT + NEXT_CONTROLLER_DELAY
 
     @property
     def heartbeat_hold_time(self) -> timedelta:
-        """How long a heartbeat may wait here for a leader: its sender still waits for a response after it."""
+        """How long to hold a heartbeat until this node leads; the sender's response timeout is longer."""
         return HEARTBEAT_RESPONSE_TIMEOUT / 2
 
     @property
     def min_backoff(self) -> timedelta:
-        """The first backoff after a term, and the longest time for which a backoff may leave leadership vacant."""
+        """The first backoff after a term, and the longest vacancy of leadership that a backoff may cause."""
         return self.ttl * 2
 
     @property
     def max_backoff(self) -> timedelta:
-        """No backoff is longer, however often cuts return."""
+        """The maximum length of a backoff, however often links fail."""
         return max(self.min_backoff, self.lease * MAX_BACKOFF_LEASES)
 
     def max_terms_per_hour(self, nodes: int) -> int:
-        """Return how many terms begin in an hour at most for cuts alone, whatever links are cut and when.
+        """Return the maximum number of terms per hour caused by link failures, whichever links fail and when.
 
-        A node without a backoff leads, and has one after it: at most `max_backoff` apart once the backoffs have
-        grown. A node in backoff leads only where it was named, by a node that had no backoff and has one from then
-        on, or where leadership has been vacant for `min_backoff`.
+        A node that leads without being in backoff enters one afterwards; once grown, these last up to `max_backoff`,
+        less jitter. A node in backoff leads only if it was named as successor, by a node that was not in backoff and
+        enters one then, or if leadership has been vacant for `min_backoff`.
         """
         growing = math.ceil(math.log2(self.max_backoff / self.min_backoff)) + 1
         after_backoff = math.ceil(HOUR / (self.max_backoff * (1 - BACKOFF_JITTER))) + growing
@@ -112,5 +112,8 @@
 
     @property
     def max_time_without_leader(self) -> timedelta:
-        """Once no link is cut: the lease of a leader that is gone, a backoff that nobody ends, and the election."""
+        """The longest time without a leader while all links work.
+
+        It is the sum of a failed leader's lease, the longest delay of candidacies and the election.
+        """
         return self.ttl + max(self.min_backoff, self.isolated_candidacy_delay) + self.ttl
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -1,4 +1,4 @@
-"""`elmthread links`: what each controller can confirm of its links, as it announces it to the others."""
+"""`elmthread links`: prints the state of each controller's links as the controllers announce it."""
 
 import asyncio
 import sys
@@ -16,25 +16,25 @@
 from elmthread.settings.platform import Platform, parse_address
 
 OK, FAILED = 0, 1
-# Controllers announce themselves each second.
+# Controllers send an announcement every second; this allows for one that is lost.
 ANNOUNCEMENT_TIMEOUT = seconds(2.5)
 MAX_FRAME_BYTES = 64 * 1024
 
 
 class NoAnnouncementError(ElmthreadError):
-    """A controller could not be reached, or did not announce itself in time."""
+    """The controller could not be reached, or sent no announcement in time."""
 
 
 class NodeReport(msgspec.Struct, frozen=True):
-    """What is printed of one controller."""
+    """The output for one controller."""
 
     lines: list[str]
-    # Whether it could be reached and announced itself.
+    # Whether the controller could be reached and sent an announcement.
     announced: bool
 
 
 def run(platform: Platform, timeout: timedelta = ANNOUNCEMENT_TIMEOUT) -> int:
-    """Print each controller's links; return 1 where one of them announces nothing."""
+    """Print each controller's links; return 1 if any controller sent no announcement."""
     addresses = {platform.node: platform.peer_listen} | {peer.node: peer.address for peer in platform.peers}
     reports = asyncio.run(_report_all(addresses, timeout))
     for report in reports:
@@ -43,7 +43,7 @@
 
 
 def describe(node: str, announcement: LeaderAnnouncement) -> list[str]:
-    """Return the links of one controller, line by line."""
+    """Return the lines that describe one controller's links."""
     leader = announcement.leader or "nobody"
     lines = [f"{node}: {'leads' if leader == node else f'follows {leader}'}, token {announcement.fencing_token}"]
     if announcement.misdirected_count:
@@ -69,7 +69,7 @@
 
 
 async def _report_all(addresses: dict[str, str], timeout: timedelta) -> list[NodeReport]:
-    """Return a report on each controller, ordered by node."""
+    """Return the report of each controller, ordered by node name."""
     return await asyncio.gather(*(_report(node, address, timeout) for node, address in sorted(addresses.items())))
 
 
@@ -82,7 +82,7 @@
 
 
 async def read_announcement(address: str, timeout: timedelta) -> LeaderAnnouncement:
-    """Return what the controller that listens there for others announces next. Raises NoAnnouncementError."""
+    """Return the next announcement of the controller at a peer address. Raises NoAnnouncementError."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             reader, writer = await asyncio.open_connection(*parse_address(address))
--- a/src/elmthread/reachability/decisions.py
+++ b/src/elmthread/reachability/decisions.py
@@ -1,4 +1,4 @@
-"""What a leader does with what it can confirm; a pure function over views."""
+"""Decides whether a leader keeps leading, steps down or hands over, as a pure function of link views."""
 
 import math
 from collections.abc import Sequence
@@ -9,54 +9,57 @@
 from elmthread.reachability.links import LinkState
 from elmthread.reachability.zone_health import MIN_MACHINES_TO_JUDGE
 
-# Another node is clearly better off if it is reached by more machines, by this part of all and by this many.
+# Another node is clearly better connected if more machines reach it than the leader, by more than both of these
+# margins: a share of all machines, and a number of machines.
 BETTER_MARGIN_SHARE = 0.02
 MIN_BETTER_MARGIN = 1
 
 
 class OwnView(msgspec.Struct, frozen=True):
-    """What the leader itself confirms."""
+    """The leader's own view of its lease and machines."""
 
-    # The lease is certainly held.
+    # Whether the lease is known to be held.
     holds_lease: bool
-    # Leadership was given up so lately that it is not given up again.
+    # Whether this node gave up leadership so recently that it does not do so again.
     in_backoff: bool
-    # Machines that ought to report; of these silent, and of these in time and seen to receive responses.
+    # The number of machines expected to report; of these, the silent ones, and those that report on time and are
+    # known to receive responses.
     expected: int
     silent: int
     confirmed: int
 
 
 class PeerView(msgspec.Struct, frozen=True):
-    """What is known of another controller."""
+    """The leader's information about another controller."""
 
     node: str
-    # Our link to it.
+    # This node's link to it.
     link: LinkState
-    # Machines that do not reach this term's leader and came to that node, without copies of old heartbeats.
+    # The estimated number of machines that sent it heartbeats because they can't reach the leader of this term; delayed
+    # copies of older heartbeats are excluded.
     misdirected: int
-    # Its link to the key-value store; None where it says nothing of it that counts.
+    # Its link to the key-value store; None without a valid view of that node.
     store: LinkState | None = None
-    # It has given up leadership of late.
+    # Whether it gave up leadership recently.
     in_backoff: bool = False
 
 
 class KeepLeading(msgspec.Struct, frozen=True):
-    """Go on."""
+    """Keep leading."""
 
 
 class LeaseUncertain(msgspec.Struct, frozen=True):
-    """The lease can't be confirmed: act on nothing, answer workers only."""
+    """The lease can't be confirmed: take no action except answering workers."""
 
 
 class StepDown(msgspec.Struct, frozen=True):
-    """End the lease; anybody may win."""
+    """Release the lease; any node may win the next election."""
 
     reason: StepDownReason
 
 
 class HandOver(msgspec.Struct, frozen=True):
-    """End the lease, and name the node that is better off."""
+    """Release the lease and name a better connected node as successor."""
 
     successor: str
 
@@ -65,7 +68,7 @@
 
 
 def decide(own: OwnView, peers: Sequence[PeerView]) -> Decision:
-    """Return whether to lead on. Whatever the views say, a lease is only given up; the next is granted by the store."""
+    """Return whether to keep leading. Views can only end a lease; the next one is granted by the store alone."""
     if not own.holds_lease:
         return LeaseUncertain()
     if own.in_backoff:
@@ -73,7 +76,7 @@
     successor = _successor(own, peers)
     if successor is not None:
         return HandOver(successor)
-    # Of nodes that say nothing of their links, only the machines that came to them are known.
+    # For nodes without a valid view, only the number of misdirected heartbeats is known.
     misdirected = max((peer.misdirected for peer in peers if peer.store is None), default=0)
     if misdirected and majority_elsewhere(own.expected, own.silent, misdirected):
         return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
@@ -83,23 +86,23 @@
 
 
 def majority_elsewhere(expected: int, silent: int, misdirected: int) -> bool:
-    """Return whether most machines are silent, and most of those reach another node.
+    """Return whether most machines are silent and most of the silent ones reach another node.
 
-    Or most come to another node, silent or not: they report here too, but no response reaches them.
+    Also true if most of all machines reach another node: their heartbeats arrive here, but they get no responses.
     """
     return misdirected * 2 > (silent if silent * 2 > expected else expected)
 
 
 def _no_machine_reports(own: OwnView) -> bool:
-    """Return whether no machine reports, though most ought to.
+    """Return whether no machine reports and most of the expected machines are silent.
 
-    Where a few do, others may be on their way: workers try the nodes in turn, and wait at each that is cut off.
+    If a few report, others may follow: workers try the nodes in turn and wait for a timeout at each unreachable one.
     """
     return own.expected >= MIN_MACHINES_TO_JUDGE and own.silent * 2 > own.expected and own.confirmed == 0
 
 
 def _successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
-    """Return the node that most machines reach, that confirms the store, and is clearly better off than the leader."""
+    """Return the node that most machines reach, of those that reach the store and are clearly better connected."""
     better = [
         peer
         for peer in peers
@@ -109,13 +112,13 @@
     ]
     if not better:
         return None
-    # One that has just given leadership up itself leads again only where nobody else is better off.
+    # A node that recently gave up leadership is chosen only if no other node is better connected.
     return min(better, key=lambda peer: (peer.in_backoff, -peer.misdirected, peer.node)).node
 
 
 def _is_better_off(own: OwnView, misdirected: int) -> bool:
-    """Return whether a node to which so many machines come is clearly better off than the leader."""
+    """Return whether a node that this many misdirected machines reach is clearly better connected than the leader."""
     if own.expected < MIN_MACHINES_TO_JUDGE:
-        # One lost response is a large part of them: only silence for longer counts.
+        # With so few machines, one lost response would exceed the margin, so a majority is required.
         return misdirected > 0 and majority_elsewhere(own.expected, own.silent, misdirected)
     return misdirected > own.confirmed + max(MIN_BETTER_MARGIN, math.ceil(own.expected * BETTER_MARGIN_SHARE))
--- a/src/elmthread/reachability/links.py
+++ b/src/elmthread/reachability/links.py
@@ -1,4 +1,4 @@
-"""One link of this node: whether a round trip over it has been confirmed of late."""
+"""The state of one of this node's links, by the time of its last confirmed round trip."""
 
 from datetime import timedelta
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class LinkState(Enum):
-    """What is known of a link; the values stand in messages between controllers."""
+    """The state of a link; the values are sent in messages between controllers."""
 
     CONFIRMED = "confirmed"
     DOUBTFUL = "doubtful"
@@ -18,7 +18,7 @@
 LINK_STEPS = {
     LinkState.CONFIRMED: frozenset({LinkState.DOUBTFUL, LinkState.CUT}),
     LinkState.DOUBTFUL: frozenset({LinkState.CONFIRMED, LinkState.CUT}),
-    # A round trip that began long ago may come to its end late.
+    # A slow round trip that started before the link was considered cut may complete after that.
     LinkState.CUT: frozenset({LinkState.CONFIRMED, LinkState.DOUBTFUL}),
 }
 
@@ -26,12 +26,12 @@
 class Link:
     """The link to the key-value store, to another controller, or to the workers of a zone.
 
-    Only a round trip confirms it, as of the moment at which its first half was sent. Neither a message that
-    merely arrives nor an opened connection confirms anything.
+    Only a completed round trip confirms it, as of the time at which the round trip started. Neither a received message
+    nor an open connection alone confirms the link.
     """
 
     def __init__(self, name: str, clock: Clock, confirmed_for: timedelta, cut_after: timedelta) -> None:
-        """Begin as doubtful. `confirmed_for` and `cut_after` count from the last confirmation."""
+        """Start as doubtful. `confirmed_for` and `cut_after` count from the start of the last confirmed round trip."""
         self.name = name
         self._clock = clock
         self._confirmed_for = confirmed_for
@@ -41,17 +41,17 @@
         self.confirmed_at: timedelta | None = None
 
     def begin(self) -> timedelta:
-        """Return the moment at which the first half of a round trip is sent."""
+        """Return the start time of a round trip that starts now, to be passed to `confirm`."""
         return self._clock()
 
     def confirm(self, began: timedelta) -> None:
-        """Note that a round trip that began then has come to its end."""
+        """Record the completion of a round trip that started at that time."""
         if self.confirmed_at is None or began > self.confirmed_at:
             self.confirmed_at = began
 
     @property
     def state(self) -> LinkState:
-        """The state now."""
+        """The current state."""
         age = self._clock() - (self._created_at if self.confirmed_at is None else self.confirmed_at)
         if self.confirmed_at is not None and age <= self._confirmed_for:
             self._set_state(LinkState.CONFIRMED)
@@ -63,7 +63,7 @@
 
     @property
     def age(self) -> timedelta | None:
-        """How long ago the last confirmed round trip began; None where there was none."""
+        """The time since the last completed round trip started; None if there was none."""
         return None if self.confirmed_at is None else self._clock() - self.confirmed_at
 
     def _set_state(self, state: LinkState) -> None:
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -1,4 +1,4 @@
-"""What controllers announce of their links: a part of each leader announcement."""
+"""The link view that controllers include in their leader announcements."""
 
 import math
 from typing import Annotated
@@ -8,44 +8,45 @@
 from elmthread.common.errors import ElmthreadError
 from elmthread.reachability.links import Link, LinkState
 
-# The first message number of a process is drawn below this, so that messages of an earlier process can be recognized.
+# The first message number of a process is random and below this, so that echoes of an earlier process's messages can be
+# recognized.
 MAX_FIRST_NUMBER = 1 << 48
-# A longer age is a fault of the sender.
+# A view with a longer age is rejected as an error of the sender.
 MAX_AGE_S = 30 * 86400.0
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class LinkStatus(msgspec.Struct, omit_defaults=True):
-    """One link, as its node sees it."""
+    """The state of one link as seen by its node."""
 
     state: LinkState
-    # Since the last confirmed round trip began, by the node's steady clock; None: there was none.
+    # The time since the last confirmed round trip started, by the node's monotonic clock; None if there was none.
     age_s: float | None = None
 
 
 class LinkViewMessage(
     msgspec.Struct, omit_defaults=True, rename={"in_backoff": "resting", "successor_fencing_token": "successor_token"}
 ):
-    """A node's view of its links. It says how old each part of it is, and grants nothing."""
+    """A node's view of its links, with the age of each. It confers no leadership."""
 
-    # Counts this node's messages; the others echo it.
+    # The sequence number of this message, which the others echo.
     number: Count
-    # By node, the newest message that was received from it.
+    # The number of the latest message received from each node.
     echoes: dict[str, Count]
     store: LinkStatus
     peers: dict[str, LinkStatus]
-    # By zone; of a node that does not lead, empty: the workers report to the leader.
+    # By zone. Empty unless the node leads, since workers report to the leader only.
     workers: dict[str, LinkStatus] = {}
-    # Leadership was given up by this node of late.
+    # Whether this node gave up leadership recently.
     in_backoff: bool = False
-    # Who is to lead after the term of that token, which this node has just ended.
+    # The node that is to lead after the term with that token, which this node has just ended.
     successor: str | None = None
     successor_fencing_token: Count = 0
 
 
 class InvalidViewError(ElmthreadError):
-    """A view that can't be read, or that contradicts itself or what this node knows."""
+    """A view can't be decoded, contradicts itself, or contradicts this node's own records."""
 
 
 encode_view = msgspec.json.Encoder().encode
@@ -53,13 +54,13 @@
 
 
 def status_of(link: Link) -> LinkStatus:
-    """Return what to announce of a link."""
+    """Return the status of a link for an announcement."""
     age = link.age
     return LinkStatus(link.state, None if age is None else round(age.total_seconds(), 3))
 
 
 def read_view(raw: msgspec.Raw, sender: str, own_node: str, own_number: int) -> LinkViewMessage:
-    """Read and check what `sender` says of its links; `own_number` is the number of our newest message.
+    """Decode and validate the link view of `sender`; `own_number` is the number of this node's latest message.
 
     Raises InvalidViewError.
     """
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -1,9 +1,9 @@
-"""Heartbeats that come to a node that does not lead, though their senders know who does.
+"""Misdirected heartbeats: received by a node that does not lead, from workers that know the leader.
 
-A leader that keeps the key-value store but loses the workers would lead on while their leases expire,
-though they reach other nodes, which can only redirect them. So each node announces to the others
-how many machines have come to it in vain, and a sample of them: a late copy of a heartbeat is
-older than what the leader has, and shows nothing. What the leader makes of it: `decisions.py`.
+A leader that reaches the key-value store but not the workers would keep leading while their leases expire, although
+they reach other nodes, which can only redirect them. Each node therefore announces how many machines sent it
+misdirected heartbeats, with a sample of these. The leader uses the sample to rule out delayed copies, which are older
+than the heartbeats that it has received; `decisions.py` decides what follows.
 """
 
 from collections.abc import Callable
@@ -17,17 +17,17 @@
 from elmthread.peers.messages import LeaderAnnouncement
 from elmthread.workers.messages import Sender, redirect_body
 
-# How many machines are named, the last that came.
+# The largest number of heartbeats in an announced sample, taken from the latest ones.
 MAX_SAMPLE = 16
-# Above this part of all machines, misdirected heartbeats are many.
+# Workers are redirected to the leader only while no larger share of all machines has sent misdirected heartbeats.
 MANY_SHARE = 0.1
-# From so many, and from such a part of all machines, they are announced at once and not at the next interval.
+# At this number and this share of all machines, they are announced immediately instead of at the next interval.
 MIN_URGENT = 2
 MIN_URGENT_SHARE = 0.01
 
 
 class MisdirectedHeartbeat(NamedTuple):
-    """A heartbeat that came to a controller because its sender did not reach the leader."""
+    """A heartbeat sent to another controller because its sender could not reach the leader."""
 
     machine: str
     incarnation: int
@@ -35,25 +35,25 @@
 
 
 class Redirection(msgspec.Struct, frozen=True):
-    """Where a worker is sent whose heartbeat came to a node that does not lead."""
+    """The redirection of a worker whose heartbeat was received by a node that does not lead."""
 
-    # None: the worker turns to the next node by itself.
+    # If None, the worker tries the next node on its own.
     leader: str | None
 
     def response(self) -> Response:
-        """Return the response to the worker."""
+        """Return the HTTP response for the worker."""
         return Response(421, redirect_body(self.leader))
 
 
 class MisdirectedSummary(msgspec.Struct, frozen=True):
-    """How many machines came to a node because they did not reach a leader, and some of them."""
+    """The number of machines that sent a node misdirected heartbeats, with a sample of the heartbeats."""
 
     count: int
     sample: list[MisdirectedHeartbeat]
 
 
 class AnnouncedSummary(msgspec.Struct, frozen=True):
-    """What another node has announced, of which term, and when."""
+    """A summary announced by another node, with its term and the time at which it was received."""
 
     summary: MisdirectedSummary
     fencing_token: int
@@ -61,36 +61,35 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """When a machine's last misdirected heartbeat came, and which it was."""
+    """A machine's last misdirected heartbeat and the time at which it arrived."""
 
     at: timedelta
     heartbeat: MisdirectedHeartbeat
 
 
 class MisdirectedHeartbeats:
-    """The machines that came here, and what the other nodes say of those that came to them."""
+    """The misdirected heartbeats received by this node, and the summaries that the other nodes announced."""
 
     def __init__(self, clock: Clock, window: timedelta) -> None:
-        """`window`: what came longer ago counts no more; a worker tries all nodes in less."""
+        """Ignore heartbeats and summaries older than `window`, in which a worker can try all nodes."""
         self._clock = clock
         self._window = window
-        # By machine, and the token of the leader that they all did not reach.
+        # By machine, and the token of the leader that these machines could not reach.
         self._arrivals: dict[str, Arrival] = {}
         self._fencing_token = 0
-        # How many machines the leader has.
+        # The number of machines in the cluster, as the leader announces it.
         self._machine_count = 0
         self._last_announced_count = 0
-        # When any heartbeat came here last, whatever token its sender had seen.
+        # When this node last received any heartbeat while not leading, whichever token its sender had seen.
         self._last_arrival_at: timedelta | None = None
         self._announced: dict[str, AnnouncedSummary] = {}
 
     def redirect(self, request: Request, leader: str | None, fencing_token: int) -> Redirection:
-        """Return where to send a worker that came here, though this node does not lead.
+        """Return where to redirect a worker whose heartbeat this node received while not leading.
 
-        A machine that has seen the term that we know of comes from that leader, which it
-        did not reach. A single one has lost a response and is sent back at once. If many come, they
-        would only wait in vain again until their timeout: they go on to the next node, and by then
-        another may lead.
+        A worker that has already seen the known leader's term could not reach that leader. A few such workers have
+        probably lost a response and are sent back to it. If there are many, they would only wait for another timeout
+        there, so they try the next node instead; by then there may be another leader.
         """
         sender = _sender_of(request)
         if sender is not None:
@@ -102,15 +101,15 @@
             self._last_announced_count = 0
             self._fencing_token = fencing_token
         heartbeat = MisdirectedHeartbeat(sender.machine, sender.incarnation, sender.sequence)
-        # Removed first, so that the order is that of the last arrivals.
+        # Removed first, so that the dict is ordered by the time of the last arrival.
         self._arrivals.pop(sender.machine, None)
         self._arrivals[sender.machine] = Arrival(self._clock(), heartbeat)
-        # One is never many: in a small fleet, trying all nodes in turn would cost it its lease.
+        # A single worker is always sent back: in a small cluster, its lease could expire while it tries all nodes.
         many = max(1.0, self._machine_count * MANY_SHARE)
         return Redirection(leader if len(self._arrivals) <= many else None)
 
     def summarize(self, fencing_token: int) -> MisdirectedSummary:
-        """Return how many machines came here of late because they did not reach that leader, to be announced."""
+        """Return the summary of recent misdirected heartbeats in the term of that token, for an announcement."""
         if fencing_token != self._fencing_token:
             return MisdirectedSummary(0, [])
         since = self._clock() - self._window
@@ -120,16 +119,16 @@
         return MisdirectedSummary(len(self._arrivals), [arrival.heartbeat for arrival in last])
 
     def has_recent_heartbeats(self) -> bool:
-        """Return whether any machine has come here of late."""
+        """Return whether this node received any heartbeat recently while not leading."""
         return self._last_arrival_at is not None and self._clock() - self._last_arrival_at <= self._window
 
     def should_announce_now(self) -> bool:
-        """Return whether so many more machines have come than were announced that lost responses don't explain it."""
+        """Return whether more machines have arrived since the last announcement than lost responses can explain."""
         threshold = max(MIN_URGENT, self._machine_count * MIN_URGENT_SHARE, self._last_announced_count * 2)
         return len(self._arrivals) >= threshold
 
     def observe(self, announcement: LeaderAnnouncement) -> None:
-        """Note what another node announces of the machines that came to it, in the term that it knows of."""
+        """Record the misdirected heartbeats that another node announces, with the term that it knows."""
         if announcement.machine_count:
             self._machine_count = announcement.machine_count
         sample = [MisdirectedHeartbeat(*heartbeat) for heartbeat in announcement.misdirected_sample]
@@ -137,7 +136,7 @@
         self._announced[announcement.node] = AnnouncedSummary(summary, announcement.fencing_token, self._clock())
 
     def estimate_at(self, node: str, fencing_token: int, is_newer: Callable[[MisdirectedHeartbeat], bool]) -> int:
-        """Return about how many machines do not reach that leader and reach the node; `is_newer` rules out copies."""
+        """Estimate how many machines reach the node but not the leader; `is_newer` rules out delayed copies."""
         announced = self._announced.get(node)
         if announced is None or announced.fencing_token != fencing_token:
             return 0
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -1,6 +1,6 @@
-"""What one process can confirm of the system, whoever leads: its links, and what the others say of theirs.
+"""The reachability state of one process, whether it leads or not: its own links and the views of other nodes.
 
-Nothing here grants anything: the lease alone says who leads.
+None of it confers leadership, which depends on the lease alone.
 """
 
 import asyncio
@@ -34,39 +34,39 @@
     """The connections to the other controllers."""
 
     def is_connected(self, node: str) -> bool:
-        """Return whether a connection to the node stands."""
+        """Return whether the connection to the node is up."""
 
     def announce(self) -> None:
-        """Announce this node's state to all others at once."""
+        """Announce this node's state to all others immediately."""
 
 
 class TermObserver(Protocol):
-    """The leader's part of reachability, while this node leads."""
+    """Evaluates the links of the leader during one term."""
 
     def evaluate(self) -> None:
-        """Judge the links now, and act on it."""
+        """Evaluate the links now and act on the result."""
 
     def worker_statuses(self) -> dict[str, LinkStatus]:
         """Return the state of the links to the workers, by zone."""
 
 
 class ReachabilitySettings(msgspec.Struct, frozen=True):
-    """A node, the other controllers, and the times by which links to them are judged."""
+    """The names of this node and the other controllers, and the timeouts for links."""
 
     node: str
     others: list[str]
     bounds: ReachabilityBounds
-    # Machines that came here because they did not reach the leader don't count if that is longer ago.
+    # Misdirected heartbeats older than this are ignored.
     misdirected_window: timedelta
 
 
 class Reachability:
-    """The links of one process, its backoff after a term, and the successors that were named."""
+    """The links of one process, its leadership backoff, and the named successors."""
 
     def __init__(
         self, settings: ReachabilitySettings, clock: Clock, features: ActiveFeatures, peers: PeerConnections
     ) -> None:
-        """Begin with links of which nothing is confirmed."""
+        """Start with all links unconfirmed."""
         bounds = settings.bounds
         self.node = settings.node
         self.others = settings.others
@@ -80,33 +80,33 @@
         self.exchange = ViewExchange(self.node, self.others, bounds, clock, first_number)
         self.succession = Succession(clock, bounds.successor_precedence)
         self.term: TermObserver | None = None
-        # Set while this node leads on a cluster state that is loaded.
+        # Set while this node leads and has loaded the cluster state.
         self.leader_ready = asyncio.Event()
 
     @property
     def views_active(self) -> bool:
-        """Whether all controllers announce their views of their links to one another."""
+        """Whether the compatibility feature is active under which all controllers announce their link views."""
         return self._features.is_active(Feature.LINK_VIEWS)
 
     def is_isolated(self) -> bool:
-        """Return whether no other controller is confirmed, though there are some."""
+        """Return whether there are other controllers but the link to none of them is confirmed."""
         confirmed = any(link.state is LinkState.CONFIRMED for link in self.exchange.links.values())
         return self.views_active and bool(self.others) and not confirmed
 
-    # Heartbeats that come while this node does not lead
+    # Heartbeats received while this node does not lead
 
     def redirect(self, request: Request, leader: str | None, fencing_token: int) -> Redirection:
-        """Return where to send a worker whose heartbeat came here, though this node does not lead."""
+        """Return where to redirect a worker whose heartbeat this node received while not leading."""
         redirection = self.misdirected.redirect(request, leader, fencing_token)
         if self.views_active and self.misdirected.should_announce_now():
             self.peers.announce()
         return redirection
 
     async def wait_to_lead(self) -> bool:
-        """Hold a heartbeat for a moment where this node may lead soon; return whether it does by then.
+        """Wait briefly if this node is isolated and may lead soon; return whether it leads then.
 
-        Without links to other controllers nobody can send the worker to the right one: on its own it would try the
-        others, wait for a timeout at each that is cut off, and be back here after its lease.
+        An isolated node does not know the leader and can't redirect the worker, which would try the other controllers,
+        wait for a timeout at each unreachable one, and return here only after its lease.
         """
         if not self.is_isolated():
             return False
@@ -120,12 +120,12 @@
     # Announcements
 
     def add_view_to(self, announcement: LeaderAnnouncement) -> None:
-        """Put this node's view into what it announces, once all others read it."""
+        """Add this node's link view to an announcement, once all other controllers can read it."""
         if self.views_active:
             announcement.links = msgspec.Raw(encode_view(self.make_view()))
 
     def make_view(self) -> LinkViewMessage:
-        """Return this node's view now, as a message of its own number."""
+        """Return this node's current link view, as a message with the next number."""
         view = LinkViewMessage(
             number=self.exchange.next_number(),
             echoes=self.exchange.echoes(),
@@ -140,13 +140,13 @@
         return view
 
     def receive(self, announcement: LeaderAnnouncement) -> None:
-        """Note what another node announces of the machines that came to it, and of its links."""
+        """Process another node's announcement of its misdirected heartbeats and its link view."""
         self.misdirected.observe(announcement)
         if announcement.links is msgspec.UNSET or not self.views_active:
             return
         view = self.exchange.receive(announcement.node, announcement.links)
         if self.term is not None and self.leader_ready.is_set() and announcement.misdirected_count:
-            # Not before the cluster state is loaded, and not only with the next regular evaluation.
+            # Evaluates immediately instead of at the next interval, but only once the cluster state is loaded.
             self.term.evaluate()
         if view is not None and view.successor is not None:
             self.succession.observe_successor(view.successor, view.successor_fencing_token)
--- a/src/elmthread/reachability/term.py
+++ b/src/elmthread/reachability/term.py
@@ -1,4 +1,4 @@
-"""The leader's part of reachability, for one term: counts the machines, decides, and gives leadership up."""
+"""Reachability of the leader during one term: evaluates links, and steps down or hands over leadership."""
 
 import asyncio
 import logging
@@ -19,28 +19,28 @@
 
 
 class TermReachability:
-    """The leader's view of its workers, and whether it goes on leading."""
+    """Evaluates the leader's links to its workers and peers, and ends the term if another node should lead."""
 
     def __init__(self, reachability: Reachability, zone_health: ZoneHealth, context: TermContext) -> None:
-        """Use `zone_health` to judge the zones by the machines that reach this leader."""
+        """Use `zone_health` for the machines of each zone that reach this leader."""
         self._reachability = reachability
         self.zone_health = zone_health
         self._term = context.term
         self._cluster = context.cluster
 
     async def run(self) -> None:
-        """Judge the links at intervals until the term ends."""
+        """Evaluate the links periodically until the term ends."""
         while True:
             await asyncio.sleep(EVALUATION_INTERVAL.total_seconds())
             self.evaluate()
 
     def evaluate(self) -> None:
-        """Judge the links now, and act on it."""
+        """Evaluate the links now and act on the result."""
         self.zone_health.confirm_links()
         self._act_on(self.decide())
 
     def decide(self) -> Decision:
-        """Return what to do with what is known now."""
+        """Return the decision that follows from the current views."""
         own = self._own_view()
         return decide(own, [self._peer_view(node) for node in self._reachability.others])
 
@@ -70,7 +70,7 @@
         return PeerView(node, link, misdirected, view.store.state, view.in_backoff)
 
     def _link_state_without_views(self, node: str) -> LinkState:
-        """Return the state of a link by its connection alone, before the compatibility level with link views."""
+        """Return the state of a link by its connection alone, as used below the compatibility level with link views."""
         return LinkState.CONFIRMED if self._reachability.peers.is_connected(node) else LinkState.CUT
 
     def _is_newer(self, heartbeat: MisdirectedHeartbeat) -> bool:
@@ -78,7 +78,7 @@
 
     def _act_on(self, decision: Decision) -> None:
         if isinstance(decision, HandOver):
-            log.info("handing leadership over to %s, which more machines reach", decision.successor)
+            log.info("handing over leadership to %s, which more machines can reach", decision.successor)
             self._reachability.succession.name_successor(decision.successor, self._term.fencing_token)
             self._reachability.peers.announce()
             self._term.step_down(StepDownReason.HANDED_OVER)
--- a/src/elmthread/reachability/tests/stand_ins.py
+++ b/src/elmthread/reachability/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""A clock, bounds and views for the tests of reachability."""
+"""Fixtures for the reachability tests: a manual clock, timeouts and link views."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,13 +12,13 @@
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage, encode_view
 from elmthread.reachability.view_exchange import ViewExchange
 
-# The same examples in every run.
+# Hypothesis settings with the same examples in every run.
 SAME_EXAMPLES = settings(derandomize=True, database=None, deadline=None)
 BOUNDS = ReachabilityBounds(seconds(2), seconds(3), seconds(12))
 
 
 class ManualClock:
-    """A clock that is set by hand."""
+    """A clock that tests advance explicitly."""
 
     def __init__(self) -> None:
         self.now = seconds(100)
@@ -27,11 +27,11 @@
         return self.now
 
     def advance(self, span: float) -> None:
-        """Time goes on."""
+        """Advance the clock by that many seconds."""
         self.now += seconds(span)
 
 
 def announced_by(one: ViewExchange, **changes: Any) -> msgspec.Raw:
-    """The view of a node with a confirmed link to the key-value store."""
+    """Return the encoded view of a node with a confirmed link to the key-value store."""
     view = LinkViewMessage(one.next_number(), one.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
     return msgspec.Raw(encode_view(msgspec.structs.replace(view, **changes)))
--- a/src/elmthread/reachability/tests/test_backoff.py
+++ b/src/elmthread/reachability/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""How long leadership is left to others after a term that a cut ended."""
+"""Tests of the leadership backoff after terms that link failures ended."""
 
 import random
 from bisect import bisect_left
@@ -21,7 +21,7 @@
     for _ in range(8):
         backoff.begin()
         began = clock.now
-        # A vacancy ends what a backoff leaves to others.
+        # A backoff delays no candidacy once leadership has been vacant for long enough.
         assert backoff.candidacy_delay(BOUNDS.min_backoff) == ZERO
         assert ZERO < backoff.candidacy_delay(ZERO) <= BOUNDS.min_backoff
         while backoff.is_active:
@@ -34,7 +34,7 @@
     clock.advance(10 * BOUNDS.max_backoff.total_seconds())
     backoff.begin()
     assert backoff._until - clock.now == BOUNDS.min_backoff
-    # Nobody is there to leave leadership to.
+    # A single node never backs off.
     alone = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=True)
     alone.begin(longest=True)
     assert not alone.is_active
@@ -43,7 +43,7 @@
 @settings(SAME_EXAMPLES)
 @given(st.integers(0, 1000), st.sampled_from([0.1, 0.5, 3.0, 30.0, 100.0]))
 def test_terms_that_cuts_end_are_no_more_than_the_bound_in_any_hour(seed: int, longest_pause: float) -> None:
-    """Three nodes, each of whose terms is ended at once; the next begins as soon as the backoffs allow it."""
+    """End each term of three nodes immediately, and start the next one as soon as a backoff allows it."""
     clock = ManualClock()
     nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), alone=False) for n in range(3)]
     began: list[timedelta] = []
--- a/src/elmthread/reachability/tests/test_command.py
+++ b/src/elmthread/reachability/tests/test_command.py
@@ -1,4 +1,4 @@
-"""What `elmthread links` prints, and its exit codes."""
+"""Tests of the output and the exit codes of `elmthread links`."""
 
 import asyncio
 import threading
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def announcing() -> Iterator[str]:
-    """The address of something that announces itself as a controller does."""
+    """Yield the address of a server that sends an announcement as a controller does."""
     loop = asyncio.new_event_loop()
 
     async def announce(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/src/elmthread/reachability/tests/test_decisions.py
+++ b/src/elmthread/reachability/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decision of a leader against a plain model of the same rules."""
+"""Tests of a leader's decisions against a simple model of the same rules."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
 
 
 def model(own: OwnView, peers: list[PeerView]) -> Decision:
-    """The rules of docs/reachability-design.md, one after the other, as plainly as possible."""
+    """Apply the rules of docs/reachability-design.md one after the other, as simply as possible."""
     if not own.holds_lease:
         return LeaseUncertain()
     if own.in_backoff:
@@ -58,13 +58,13 @@
     if own.expected < 4:
         of = own.silent if own.silent * 2 > own.expected else own.expected
         return peer.misdirected > 0 and peer.misdirected * 2 > of
-    # More than a fiftieth of all machines, and more than one, above what is confirmed here.
+    # The margin over the confirmed machines is more than one machine, and more than a fiftieth of all machines.
     more = peer.misdirected - own.confirmed
     return more > 1 and more * 50 > own.expected
 
 
 def own_view(holds_lease: bool, in_backoff: bool, expected: int, silent: int, confirmed: int) -> OwnView:
-    """Silent and confirmed machines are different ones of those expected."""
+    """Return a view in which silent and confirmed machines are disjoint subsets of those expected."""
     silent = min(silent, expected)
     return OwnView(holds_lease, in_backoff, expected, silent, min(confirmed, expected - silent))
 
@@ -96,12 +96,12 @@
 
 def test_only_most_machines_silent_here_that_reach_another_node_are_a_reason() -> None:
     assert majority_elsewhere(600, 400, 250)
-    # Dead or cut off from all: they would reach no other leader either.
+    # Machines that have failed or reach no node would not reach another leader either.
     assert not majority_elsewhere(600, 600, 0)
-    # A zone with its controller is cut off: the others report here.
+    # A zone and its controller are partitioned from the rest; the other machines report here.
     assert not majority_elsewhere(600, 150, 150)
     assert not majority_elsewhere(0, 0, 0)
-    # Heartbeats arrive here, responses don't arrive there.
+    # Heartbeats arrive here, but their senders receive no responses.
     assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
 
 
@@ -110,8 +110,8 @@
     assert decide(half, [PeerView("b", CONFIRMED, 50, CONFIRMED)]) == KeepLeading()
     assert decide(half, [PeerView("b", CONFIRMED, 52, CONFIRMED)]) == KeepLeading()
     assert decide(half, [PeerView("b", CONFIRMED, 53, CONFIRMED)]) == HandOver("b")
-    # More than that at a node without the key-value store: it could not lead.
+    # A node that does not reach the key-value store can't lead, however many machines reach it.
     assert decide(half, [PeerView("b", CONFIRMED, 100, DOUBTFUL)]) == KeepLeading()
-    # Of several that are better off, the one to which most come.
+    # Of several better connected nodes, the one that most machines reach is chosen.
     others = [PeerView("b", CONFIRMED, 60, CONFIRMED), PeerView("c", CONFIRMED, 70, CONFIRMED)]
     assert decide(half, others) == HandOver("c")
--- a/src/elmthread/reachability/tests/test_links.py
+++ b/src/elmthread/reachability/tests/test_links.py
@@ -1,4 +1,4 @@
-"""The state of a link."""
+"""Tests of the link state."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
 @settings(SAME_EXAMPLES)
 @given(EVENTS)
 def test_only_a_round_trip_confirms_and_only_for_its_time(events: list[tuple[str, float, float]]) -> None:
-    """Against the plain reading: the age of the newest round trip's beginning says it all, whoever looks when."""
+    """Check that the state depends only on the start of the latest round trip, not on when the state is read."""
     clock = ManualClock()
     bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(14))
     receiver, sender = ViewExchange("a", ["x"], bounds, clock, 1000), ViewExchange("x", ["a"], bounds, clock, 2000)
@@ -30,7 +30,7 @@
             link.confirm(began)
             newest, known = (max(newest, began) if known else began), True
         elif kind == "arrive":
-            # It echoes nothing that was sent here.
+            # This message echoes none of the receiver's messages.
             arrived += 1
             assert receiver.receive("x", announced_by(sender)) is None
             assert receiver.echoes() == {"x": 2000 + arrived}
--- a/src/elmthread/reachability/tests/test_misdirected.py
+++ b/src/elmthread/reachability/tests/test_misdirected.py
@@ -1,4 +1,4 @@
-"""How misdirected heartbeats are redirected, counted and announced."""
+"""Tests of how misdirected heartbeats are redirected, counted and announced."""
 
 import itertools
 
@@ -13,7 +13,7 @@
 def announcement(
     node: str, count: int, sample: list[MisdirectedHeartbeat], machine_count: int = 0
 ) -> LeaderAnnouncement:
-    """What a node announces in the term of token 9."""
+    """Return a node's announcement in the term with token 9."""
     return LeaderAnnouncement("a", 9, node, count, sample, machine_count)
 
 
@@ -32,8 +32,8 @@
         body = {"loom": machine, "baton": fencing_token, "shift": 1, "tally": next(count)}
         return misdirected.redirect(Request("POST", "/", {}, cbor2.dumps(body)), leader, 9).response().body
 
-    # One that has not seen this leadership is sent to it; of those that have, and come all the
-    # same, one alone is sent back, and many go on to the next node.
+    # A worker that has not seen this term is redirected to its leader. Of workers that have, a single one is sent back
+    # to the leader, while many are told to try the next node.
     assert comes("m-1", 5) == {"foreman": "a"} and comes("m-1", 0) == {"foreman": "a"}
     assert summary(misdirected, 9) == (0, [])
     assert comes("m-1", 9) == {"foreman": "a"} and comes("m-1", 9) == {"foreman": "a"}
@@ -41,14 +41,14 @@
     assert comes("m-3", 9, None) == {}
     assert misdirected.redirect(Request("POST", "/", {}, b"\xff"), "a", 9).response().body == {"foreman": "a"}
     assert summary(misdirected, 9) == (2, [("m-1", 1, 6), ("m-2", 1, 7)])
-    # Of an earlier leadership it says nothing.
+    # Heartbeats of an earlier term are not counted in a later one.
     assert summary(misdirected, 10) == (0, [])
     now[0] = seconds(8)
     assert summary(misdirected, 9) == (0, [])
 
 
 def test_one_alone_is_sent_back_however_small_the_fleet() -> None:
-    """Sent round all nodes for one lost answer, it would reach its leader after its lease."""
+    """Guard against a worker that tries all nodes after one lost response and returns after its lease has expired."""
     misdirected = MisdirectedHeartbeats(lambda: seconds(0), seconds(7))
     misdirected.observe(announcement("a", 0, [], machine_count=6))
 
@@ -71,7 +71,7 @@
         estimates == {"a": 0, "b": 40, "c": 10, "d": 0}
         and misdirected.estimate_at("b", 10, lambda heartbeat: True) == 0
     )
-    # Late copies of what the leader has had are no sign that machines reach another node.
+    # Delayed copies of heartbeats that the leader has received do not show that machines reach another node.
     assert misdirected.estimate_at("b", 9, lambda heartbeat: heartbeat.sequence > 2) == 10
     assert misdirected.estimate_at("b", 9, lambda heartbeat: False) == 0
     now[0] = seconds(8)
--- a/src/elmthread/reachability/tests/test_view_exchange.py
+++ b/src/elmthread/reachability/tests/test_view_exchange.py
@@ -1,4 +1,4 @@
-"""What others may make of a view, and which views are rejected."""
+"""Tests of which views confirm a link and which are rejected."""
 
 import json
 from typing import Any
@@ -30,7 +30,7 @@
     echo = announced_by(b)
     clock.advance(1)
     assert a.receive("b", echo) is not None
-    # A's message was sent two seconds ago, and that is as far as the round trip reaches back.
+    # The link counts as confirmed from the time at which `a` sent its message, two seconds ago.
     assert a.links["b"].confirmed_at == sent - seconds(1) and a.view_of("b") is not None
     clock.advance(2.5)
     assert a.view_of("b") is None and a.links["b"].state is LinkState.DOUBTFUL
@@ -53,7 +53,7 @@
     held = announced_by(b)
     clock.advance(BOUNDS.max_view_age.total_seconds() + 0.1)
     assert a.receive("b", held) is None and a.rejected_count == 1 and a.view_of("b") is None
-    # An earlier process of ours sent what this one echoes.
+    # The delayed view echoes a message that an earlier process of this node sent.
     again = ViewExchange("a", ["b", "c"], BOUNDS, clock, 500_000)
     assert again.receive("b", held) is None and again.links["b"].state is not LinkState.CONFIRMED
 
--- a/src/elmthread/reachability/view_exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -1,8 +1,8 @@
-"""The views of the other nodes, and the echoes that confirm the links to them.
+"""Exchange of link views with the other nodes, whose echoes confirm the links to them.
 
-Each node numbers its messages and remembers when it sent them. A message that echoes one of ours was made
-after ours was sent, so it confirms the link in both directions, and it bounds the age of all that the
-message says by this node's own clock, however long it was held up on its way.
+Each node numbers its messages and records when it sent them. A message that echoes one of this node's numbers was
+created after that message was sent. It therefore confirms the link in both directions, and limits the age of its own
+content by this node's clock, however long it was delayed.
 """
 
 import logging
@@ -19,24 +19,24 @@
 
 log = logging.getLogger(__name__)
 
-# Messages of ours whose sending is remembered; an echo of an older one is too old to confirm anything.
+# The number of sent messages whose times are kept; an echo of an older message is too old to confirm a link.
 MAX_REMEMBERED_SENDINGS = 64
 
 
 class ReceivedView(msgspec.Struct, frozen=True):
-    """A view that counts, and the latest moment by our clock after which it was certainly made."""
+    """An accepted view, and a lower bound of the time at which it was created, by this node's clock."""
 
     view: LinkViewMessage
     made_after: timedelta
 
 
 class ViewExchange:
-    """Numbers this node's messages, and keeps the newest view of each other node."""
+    """Numbers this node's messages and keeps the latest view of each other node."""
 
     def __init__(
         self, node: str, others: Iterable[str], bounds: ReachabilityBounds, clock: Clock, first_number: int
     ) -> None:
-        """Begin with `first_number`, drawn at random, so that messages of an earlier process can be recognized."""
+        """Start at the random `first_number`, so that echoes of an earlier process's messages can be recognized."""
         self._node = node
         self._bounds = bounds
         self._clock = clock
@@ -50,17 +50,17 @@
         self.rejected_count = 0
 
     def next_number(self) -> int:
-        """Return the number of a message that is sent now."""
+        """Return the number for a message that is sent now, and record the time."""
         self._number += 1
         self._sent.append((self._number, self._clock()))
         return self._number
 
     def echoes(self) -> dict[str, int]:
-        """Return the number of the newest message that was received from each node."""
+        """Return the number of the latest message received from each node."""
         return dict(self._newest_numbers)
 
     def receive(self, sender: str, raw: msgspec.Raw) -> LinkViewMessage | None:
-        """Return the view; None where it is rejected, or too old for anything that it says to count."""
+        """Return a view and confirm the link; None if it is invalid, outdated or echoes no known message."""
         link = self.links.get(sender)
         if link is None:
             self._reject(sender, "unknown node")
@@ -70,8 +70,8 @@
         except InvalidViewError as error:
             self._reject(sender, str(error))
             return None
-        # Echoed whatever its age: after a cut the first messages of both sides echo what is too old, and
-        # without an echo of these neither side would ever say anything newer.
+        # Echo the message whatever its age: after a link failure, the first messages of both sides echo numbers that
+        # are too old, and if these were not echoed in turn, neither side would ever receive a recent echo.
         self._newest_numbers[sender] = view.number
         sent_at = self._sent_at(view.echoes.get(self._node))
         if sent_at is None:
@@ -81,14 +81,14 @@
             self._reject(sender, "too old")
             return None
         if known is not None and sent_at < known.made_after:
-            # Two connections lead to each node, and a newer view has come over the other one.
+            # There are two connections to each node, and a newer view has arrived on the other one.
             return None
         link.confirm(sent_at)
         self._views[sender] = ReceivedView(view, sent_at)
         return view
 
     def view_of(self, node: str) -> LinkViewMessage | None:
-        """Return the newest view of a node, while it counts."""
+        """Return the latest view of a node; None if there is none or it is too old."""
         received = self._views.get(node)
         if received is None or self._clock() - received.made_after > self._bounds.max_view_age:
             return None
@@ -99,6 +99,6 @@
 
     def _reject(self, sender: str, reason: str) -> None:
         self.rejected_count += 1
-        # Logged at every power of two only.
+        # Log only when the count is a power of two, to limit the number of log lines.
         if self.rejected_count & (self.rejected_count - 1) == 0:
-            log.warning("view of %s rejected (%s so far): %s", sender, self.rejected_count, reason)
+            log.warning("link view from %s rejected (%s so far): %s", sender, self.rejected_count, reason)
--- a/src/elmthread/reachability/zone_counts.py
+++ b/src/elmthread/reachability/zone_counts.py
@@ -1,4 +1,4 @@
-"""How many machines of each zone report to the leader: one pass over all machines for everybody who asks."""
+"""Counts the machines of each zone that report to the leader, in one pass that is cached for all callers."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -8,28 +8,28 @@
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import ZERO, Clock, seconds
 
-# Counts this old are recent enough for all who judge by them.
+# The maximum age of cached counts, which is recent enough for all callers.
 MAX_AGE = seconds(0.4)
 
 
 class ZoneCount(msgspec.Struct):
-    """Machines of one zone."""
+    """The numbers of machines in one zone."""
 
-    # That ought to report.
+    # Machines that are expected to report.
     expected: int = 0
-    # Of these, silent for so long that they get nothing new.
+    # Of these, machines that have been silent for so long that they are assigned no more tasks.
     silent: int = 0
-    # Of these, that have reported in time on a connection on which our response had arrived.
+    # Of these, machines that reported on time over a connection on which a response of this leader had arrived.
     confirmed: int = 0
 
 
 class ZoneCounts:
-    """The machines of a term, counted by zone."""
+    """Counts the machines of a term by zone."""
 
     def __init__(
         self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, term_began: timedelta
     ) -> None:
-        """Count `machines`; until `term_began` none of them could report to this leader."""
+        """Count `machines`, which could report to this leader only after `term_began`."""
         self._machines = machines
         self._clock = clock
         self._heartbeat_timeout = heartbeat_timeout
@@ -38,7 +38,7 @@
         self._zones: dict[str, ZoneCount] = {}
 
     def by_zone(self) -> Mapping[str, ZoneCount]:
-        """Return the count of each zone, not older than `MAX_AGE`."""
+        """Return the counts of each zone, at most `MAX_AGE` old."""
         now = self._clock()
         if self._counted_at is None or now - self._counted_at > MAX_AGE:
             self._zones = self._count(self._machines.values(), now)
@@ -46,7 +46,7 @@
         return self._zones
 
     def total(self) -> ZoneCount:
-        """Return the counts of all zones together."""
+        """Return the sums over all zones."""
         total = ZoneCount()
         for count in self.by_zone().values():
             total.expected += count.expected
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -1,4 +1,4 @@
-"""The health of each zone: which are unreachable, and which silence may be a fault of this node's own link."""
+"""Zone health: which zones are unreachable, and where this node's own link may be the cause of the silence."""
 
 import logging
 from collections.abc import Mapping
@@ -11,29 +11,29 @@
 
 log = logging.getLogger(__name__)
 
-# Silence of fewer machines than this says nothing about their zone or about this node.
+# The smallest number of machines from whose silence a fault of their zone or of this node's links is inferred.
 MIN_MACHINES_TO_JUDGE = 4
-# A zone in which more than this part of the machines is silent seems to be unreachable.
+# A zone is considered unreachable if more than this share of its machines is silent.
 UNREACHABLE_SHARE = 0.8
-# Below this part of all machines silence is rare, so a machine that is silent has failed by itself.
+# Up to this share of silent machines in the cluster, silence is attributed to failures of individual machines.
 RARE_SILENCE_SHARE = 0.1
 
 
 class ZoneHealth:
-    """Counts the machines of each zone and keeps the link to its workers, for one term."""
+    """Tracks the reachability of each zone and the state of the link to its workers, for one term."""
 
     def __init__(self, counts: ZoneCounts, bounds: ReachabilityBounds, clock: Clock) -> None:
-        """Use the counts of the term's machines."""
+        """Evaluate the zones by `counts`."""
         self.counts = counts
         self._bounds = bounds
         self._clock = clock
         self._links: dict[str, Link] = {}
-        # Zones that seem to be unreachable, and whether hardly any machine is silent, as of the last judgement.
+        # The zones considered unreachable, and whether few machines are silent, as of the last evaluation.
         self.unreachable: frozenset[str] = frozenset()
         self.silence_is_rare = True
 
     def find_unreachable(self) -> bool:
-        """Judge which zones seem to be unreachable; return whether that has changed."""
+        """Update which zones are considered unreachable; return whether that has changed."""
         total = self.counts.total()
         self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
         unreachable = frozenset(
@@ -43,12 +43,12 @@
         )
         if unreachable == self.unreachable:
             return False
-        log.info("zones that seem to be unreachable: %s", ", ".join(sorted(unreachable)) or "none")
+        log.info("zones considered unreachable: %s", ", ".join(sorted(unreachable)) or "none")
         self.unreachable = unreachable
         return True
 
     def is_in_doubt(self, zone: str) -> bool:
-        """Return whether the silence of a zone's machines may be a fault of this node's own link to them."""
+        """Return whether a fault of this node's own link may explain the silence of a zone's machines."""
         count = self.counts.by_zone().get(zone)
         if count is None or count.expected < MIN_MACHINES_TO_JUDGE or count.silent * 2 <= count.expected:
             return False
@@ -56,8 +56,8 @@
         return link is None or link.state is not LinkState.CONFIRMED
 
     def confirm_links(self) -> None:
-        """Confirm the link to each zone of which most machines report."""
-        # The oldest heartbeat by which a machine counts as reporting came then, and our response was sent before it.
+        """Confirm the link to each zone in which at least half of the expected machines report."""
+        # The oldest heartbeats that still count as on time arrived then, after this node had sent its responses.
         began = self._clock() - self._bounds.heartbeat_timeout
         for zone, count in self.counts.by_zone().items():
             link = self._links.get(zone)
