--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -34,7 +34,7 @@
     UP = auto()
 
 
-CONNECTION_STEPS = {
+CONNECTION_TRANSITIONS = {
     ConnectionState.DOWN: frozenset({ConnectionState.CONNECTING}),
     ConnectionState.CONNECTING: frozenset({ConnectionState.UP, ConnectionState.DOWN}),
     ConnectionState.UP: frozenset({ConnectionState.DOWN}),
@@ -67,7 +67,7 @@
         self.state = ConnectionState.DOWN
 
     def _set_state(self, state: ConnectionState) -> None:
-        self.state = transition(f"connection to {self.node}", CONNECTION_STEPS, self.state, state)
+        self.state = transition(f"connection to {self.node}", CONNECTION_TRANSITIONS, self.state, state)
 
     async def run(self) -> None:
         """Connect, and reconnect whenever the connection ends, until cancelled."""
@@ -79,10 +79,10 @@
             except (OSError, TimeoutError):
                 self._set_state(ConnectionState.DOWN)
             else:
-                await self._use(reader, writer)
+                await self._run_connection(reader, writer)
             await asyncio.sleep(RECONNECT_DELAY.total_seconds())
 
-    async def _use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _run_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Receive messages until the connection ends, then fail the pending requests."""
         self._writer = writer
         self._set_state(ConnectionState.UP)
--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 MAX_FRAME_BYTES = 256 * 1024
-READ_BYTES = 64 * 1024
+READ_CHUNK_BYTES = 64 * 1024
 
 
 class RejectedFrames:
@@ -48,7 +48,7 @@
     idle_timeout_s = None if idle_timeout is None else idle_timeout.total_seconds()
     while True:
         async with asyncio.timeout(idle_timeout_s):
-            data = await reader.read(READ_BYTES)
+            data = await reader.read(READ_CHUNK_BYTES)
         if not data:
             return
         for frame in decoder.feed(data):
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -13,7 +13,7 @@
     SUBMIT = "submit"
     STATUS = "status"
     CANCEL = "withdraw"
-    # Asks whether no process of the node has won a later term than that of the token. Earlier versions never confirm it.
+    # Asks whether no process of the node has won a later term than that of the token. Earlier versions never confirm.
     CONFIRM_NO_LATER_TERM = "vouch"
     # Asks for the id of the node's current process. Earlier versions reject the request.
     WHICH_PROCESS = "process"
--- a/src/elmthread/peers/network.py
+++ b/src/elmthread/peers/network.py
@@ -38,7 +38,7 @@
             address.node: PeerConnection(address, handler, self.rejected, max_pending) for address in addresses
         }
         self._incoming: set[asyncio.StreamWriter] = set()
-        self._responding: set[asyncio.Task[None]] = set()
+        self._response_tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
 
     def is_connected(self, node: str) -> bool:
@@ -67,9 +67,9 @@
         async with asyncio.TaskGroup() as group:
             for connection in self._outgoing.values():
                 group.create_task(connection.run())
-            group.create_task(self._announce_at_intervals())
+            group.create_task(self._announce_periodically())
 
-    async def _announce_at_intervals(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             self.announce()
             await asyncio.sleep(ANNOUNCEMENT_INTERVAL.total_seconds())
@@ -89,16 +89,16 @@
         if isinstance(message, LeaderAnnouncement):
             self._handler.handle_announcement(message)
         elif isinstance(message, ForwardedRequest):
-            self._begin_response(writer, message)
+            self._start_response(writer, message)
 
-    def _begin_response(self, writer: asyncio.StreamWriter, request: ForwardedRequest) -> None:
-        if len(self._responding) >= self._max_pending:
-            log.info("peer request rejected: %s requests are already in progress", len(self._responding))
+    def _start_response(self, writer: asyncio.StreamWriter, request: ForwardedRequest) -> None:
+        if len(self._response_tasks) >= self._max_pending:
+            log.info("peer request rejected: %s requests are already in progress", len(self._response_tasks))
             self._send(writer, ForwardedResponse(request.number, 503, {"error": "busy"}, BUSY_RETRY_AFTER_S))
             return
         task = asyncio.get_running_loop().create_task(self._respond(writer, request))
-        self._responding.add(task)
-        task.add_done_callback(self._responding.discard)
+        self._response_tasks.add(task)
+        task.add_done_callback(self._response_tasks.discard)
 
     async def _respond(self, writer: asyncio.StreamWriter, request: ForwardedRequest) -> None:
         try:
--- a/src/elmthread/peers/tests/test_network.py
+++ b/src/elmthread/peers/tests/test_network.py
@@ -32,32 +32,32 @@
         return LeaderAnnouncement("b", 7)
 
 
-def test_controllers_exchange_messages_and_survive_what_is_none() -> None:
+def test_controllers_exchange_messages_and_reject_malformed_frames() -> None:
     async def main() -> None:
         handler = Handler()
         probe = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         port = probe.sockets[0].getsockname()[1]
         probe.close()
-        one = PeerNetwork([PeerAddress("b", "127.0.0.1", port)], handler)
-        two = PeerNetwork([], handler)
-        tasks = [asyncio.create_task(two.run("127.0.0.1", port)), asyncio.create_task(one.run("127.0.0.1", 0))]
-        while not one.is_connected("b"):
+        client = PeerNetwork([PeerAddress("b", "127.0.0.1", port)], handler)
+        server = PeerNetwork([], handler)
+        tasks = [asyncio.create_task(server.run("127.0.0.1", port)), asyncio.create_task(client.run("127.0.0.1", 0))]
+        while not client.is_connected("b"):
             await asyncio.sleep(0.05)
         _, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b'5:[1,2],10:{"kind":1},')
-        _, other = await asyncio.open_connection("127.0.0.1", port)
-        other.write(b"300000:" + b"x" * 300_000)
-        await other.drain()
-        reply = await one.request("b", ForwardedRequest(0, "submit", "run-1"), seconds(2))
-        assert reply.status == 200 and reply.body == {"id": "run-1"} and reply.retry_after_s == 1.5
+        _, second_writer = await asyncio.open_connection("127.0.0.1", port)
+        second_writer.write(b"300000:" + b"x" * 300_000)
+        await second_writer.drain()
+        response = await client.request("b", ForwardedRequest(0, "submit", "run-1"), seconds(2))
+        assert response.status == 200 and response.body == {"id": "run-1"} and response.retry_after_s == 1.5
         try:
-            await one.request("b", ForwardedRequest(0, "status", "run-1"), seconds(0.2))
+            await client.request("b", ForwardedRequest(0, "status", "run-1"), seconds(0.2))
             raise AssertionError("received a response after the timeout")
         except PeerUnreachableError:
             pass
         await asyncio.sleep(1.2)
         # Two frames without a valid message, and one longer than the maximum.
-        assert two.rejected.count == 3
+        assert server.rejected.count == 3
         assert LeaderAnnouncement("b", 7) in handler.announcements
         for task in tasks:
             task.cancel()
