--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -17,12 +17,12 @@
     does not hand over leadership: leading with some links down is better than changing leaders every few seconds.
     """
 
-    def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, alone: bool) -> None:
-        """Start without a backoff. A node that is `alone` never backs off; `rng` draws the jitter."""
+    def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, single_node: bool) -> None:
+        """Start without a backoff; `rng` draws the jitter. A `single_node` without other controllers never backs off."""
         self._bounds = bounds
         self._clock = clock
         self._rng = rng
-        self._alone = alone
+        self._single_node = single_node
         # The number of recent backoffs, each of which doubles the next one, and the time at which the last one ends.
         self._recent_count = 0
         self._until = ZERO
@@ -30,14 +30,14 @@
     @property
     def is_active(self) -> bool:
         """Whether this node currently refrains from seeking leadership."""
-        return not self._alone and self._clock() < self._until
+        return not self._single_node and self._clock() < self._until
 
     def begin(self, longest: bool = False) -> None:
         """Start a backoff after a term; `longest` makes it the maximum, for when no better connected node is known."""
-        if self._alone:
+        if self._single_node:
             return
         now = self._clock()
-        self._forget_past(now)
+        self._decay_recent_count(now)
         if longest:
             self._until = now + self._bounds.max_backoff
         else:
@@ -60,8 +60,8 @@
         jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
         return max(jittered, self._bounds.min_backoff)
 
-    def _forget_past(self, now: timedelta) -> None:
+    def _decay_recent_count(self, now: timedelta) -> None:
         """Decrease the count of recent backoffs by one for each `max_backoff` since the last one ended."""
         if now > self._until:
-            forgotten = int((now - self._until) / self._bounds.max_backoff)
-            self._recent_count = max(0, self._recent_count - forgotten)
+            elapsed_periods = int((now - self._until) / self._bounds.max_backoff)
+            self._recent_count = max(0, self._recent_count - elapsed_periods)
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -18,7 +18,7 @@
 # Allowance for network latency and for the time until this node reads the heartbeat.
 HEARTBEAT_SLACK = seconds(0.5)
 # A link is no longer confirmed after this many consecutive lost announcements, which is unlikely to be chance.
-MISSED_ANNOUNCEMENTS = 3
+MAX_MISSED_ANNOUNCEMENTS = 3
 # The longest backoff after a term, as a multiple of the worker lease.
 MAX_BACKOFF_LEASES = 8
 # The largest share by which jitter shortens a backoff.
@@ -44,17 +44,17 @@
     @property
     def store_confirmed_for(self) -> timedelta:
         """How long an answered request confirms the link to the key-value store, counted from when it was sent."""
-        return self.follower_watch * 2 + self.ttl / 2
+        return self.max_follower_watch * 2 + self.ttl / 2
 
     @property
-    def follower_watch(self) -> timedelta:
+    def max_follower_watch(self) -> timedelta:
         """How long a follower watches the key-value store per request; each response confirms its link."""
         return self.ttl
 
     @property
     def peer_confirmed_for(self) -> timedelta:
         """How long an echoed message confirms the link to another controller, counted from when it was sent."""
-        return ANNOUNCEMENT_INTERVAL * MISSED_ANNOUNCEMENTS
+        return ANNOUNCEMENT_INTERVAL * MAX_MISSED_ANNOUNCEMENTS
 
     @property
     def workers_confirmed_for(self) -> timedelta:
@@ -106,9 +106,9 @@
         less jitter. A node in backoff leads only if it was named as successor, by a node that was not in backoff and
         enters one then, or if leadership has been vacant for `min_backoff`.
         """
-        growing = math.ceil(math.log2(self.max_backoff / self.min_backoff)) + 1
-        after_backoff = math.ceil(HOUR / (self.max_backoff * (1 - BACKOFF_JITTER))) + growing
-        return 2 * nodes * after_backoff + math.ceil(HOUR / self.min_backoff)
+        growth_terms = math.ceil(math.log2(self.max_backoff / self.min_backoff)) + 1
+        terms_per_node = math.ceil(HOUR / (self.max_backoff * (1 - BACKOFF_JITTER))) + growth_terms
+        return 2 * nodes * terms_per_node + math.ceil(HOUR / self.min_backoff)
 
     @property
     def max_time_without_leader(self) -> timedelta:
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -55,4 +55,4 @@
 
     def watch_timeout(self, usual: timedelta) -> timedelta:
         """Return how long a follower waits for a change of leader before it queries the key-value store again."""
-        return min(usual, self._reachability.bounds.follower_watch) if self._reachability.views_active else usual
+        return min(usual, self._reachability.bounds.max_follower_watch) if self._reachability.views_active else usual
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -54,15 +54,15 @@
         view: LinkViewMessage = msgspec.json.decode(announcement.links, type=LinkViewMessage)
     except msgspec.MsgspecError as error:
         return [*lines, f"  its view can't be read: {error}"]
-    lines.append(f"  state service: {_status(view.store)}")
-    lines += [f"  {other}: {_status(status)}" for other, status in sorted(view.peers.items())]
-    lines += [f"  workers of {zone}: {_status(status)}" for zone, status in sorted(view.workers.items())]
+    lines.append(f"  state service: {_format_status(view.store)}")
+    lines += [f"  {other}: {_format_status(status)}" for other, status in sorted(view.peers.items())]
+    lines += [f"  workers of {zone}: {_format_status(status)}" for zone, status in sorted(view.workers.items())]
     if view.in_backoff:
         lines.append("  leaves leadership to others for a while")
     return lines
 
 
-def _status(status: LinkStatus) -> str:
+def _format_status(status: LinkStatus) -> str:
     if status.age_s is None:
         return f"{status.state.value}, never confirmed"
     return f"{status.state.value}, last confirmed {status.age_s:.1f} s ago"
--- a/src/elmthread/reachability/decisions.py
+++ b/src/elmthread/reachability/decisions.py
@@ -11,8 +11,8 @@
 
 # Another node is clearly better connected if more machines reach it than the leader, by more than both of these
 # margins: a share of all machines, and a number of machines.
-BETTER_MARGIN_SHARE = 0.02
-MIN_BETTER_MARGIN = 1
+HANDOVER_MARGIN_SHARE = 0.02
+MIN_HANDOVER_MARGIN = 1
 
 
 class OwnView(msgspec.Struct, frozen=True):
@@ -73,19 +73,19 @@
         return LeaseUncertain()
     if own.in_backoff:
         return KeepLeading()
-    successor = _successor(own, peers)
+    successor = _select_successor(own, peers)
     if successor is not None:
         return HandOver(successor)
     # For nodes without a valid view, only the number of misdirected heartbeats is known.
     misdirected = max((peer.misdirected for peer in peers if peer.store is None), default=0)
-    if misdirected and majority_elsewhere(own.expected, own.silent, misdirected):
+    if misdirected and majority_reaches_other_node(own.expected, own.silent, misdirected):
         return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
     if peers and not any(peer.link is LinkState.CONFIRMED for peer in peers) and _no_machine_reports(own):
         return StepDown(StepDownReason.ISOLATED)
     return KeepLeading()
 
 
-def majority_elsewhere(expected: int, silent: int, misdirected: int) -> bool:
+def majority_reaches_other_node(expected: int, silent: int, misdirected: int) -> bool:
     """Return whether most machines are silent and most of the silent ones reach another node.
 
     Also true if most of all machines reach another node: their heartbeats arrive here, but they get no responses.
@@ -101,24 +101,24 @@
     return own.expected >= MIN_MACHINES_TO_JUDGE and own.silent * 2 > own.expected and own.confirmed == 0
 
 
-def _successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
+def _select_successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
     """Return the node that most machines reach, of those that reach the store and are clearly better connected."""
-    better = [
+    candidates = [
         peer
         for peer in peers
         if peer.link is LinkState.CONFIRMED
         and peer.store is LinkState.CONFIRMED
-        and _is_better_off(own, peer.misdirected)
+        and _is_better_connected(own, peer.misdirected)
     ]
-    if not better:
+    if not candidates:
         return None
     # A node that recently gave up leadership is chosen only if no other node is better connected.
-    return min(better, key=lambda peer: (peer.in_backoff, -peer.misdirected, peer.node)).node
+    return min(candidates, key=lambda peer: (peer.in_backoff, -peer.misdirected, peer.node)).node
 
 
-def _is_better_off(own: OwnView, misdirected: int) -> bool:
+def _is_better_connected(own: OwnView, misdirected: int) -> bool:
     """Return whether a node that this many misdirected machines reach is clearly better connected than the leader."""
     if own.expected < MIN_MACHINES_TO_JUDGE:
         # With so few machines, one lost response would exceed the margin, so a majority is required.
-        return misdirected > 0 and majority_elsewhere(own.expected, own.silent, misdirected)
-    return misdirected > own.confirmed + max(MIN_BETTER_MARGIN, math.ceil(own.expected * BETTER_MARGIN_SHARE))
+        return misdirected > 0 and majority_reaches_other_node(own.expected, own.silent, misdirected)
+    return misdirected > own.confirmed + max(MIN_HANDOVER_MARGIN, math.ceil(own.expected * HANDOVER_MARGIN_SHARE))
--- a/src/elmthread/reachability/links.py
+++ b/src/elmthread/reachability/links.py
@@ -15,7 +15,7 @@
     CUT = "cut"
 
 
-LINK_STEPS = {
+LINK_TRANSITIONS = {
     LinkState.CONFIRMED: frozenset({LinkState.DOUBTFUL, LinkState.CUT}),
     LinkState.DOUBTFUL: frozenset({LinkState.CONFIRMED, LinkState.CUT}),
     # A slow round trip that started before the link was considered cut may complete after that.
@@ -44,10 +44,10 @@
         """Return the start time of a round trip that starts now, to be passed to `confirm`."""
         return self._clock()
 
-    def confirm(self, began: timedelta) -> None:
+    def confirm(self, started_at: timedelta) -> None:
         """Record the completion of a round trip that started at that time."""
-        if self.confirmed_at is None or began > self.confirmed_at:
-            self.confirmed_at = began
+        if self.confirmed_at is None or started_at > self.confirmed_at:
+            self.confirmed_at = started_at
 
     @property
     def state(self) -> LinkState:
@@ -67,4 +67,4 @@
         return None if self.confirmed_at is None else self._clock() - self.confirmed_at
 
     def _set_state(self, state: LinkState) -> None:
-        self._state = transition(f"link to {self.name}", LINK_STEPS, self._state, state)
+        self._state = transition(f"link to {self.name}", LINK_TRANSITIONS, self._state, state)
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -69,7 +69,7 @@
     except msgspec.MsgspecError as error:
         raise InvalidViewError(f"malformed: {error}") from error
     for status in (view.store, *view.peers.values(), *view.workers.values()):
-        problem = _contradiction_in(status)
+        problem = _find_contradiction(status)
         if problem is not None:
             raise InvalidViewError(f"contradictory: {problem}")
     if sender in view.peers or sender in view.echoes:
@@ -81,7 +81,7 @@
     return view
 
 
-def _contradiction_in(status: LinkStatus) -> str | None:
+def _find_contradiction(status: LinkStatus) -> str | None:
     if status.age_s is None:
         return "confirmed without an age" if status.state is LinkState.CONFIRMED else None
     if not (math.isfinite(status.age_s) and 0 <= status.age_s <= MAX_AGE_S):
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -20,9 +20,9 @@
 # The largest number of heartbeats in an announced sample, taken from the latest ones.
 MAX_SAMPLE = 16
 # Workers are redirected to the leader only while no larger share of all machines has sent misdirected heartbeats.
-MANY_SHARE = 0.1
+MAX_REDIRECTED_SHARE = 0.1
 # At this number and this share of all machines, they are announced immediately instead of at the next interval.
-MIN_URGENT = 2
+MIN_URGENT_COUNT = 2
 MIN_URGENT_SHARE = 0.01
 
 
@@ -91,7 +91,7 @@
         probably lost a response and are sent back to it. If there are many, they would only wait for another timeout
         there, so they try the next node instead; by then there may be another leader.
         """
-        sender = _sender_of(request)
+        sender = _decode_sender(request)
         if sender is not None:
             self._last_arrival_at = self._clock()
         if leader is None or sender is None or sender.fencing_token != fencing_token:
@@ -105,8 +105,8 @@
         self._arrivals.pop(sender.machine, None)
         self._arrivals[sender.machine] = Arrival(self._clock(), heartbeat)
         # A single worker is always sent back: in a small cluster, its lease could expire while it tries all nodes.
-        many = max(1.0, self._machine_count * MANY_SHARE)
-        return Redirection(leader if len(self._arrivals) <= many else None)
+        max_redirected = max(1.0, self._machine_count * MAX_REDIRECTED_SHARE)
+        return Redirection(leader if len(self._arrivals) <= max_redirected else None)
 
     def summarize(self, fencing_token: int) -> MisdirectedSummary:
         """Return the summary of recent misdirected heartbeats in the term of that token, for an announcement."""
@@ -115,8 +115,8 @@
         since = self._clock() - self._window
         self._arrivals = {machine: arrival for machine, arrival in self._arrivals.items() if arrival.at > since}
         self._last_announced_count = len(self._arrivals)
-        last = list(self._arrivals.values())[-MAX_SAMPLE:]
-        return MisdirectedSummary(len(self._arrivals), [arrival.heartbeat for arrival in last])
+        latest = list(self._arrivals.values())[-MAX_SAMPLE:]
+        return MisdirectedSummary(len(self._arrivals), [arrival.heartbeat for arrival in latest])
 
     def has_recent_heartbeats(self) -> bool:
         """Return whether this node received any heartbeat recently while not leading."""
@@ -124,7 +124,7 @@
 
     def should_announce_now(self) -> bool:
         """Return whether more machines have arrived since the last announcement than lost responses can explain."""
-        threshold = max(MIN_URGENT, self._machine_count * MIN_URGENT_SHARE, self._last_announced_count * 2)
+        threshold = max(MIN_URGENT_COUNT, self._machine_count * MIN_URGENT_SHARE, self._last_announced_count * 2)
         return len(self._arrivals) >= threshold
 
     def observe(self, announcement: LeaderAnnouncement) -> None:
@@ -146,7 +146,7 @@
         return round(count * sum(map(is_newer, sample)) / len(sample))
 
 
-def _sender_of(request: Request) -> Sender | None:
+def _decode_sender(request: Request) -> Sender | None:
     try:
         return msgspec.convert(decode_body(request.body), Sender)
     except (MalformedBodyError, msgspec.ValidationError):
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -40,7 +40,7 @@
         """Announce this node's state to all others immediately."""
 
 
-class TermObserver(Protocol):
+class TermEvaluator(Protocol):
     """Evaluates the links of the leader during one term."""
 
     def evaluate(self) -> None:
@@ -75,11 +75,11 @@
         self._features = features
         self.store = Link("the key-value store", clock, bounds.store_confirmed_for, bounds.cut_after)
         self.misdirected = MisdirectedHeartbeats(clock, settings.misdirected_window)
-        self.backoff = LeadershipBackoff(bounds, clock, random.Random(self.node), alone=not self.others)
+        self.backoff = LeadershipBackoff(bounds, clock, random.Random(self.node), single_node=not self.others)
         first_number = secrets.randbelow(MAX_FIRST_NUMBER)
         self.exchange = ViewExchange(self.node, self.others, bounds, clock, first_number)
         self.succession = Succession(clock, bounds.successor_precedence)
-        self.term: TermObserver | None = None
+        self.term: TermEvaluator | None = None
         # Set while this node leads and has loaded the cluster state.
         self.leader_ready = asyncio.Event()
 
@@ -134,7 +134,7 @@
             workers=self.term.worker_statuses() if self.term is not None else {},
             in_backoff=self.backoff.is_active,
         )
-        successor = self.succession.to_announce()
+        successor = self.succession.successor_to_announce()
         if successor is not None:
             view.successor, view.successor_fencing_token = successor.node, successor.fencing_token
         return view
--- a/src/elmthread/reachability/succession.py
+++ b/src/elmthread/reachability/succession.py
@@ -22,27 +22,27 @@
         """Start with no successor; a named one has precedence over other candidates for `precedence`."""
         self._clock = clock
         self._precedence = precedence
-        self._named_here: Successor | None = None
-        self._named_by_other: Successor | None = None
+        self._own_successor: Successor | None = None
+        self._peer_successor: Successor | None = None
 
     def name_successor(self, node: str, fencing_token: int) -> None:
         """Name the node that is to lead after the term with that token, which this node is about to end."""
-        self._named_here = Successor(node, fencing_token, self._clock() + self._precedence)
+        self._own_successor = Successor(node, fencing_token, self._clock() + self._precedence)
 
-    def to_announce(self) -> Successor | None:
+    def successor_to_announce(self) -> Successor | None:
         """Return the successor that this node has named, as long as it has precedence."""
-        named = self._named_here
+        named = self._own_successor
         return named if named is not None and self._clock() < named.precedence_until else None
 
     def observe_successor(self, node: str, fencing_token: int) -> None:
         """Record the successor that another node has named; a repeated message does not extend its precedence."""
-        if self._named_by_other is not None and fencing_token <= self._named_by_other.fencing_token:
+        if self._peer_successor is not None and fencing_token <= self._peer_successor.fencing_token:
             return
-        self._named_by_other = Successor(node, fencing_token, self._clock() + self._precedence)
+        self._peer_successor = Successor(node, fencing_token, self._clock() + self._precedence)
 
     def announced_by_other(self, fencing_token: int) -> Successor | None:
         """Return the successor that another node has named for the term with that token."""
-        named = self._named_by_other
+        named = self._peer_successor
         return named if named is not None and named.fencing_token == fencing_token else None
 
     def remaining(self, successor: Successor) -> timedelta:
--- a/src/elmthread/reachability/tests/stand_ins.py
+++ b/src/elmthread/reachability/tests/stand_ins.py
@@ -13,7 +13,7 @@
 from elmthread.reachability.view_exchange import ViewExchange
 
 # Hypothesis settings with the same examples in every run.
-SAME_EXAMPLES = settings(derandomize=True, database=None, deadline=None)
+DETERMINISTIC_SETTINGS = settings(derandomize=True, database=None, deadline=None)
 BOUNDS = ReachabilityBounds(seconds(2), seconds(3), seconds(12))
 
 
@@ -26,12 +26,12 @@
     def __call__(self) -> timedelta:
         return self.now
 
-    def advance(self, span: float) -> None:
+    def advance(self, duration_s: float) -> None:
         """Advance the clock by that many seconds."""
-        self.now += seconds(span)
+        self.now += seconds(duration_s)
 
 
-def announced_by(one: ViewExchange, **changes: Any) -> msgspec.Raw:
+def encode_view_of(exchange: ViewExchange, **changes: Any) -> msgspec.Raw:
     """Return the encoded view of a node with a confirmed link to the key-value store."""
-    view = LinkViewMessage(one.next_number(), one.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
+    view = LinkViewMessage(exchange.next_number(), exchange.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
     return msgspec.Raw(encode_view(msgspec.structs.replace(view, **changes)))
--- a/src/elmthread/reachability/tests/test_backoff.py
+++ b/src/elmthread/reachability/tests/test_backoff.py
@@ -10,12 +10,12 @@
 from elmthread.common.clock import ZERO, seconds
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import BACKOFF_JITTER, HOUR
-from elmthread.reachability.tests.stand_ins import BOUNDS, SAME_EXAMPLES, ManualClock
+from elmthread.reachability.tests.stand_ins import BOUNDS, DETERMINISTIC_SETTINGS, ManualClock
 
 
-def test_backoffs_grow_while_cuts_return_and_are_forgotten_without_cuts() -> None:
+def test_backoff_grows_on_repeated_failures_and_decays_afterwards() -> None:
     clock = ManualClock()
-    backoff = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=False)
+    backoff = LeadershipBackoff(BOUNDS, clock, random.Random(1), single_node=False)
     assert not backoff.is_active and backoff.candidacy_delay(ZERO) == ZERO
     durations = []
     for _ in range(8):
@@ -35,25 +35,25 @@
     backoff.begin()
     assert backoff._until - clock.now == BOUNDS.min_backoff
     # A single node never backs off.
-    alone = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=True)
-    alone.begin(longest=True)
-    assert not alone.is_active
+    single_node = LeadershipBackoff(BOUNDS, clock, random.Random(1), single_node=True)
+    single_node.begin(longest=True)
+    assert not single_node.is_active
 
 
-@settings(SAME_EXAMPLES)
+@settings(DETERMINISTIC_SETTINGS)
 @given(st.integers(0, 1000), st.sampled_from([0.1, 0.5, 3.0, 30.0, 100.0]))
-def test_terms_that_cuts_end_are_no_more_than_the_bound_in_any_hour(seed: int, longest_pause: float) -> None:
+def test_terms_per_hour_stay_within_the_bound(seed: int, longest_pause: float) -> None:
     """End each term of three nodes immediately, and start the next one as soon as a backoff allows it."""
     clock = ManualClock()
-    nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), alone=False) for n in range(3)]
+    nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), single_node=False) for n in range(3)]
     began: list[timedelta] = []
     vacant_since = clock.now
     rng = random.Random(seed)
     for _ in range(2000):
         clock.advance(rng.uniform(0.0, longest_pause))
-        waits = [one.candidacy_delay(clock.now - vacant_since) for one in nodes]
-        if min(waits) == ZERO:
-            nodes[waits.index(ZERO)].begin()
+        delays = [node.candidacy_delay(clock.now - vacant_since) for node in nodes]
+        if min(delays) == ZERO:
+            nodes[delays.index(ZERO)].begin()
             began.append(clock.now)
             vacant_since = clock.now
     for number, first in enumerate(began):
--- a/src/elmthread/reachability/tests/test_command.py
+++ b/src/elmthread/reachability/tests/test_command.py
@@ -44,7 +44,7 @@
 
 
 @pytest.fixture
-def announcing() -> Iterator[str]:
+def server_address() -> Iterator[str]:
     """Yield the address of a server that sends an announcement as a controller does."""
     loop = asyncio.new_event_loop()
 
@@ -64,11 +64,11 @@
     loop.close()
 
 
-def test_a_controller_that_announces_nothing_and_bad_settings_are_named(
-    announcing: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_missing_announcements_and_invalid_settings_are_reported(
+    server_address: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config = tmp_path / "settings.toml"
-    text = settings("loom-0", NODES[:2]).replace('peer_listen = "10.0.0.1:8081"', f'peer_listen = "{announcing}"')
+    text = settings("loom-0", NODES[:2]).replace('peer_listen = "10.0.0.1:8081"', f'peer_listen = "{server_address}"')
     config.write_text(text.replace('address = "10.0.0.1:8081"', 'address = "127.0.0.1:1"'))
     assert cli.main(["links", "--config", str(config)]) == 1
     printed = capsys.readouterr()
--- a/src/elmthread/reachability/tests/test_decisions.py
+++ b/src/elmthread/reachability/tests/test_decisions.py
@@ -13,10 +13,10 @@
     PeerView,
     StepDown,
     decide,
-    majority_elsewhere,
+    majority_reaches_other_node,
 )
 from elmthread.reachability.links import LinkState
-from elmthread.reachability.tests.stand_ins import SAME_EXAMPLES
+from elmthread.reachability.tests.stand_ins import DETERMINISTIC_SETTINGS
 
 CONFIRMED, DOUBTFUL = LinkState.CONFIRMED, LinkState.DOUBTFUL
 
@@ -34,33 +34,33 @@
     for peer in peers:
         if peer.store is not None or peer.misdirected == 0:
             continue
-        of = own.silent if most_silent else own.expected
-        if peer.misdirected > of - peer.misdirected:
+        reference = own.silent if most_silent else own.expected
+        if peer.misdirected > reference - peer.misdirected:
             return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
-    nobody = peers and all(peer.link is not CONFIRMED for peer in peers)
-    if nobody and most_silent and own.expected >= 4 and not own.confirmed:
+    no_peer_confirmed = peers and all(peer.link is not CONFIRMED for peer in peers)
+    if no_peer_confirmed and most_silent and own.expected >= 4 and not own.confirmed:
         return StepDown(StepDownReason.ISOLATED)
     return KeepLeading()
 
 
 def model_successor(own: OwnView, peers: list[PeerView]) -> PeerView | None:
     best: PeerView | None = None
-    for peer in sorted(peers, key=lambda one: one.node):
-        able = peer.link is CONFIRMED and peer.store is CONFIRMED
-        if not (able and model_better_off(own, peer)):
+    for peer in sorted(peers, key=lambda item: item.node):
+        eligible = peer.link is CONFIRMED and peer.store is CONFIRMED
+        if not (eligible and model_better_connected(own, peer)):
             continue
         if best is None or (best.in_backoff, -best.misdirected) > (peer.in_backoff, -peer.misdirected):
             best = peer
     return best
 
 
-def model_better_off(own: OwnView, peer: PeerView) -> bool:
+def model_better_connected(own: OwnView, peer: PeerView) -> bool:
     if own.expected < 4:
-        of = own.silent if own.silent * 2 > own.expected else own.expected
-        return peer.misdirected > 0 and peer.misdirected * 2 > of
+        reference = own.silent if own.silent * 2 > own.expected else own.expected
+        return peer.misdirected > 0 and peer.misdirected * 2 > reference
     # The margin over the confirmed machines is more than one machine, and more than a fiftieth of all machines.
-    more = peer.misdirected - own.confirmed
-    return more > 1 and more * 50 > own.expected
+    surplus = peer.misdirected - own.confirmed
+    return surplus > 1 and surplus * 50 > own.expected
 
 
 def own_view(holds_lease: bool, in_backoff: bool, expected: int, silent: int, confirmed: int) -> OwnView:
@@ -88,24 +88,24 @@
 OWN_VIEWS = st.builds(own_view, st.booleans(), st.booleans(), COUNTS, COUNTS, COUNTS)
 
 
-@settings(SAME_EXAMPLES)
+@settings(DETERMINISTIC_SETTINGS)
 @given(OWN_VIEWS, PEERS)
-def test_decisions_are_those_of_the_plain_model(own: OwnView, peers: list[PeerView]) -> None:
+def test_decisions_match_the_model(own: OwnView, peers: list[PeerView]) -> None:
     assert decide(own, peers) == model(own, peers)
 
 
-def test_only_most_machines_silent_here_that_reach_another_node_are_a_reason() -> None:
-    assert majority_elsewhere(600, 400, 250)
+def test_majority_must_reach_the_other_node_and_not_this_one() -> None:
+    assert majority_reaches_other_node(600, 400, 250)
     # Machines that have failed or reach no node would not reach another leader either.
-    assert not majority_elsewhere(600, 600, 0)
+    assert not majority_reaches_other_node(600, 600, 0)
     # A zone and its controller are partitioned from the rest; the other machines report here.
-    assert not majority_elsewhere(600, 150, 150)
-    assert not majority_elsewhere(0, 0, 0)
+    assert not majority_reaches_other_node(600, 150, 150)
+    assert not majority_reaches_other_node(0, 0, 0)
     # Heartbeats arrive here, but their senders receive no responses.
-    assert majority_elsewhere(600, 50, 350) and not majority_elsewhere(600, 50, 250)
+    assert majority_reaches_other_node(600, 50, 350) and not majority_reaches_other_node(600, 50, 250)
 
 
-def test_of_two_that_see_different_halves_the_one_that_leads_stays() -> None:
+def test_leadership_is_handed_over_only_to_a_clearly_better_connected_node() -> None:
     half = OwnView(holds_lease=True, in_backoff=False, expected=100, silent=50, confirmed=50)
     assert decide(half, [PeerView("b", CONFIRMED, 50, CONFIRMED)]) == KeepLeading()
     assert decide(half, [PeerView("b", CONFIRMED, 52, CONFIRMED)]) == KeepLeading()
--- a/src/elmthread/reachability/tests/test_misdirected.py
+++ b/src/elmthread/reachability/tests/test_misdirected.py
@@ -22,23 +22,23 @@
     return summarized.count, summarized.sample
 
 
-def test_machines_that_miss_the_leader_are_counted_once_and_for_a_while() -> None:
+def test_misdirected_machines_are_counted_once_within_the_window() -> None:
     now = [seconds(0)]
     count = itertools.count(1)
     misdirected = MisdirectedHeartbeats(lambda: now[0], seconds(7))
     misdirected.observe(announcement("a", 0, [], machine_count=10))
 
-    def comes(machine: str, fencing_token: int, leader: str | None = "a") -> object:
+    def redirected(machine: str, fencing_token: int, leader: str | None = "a") -> object:
         body = {"loom": machine, "baton": fencing_token, "shift": 1, "tally": next(count)}
         return misdirected.redirect(Request("POST", "/", {}, cbor2.dumps(body)), leader, 9).response().body
 
     # A worker that has not seen this term is redirected to its leader. Of workers that have, a single one is sent back
     # to the leader, while many are told to try the next node.
-    assert comes("m-1", 5) == {"foreman": "a"} and comes("m-1", 0) == {"foreman": "a"}
+    assert redirected("m-1", 5) == {"foreman": "a"} and redirected("m-1", 0) == {"foreman": "a"}
     assert summary(misdirected, 9) == (0, [])
-    assert comes("m-1", 9) == {"foreman": "a"} and comes("m-1", 9) == {"foreman": "a"}
-    assert comes("m-2", 9) == {} and comes("m-1", 9) == {} and comes("m-2", 9) == {}
-    assert comes("m-3", 9, None) == {}
+    assert redirected("m-1", 9) == {"foreman": "a"} and redirected("m-1", 9) == {"foreman": "a"}
+    assert redirected("m-2", 9) == {} and redirected("m-1", 9) == {} and redirected("m-2", 9) == {}
+    assert redirected("m-3", 9, None) == {}
     assert misdirected.redirect(Request("POST", "/", {}, b"\xff"), "a", 9).response().body == {"foreman": "a"}
     assert summary(misdirected, 9) == (2, [("m-1", 1, 6), ("m-2", 1, 7)])
     # Heartbeats of an earlier term are not counted in a later one.
@@ -47,19 +47,19 @@
     assert summary(misdirected, 9) == (0, [])
 
 
-def test_one_alone_is_sent_back_however_small_the_fleet() -> None:
+def test_single_worker_is_sent_back_to_the_leader_in_a_small_cluster() -> None:
     """Guard against a worker that tries all nodes after one lost response and returns after its lease has expired."""
     misdirected = MisdirectedHeartbeats(lambda: seconds(0), seconds(7))
     misdirected.observe(announcement("a", 0, [], machine_count=6))
 
-    def comes(machine: str) -> object:
+    def redirected(machine: str) -> object:
         body = {"loom": machine, "baton": 9, "shift": 1, "tally": 1}
         return misdirected.redirect(Request("POST", "/", {}, cbor2.dumps(body)), "a", 9).response().body
 
-    assert comes("m-1") == {"foreman": "a"} and comes("m-1") == {"foreman": "a"} and comes("m-2") == {}
+    assert redirected("m-1") == {"foreman": "a"} and redirected("m-1") == {"foreman": "a"} and redirected("m-2") == {}
 
 
-def test_what_another_node_announces_counts_as_far_as_it_is_newer() -> None:
+def test_announced_heartbeats_count_only_if_they_are_newer() -> None:
     now = [seconds(0)]
     misdirected = MisdirectedHeartbeats(lambda: now[0], seconds(7))
     sample = [MisdirectedHeartbeat(f"m-{number}", 1, number) for number in range(4)]
--- a/src/elmthread/reachability/view_exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 # The number of sent messages whose times are kept; an echo of an older message is too old to confirm a link.
-MAX_REMEMBERED_SENDINGS = 64
+MAX_SENT_RECORDS = 64
 
 
 class ReceivedView(msgspec.Struct, frozen=True):
@@ -44,9 +44,9 @@
             other: Link(other, clock, bounds.peer_confirmed_for, bounds.cut_after) for other in others
         }
         self._number = first_number
-        self._sent: deque[tuple[int, timedelta]] = deque(maxlen=MAX_REMEMBERED_SENDINGS)
+        self._sent: deque[tuple[int, timedelta]] = deque(maxlen=MAX_SENT_RECORDS)
         self._views: dict[str, ReceivedView] = {}
-        self._newest_numbers: dict[str, int] = {}
+        self._latest_numbers: dict[str, int] = {}
         self.rejected_count = 0
 
     def next_number(self) -> int:
@@ -57,7 +57,7 @@
 
     def echoes(self) -> dict[str, int]:
         """Return the number of the latest message received from each node."""
-        return dict(self._newest_numbers)
+        return dict(self._latest_numbers)
 
     def receive(self, sender: str, raw: msgspec.Raw) -> LinkViewMessage | None:
         """Return a view and confirm the link; None if it is invalid, outdated or echoes no known message."""
@@ -72,15 +72,15 @@
             return None
         # Echo the message whatever its age: after a link failure, the first messages of both sides echo numbers that
         # are too old, and if these were not echoed in turn, neither side would ever receive a recent echo.
-        self._newest_numbers[sender] = view.number
+        self._latest_numbers[sender] = view.number
         sent_at = self._sent_at(view.echoes.get(self._node))
         if sent_at is None:
             return None
-        known = self._views.get(sender)
+        previous = self._views.get(sender)
         if self._clock() - sent_at > self._bounds.max_view_age:
             self._reject(sender, "too old")
             return None
-        if known is not None and sent_at < known.made_after:
+        if previous is not None and sent_at < previous.made_after:
             # There are two connections to each node, and a newer view has arrived on the other one.
             return None
         link.confirm(sent_at)
--- a/src/elmthread/reachability/zone_counts.py
+++ b/src/elmthread/reachability/zone_counts.py
@@ -27,13 +27,13 @@
     """Counts the machines of a term by zone."""
 
     def __init__(
-        self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, term_began: timedelta
+        self, machines: Mapping[str, Machine], clock: Clock, heartbeat_timeout: timedelta, term_started_at: timedelta
     ) -> None:
-        """Count `machines`, which could report to this leader only after `term_began`."""
+        """Count `machines`, which could report to this leader only after `term_started_at`."""
         self._machines = machines
         self._clock = clock
         self._heartbeat_timeout = heartbeat_timeout
-        self._term_began = term_began
+        self._term_started_at = term_started_at
         self._counted_at: timedelta | None = None
         self._zones: dict[str, ZoneCount] = {}
 
@@ -56,7 +56,7 @@
 
     def _count(self, machines: Iterable[Machine], now: timedelta) -> dict[str, ZoneCount]:
         zones: dict[str, ZoneCount] = {}
-        in_time = now - self._heartbeat_timeout
+        on_time_since = now - self._heartbeat_timeout
         for machine in machines:
             if not machine.heartbeat_expected:
                 continue
@@ -64,7 +64,7 @@
             if count is None:
                 count = zones[machine.zone] = ZoneCount()
             count.expected += 1
-            count.silent += machine.is_silent(now, self._term_began)
+            count.silent += machine.is_silent(now, self._term_started_at)
             if machine.state is MachineState.UP and machine.receives_responses:
-                count.confirmed += (machine.last_heartbeat_at or ZERO) >= in_time
+                count.confirmed += (machine.last_heartbeat_at or ZERO) >= on_time_since
         return zones
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -58,7 +58,7 @@
     def confirm_links(self) -> None:
         """Confirm the link to each zone in which at least half of the expected machines report."""
         # The oldest heartbeats that still count as on time arrived then, after this node had sent its responses.
-        began = self._clock() - self._bounds.heartbeat_timeout
+        oldest_heartbeat_at = self._clock() - self._bounds.heartbeat_timeout
         for zone, count in self.counts.by_zone().items():
             link = self._links.get(zone)
             if link is None:
@@ -66,13 +66,13 @@
                 link = self._links[zone] = Link(
                     name, self._clock, self._bounds.workers_confirmed_for, self._bounds.cut_after
                 )
-            if _most_report(count):
-                link.confirm(began)
+            if _majority_reports(count):
+                link.confirm(oldest_heartbeat_at)
 
     def statuses(self) -> Mapping[str, LinkStatus]:
         """Return the state of the links to the workers, by zone."""
         return {zone: status_of(link) for zone, link in sorted(self._links.items())}
 
 
-def _most_report(count: ZoneCount) -> bool:
+def _majority_reports(count: ZoneCount) -> bool:
     return count.confirmed * 2 >= count.expected > 0
