--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -54,7 +54,7 @@
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
             return _reply(request, Response(200 if confirmed else 503))
-        if request.verb == RequestVerb.WHICH_PROCESS:
+        if request.verb == RequestVerb.GET_PROCESS:
             return _reply(request, Response(200, {"process": self._node.gate.process}))
         service = self._node.leading_service()
         if request.verb in WORK_CLASSES and self._node.load.rejects(WORK_CLASSES[request.verb]):
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -16,7 +16,7 @@
     # Asks whether no process of the node has won a later term than that of the token. Earlier versions never confirm.
     CONFIRM_NO_LATER_TERM = "vouch"
     # Asks for the id of the node's current process. Earlier versions reject the request.
-    WHICH_PROCESS = "process"
+    GET_PROCESS = "process"
 
 
 class LeaderAnnouncement(
