--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -58,7 +58,7 @@
     def check(self) -> None:
         """Note overdue heartbeats, release what expired leases held, and have failed machines deleted."""
         now = self._clock()
-        if self._zones.find_unreachable():
+        if self._zones.update_unreachable_zones():
             self._events.notify_changed()
         unreachable_zones, overdue_after = self._zones.unreachable, self._overdue_after
         for machine in list(self._cluster.machines.values()):
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -32,7 +32,7 @@
         self.unreachable: frozenset[str] = frozenset()
         self.silence_is_rare = True
 
-    def find_unreachable(self) -> bool:
+    def update_unreachable_zones(self) -> bool:
         """Update which zones are considered unreachable; return whether that has changed."""
         total = self.counts.total()
         self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
