--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -102,7 +102,7 @@
             self.peers.announce()
         return redirection
 
-    async def wait_to_lead(self) -> bool:
+    async def wait_until_leading(self) -> bool:
         """Wait briefly if this node is isolated and may lead soon; return whether it leads then.
 
         An isolated node does not know the leader and can't redirect the worker, which would try the other controllers,
