--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, single_node: bool) -> None:
-        """Start without a backoff; `rng` draws the jitter. A `single_node` without other controllers never backs off."""
+        """Start without a backoff; `rng` draws the jitter. A `single_node` has no peers and never backs off."""
         self._bounds = bounds
         self._clock = clock
         self._rng = rng
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -16,7 +16,7 @@
 from elmthread.settings.platform import Platform, parse_address
 
 OK, FAILED = 0, 1
-# Controllers send an announcement every second; this allows for one that is lost.
+# Controllers send an announcement every second.
 ANNOUNCEMENT_TIMEOUT = seconds(2.5)
 MAX_FRAME_BYTES = 64 * 1024
 
--- a/src/elmthread/reachability/decisions.py
+++ b/src/elmthread/reachability/decisions.py
@@ -119,6 +119,6 @@
 def _is_better_connected(own: OwnView, misdirected: int) -> bool:
     """Return whether a node that this many misdirected machines reach is clearly better connected than the leader."""
     if own.expected < MIN_MACHINES_TO_JUDGE:
-        # With so few machines, one lost response would exceed the margin, so a majority is required.
+        # With so few machines, one lost response affects a large share of them, so a majority is required.
         return misdirected > 0 and majority_reaches_other_node(own.expected, own.silent, misdirected)
     return misdirected > own.confirmed + max(MIN_HANDOVER_MARGIN, math.ceil(own.expected * HANDOVER_MARGIN_SHARE))
