--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -80,7 +80,7 @@
         if machine.state is MachineState.DELETING:
             self._release_expired(machine, now)
             return
-        zone_in_doubt = machine.zone_unreachable or self._zones.is_in_doubt(machine.zone)
+        zone_in_doubt = machine.zone_unreachable or self._zones.is_own_link_suspect(machine.zone)
         allowance = ZONE_OUTAGE_ALLOWANCE if zone_in_doubt else ZERO
         if machine.state is MachineState.BOOTING:
             if now - machine.first_seen_at > self._boot_timeout(machine) + allowance:
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -47,7 +47,7 @@
         self.unreachable = unreachable
         return True
 
-    def is_in_doubt(self, zone: str) -> bool:
+    def is_own_link_suspect(self, zone: str) -> bool:
         """Return whether a fault of this node's own link may explain the silence of a zone's machines."""
         count = self.counts.by_zone().get(zone)
         if count is None or count.expected < MIN_MACHINES_TO_JUDGE or count.silent * 2 <= count.expected:
