--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -53,6 +53,8 @@
         """Start a backoff, as this node's term ended while its process keeps running."""
         self._reachability.backoff.begin()
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return how long a follower waits for a change of leader before it queries the key-value store again."""
-        return min(usual, self._reachability.bounds.max_follower_watch) if self._reachability.views_active else usual
+        return (
+            min(default, self._reachability.bounds.max_follower_watch) if self._reachability.views_active else default
+        )
