--- a/src/elmthread/__init__.py
+++ b/src/elmthread/__init__.py
@@ -1,3 +1,3 @@
-"""elmthread: a cluster scheduler whose controllers share one leased leader."""
+"""elmthread: a cluster scheduler run by several controllers, of which one leads under a lease."""
 
 __version__ = "0.1.0"
--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check, rollout status, links, and a user's submit, status and cancel."""
+"""The command line: serve, check, rollout status and links for operators; submit, status and cancel for users."""
 
 import argparse
 import asyncio
@@ -15,52 +15,52 @@
 Subparsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
 OK, BAD_SETTINGS = 0, 2
-# For gc.set_threshold: new objects before a collection, and collections of each generation before the next older.
+# For `gc.set_threshold`: net allocations before a collection, then collections of a generation before one of the next.
 COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
 def parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    top = argparse.ArgumentParser(prog="elmthread", description="A cluster scheduler.")
-    top.add_argument("--version", action="version", version=f"elmthread {__version__}")
-    verbs = top.add_subparsers(dest="verb", required=True)
-    _add_controller_commands(verbs)
-    _add_user_commands(verbs)
-    return top
+    root_parser = argparse.ArgumentParser(prog="elmthread", description="A cluster scheduler.")
+    root_parser.add_argument("--version", action="version", version=f"elmthread {__version__}")
+    subparsers = root_parser.add_subparsers(dest="verb", required=True)
+    _add_controller_commands(subparsers)
+    _add_user_commands(subparsers)
+    return root_parser
 
 
-def _add_controller_commands(verbs: Subparsers) -> None:
+def _add_controller_commands(subparsers: Subparsers) -> None:
     for verb, text in (("serve", "run a controller"), ("check", "check the settings without starting")):
-        verbs.add_parser(verb, help=text)
-    rollout = verbs.add_parser("rollout", help="tell how far an upgrade of all controllers is")
+        subparsers.add_parser(verb, help=text)
+    rollout = subparsers.add_parser("rollout", help="tell how far an upgrade of all controllers is")
     rollout_status = rollout.add_subparsers(dest="action", required=True).add_parser(
         "status", help="tell each controller's levels, the active level and what it waits for"
     )
-    links = verbs.add_parser("links", help="tell what each controller can confirm of its links")
-    for sub in (verbs.choices["serve"], verbs.choices["check"], rollout_status, links):
-        sub.add_argument("--config", type=Path, required=True, metavar="FILE", help="the platform's file (TOML)")
-        sub.add_argument("--operators", type=Path, metavar="FILE", help="the operators' own settings (TOML)")
+    links = subparsers.add_parser("links", help="tell what each controller can confirm of its links")
+    for subparser in (subparsers.choices["serve"], subparsers.choices["check"], rollout_status, links):
+        subparser.add_argument("--config", type=Path, required=True, metavar="FILE", help="the platform's file (TOML)")
+        subparser.add_argument("--operators", type=Path, metavar="FILE", help="the operators' own settings (TOML)")
 
 
-def _add_user_commands(verbs: Subparsers) -> None:
-    submit = verbs.add_parser("submit", help="submit a job")
+def _add_user_commands(subparsers: Subparsers) -> None:
+    submit = subparsers.add_parser("submit", help="submit a job")
     submit.add_argument("job", type=Path, metavar="FILE", help="the job as JSON; - for standard input")
-    status = verbs.add_parser("status", help="tell a job's state")
-    # `withdraw` is the spelling of earlier versions.
-    cancel = verbs.add_parser("cancel", help="cancel a job", aliases=["withdraw"])
-    for sub in (status, cancel):
-        sub.add_argument("job", metavar="ID")
+    status = subparsers.add_parser("status", help="tell a job's state")
+    # `withdraw` is the name of `cancel` in earlier versions.
+    cancel = subparsers.add_parser("cancel", help="cancel a job", aliases=["withdraw"])
+    for subparser in (status, cancel):
+        subparser.add_argument("job", metavar="ID")
     for verb in ("submit", "status", "cancel"):
-        verbs.choices[verb].add_argument(
+        subparsers.choices[verb].add_argument(
             "--server",
             required=True,
-            type=_address,
+            type=_validate_address,
             metavar="HOST:PORT",
             help="the address of a controller or load balancer",
         )
 
 
-def _address(text: str) -> str:
+def _validate_address(text: str) -> str:
     try:
         parse_address(text)
     except ValueError:
@@ -69,7 +69,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command and return its exit code: 0 done, 1 not answered or refused, 2 bad usage or settings."""
+    """Run one command; return 0 on success, 1 without a response or if rejected, 2 for invalid usage or settings."""
     args = parser().parse_args(argv)
     logs.configure()
     if args.verb in ("serve", "check", "rollout", "links"):
@@ -80,7 +80,7 @@
 
 
 def _run_controller_command(args: argparse.Namespace) -> int:
-    """Run a command that reads the settings; each imports only what it needs."""
+    """Run a command that reads the settings; each one imports only the modules that it needs."""
     try:
         platform_settings = platform.load(args.config)
         operator_settings = operators.load(args.operators)
@@ -104,8 +104,8 @@
 def _serve(platform_settings: platform.Platform, operator_settings: operators.Operators) -> int:
     from elmthread.controller import Controller
 
-    # The modules loaded by now stay, and a leader's state is hardly ever garbage: examining all of it
-    # would delay every response for nothing.
+    # Loaded modules are never freed, and a leader's state hardly ever becomes garbage: scanning all of it
+    # in each collection would delay every response and free almost nothing.
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
     gc.enable()
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -1,4 +1,4 @@
-"""One controller: what every node runs, whoever leads."""
+"""The controller: the process that every node runs, as leader or as follower."""
 
 import asyncio
 
@@ -45,24 +45,24 @@
 
 
 class ControllerEnvironment(msgspec.Struct, frozen=True):
-    """What a controller runs on; tests replace parts of it."""
+    """The external dependencies of a controller; tests replace some of them."""
 
     clock: Clock = steady
-    # None: the endpoints of the platform.
+    # None: HTTP clients for the endpoints in the platform settings.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
     peer_network: type[PeerNetwork] = PeerNetwork
-    # The compatibility levels of this program; tests stand in for other versions.
+    # The compatibility levels that this version supports; tests set those of other versions.
     supported: SupportedLevels = SUPPORTED
 
 
 class Controller:
-    """All parts of one process; to the other controllers, a `peers.handler.PeerMessageHandler`."""
+    """The components of one process; handles peer messages as a `peers.handler.PeerMessageHandler`."""
 
     def __init__(
         self, platform: Platform, operators: Operators, environment: ControllerEnvironment | None = None
     ) -> None:
-        """Make all parts; `run` starts them."""
+        """Create all components; `run` starts them."""
         environment = environment or ControllerEnvironment()
         self.node = platform.node
         self._platform = platform
@@ -90,7 +90,7 @@
         self.api = self._make_api()
         self.server = self._make_server()
 
-    # Making the parts
+    # Construction
 
     def _make_peer_network(self) -> PeerNetwork:
         addresses = [PeerAddress(peer.node, *parse_address(peer.address)) for peer in self._platform.peers]
@@ -153,26 +153,26 @@
 
     @property
     def leader(self) -> Leader | None:
-        """The leader's part, while this node leads."""
+        """The leader's services while this node leads, else None."""
         return self.leader_runner.leader
 
     @property
     def leader_task(self) -> asyncio.Task[None] | None:
-        """The task in which the leader works, while this node leads."""
+        """The task that runs the leader while this node leads, else None."""
         return self.leader_runner.task
 
     def _step_down_as_incompatible(self) -> None:
-        """End this node's term: it can't read what others may write by now."""
+        """Step down, as other controllers may already write formats that this version can't read."""
         self.election.step_down(StepDownReason.INCOMPATIBLE_LEVEL)
 
-    # Messages of the other controllers
+    # Messages from the other controllers
 
     async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
-        """Return the response to a request of another controller."""
+        """Return the response to a request that another controller forwarded."""
         return await self.api.handle_peer_request(request)
 
     def handle_announcement(self, announcement: LeaderAnnouncement) -> None:
-        """Note who leads as far as another controller knows, and what it says of its links."""
+        """Record the leader, the active level and the state of the links that another controller announces."""
         self.election.observe_term(announcement.fencing_token, announcement.leader)
         if announcement.level is not msgspec.UNSET:
             self._observe_level(announcement.level)
@@ -187,7 +187,7 @@
         self._features.raise_level(level)
 
     def make_announcement(self) -> LeaderAnnouncement:
-        """Return who leads as far as this controller knows, and the state of its links."""
+        """Return an announcement of the leader that this controller knows of and of the state of its links."""
         fencing_token = self.election.highest_seen_token
         misdirected = self.reachability.misdirected.summarize(fencing_token)
         announcement = LeaderAnnouncement(
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -1,4 +1,4 @@
-"""What the leader runs, from winning its term to losing it."""
+"""The leader's services, which run for one term."""
 
 import asyncio
 import logging
@@ -47,23 +47,23 @@
 
 log = logging.getLogger(__name__)
 
-# Rounds gather the changes that come meanwhile.
+# A round handles all changes since the previous round, so the minimum interval batches them.
 MIN_SCHEDULING_INTERVAL = seconds(0.1)
 MAX_SCHEDULING_INTERVAL = seconds(1)
 MIN_AUTOSCALING_INTERVAL = seconds(0.5)
-# Overload delays a round so often at most, before it is made all the same.
+# How many times in a row overload may delay a round before it runs anyway.
 MAX_OVERLOAD_DELAYS = 20
-# A round that takes longer is logged.
+# Rounds that take longer are logged.
 SLOW_ROUND = seconds(0.3)
-# A pause is so many times as long as the round before it: most of the processor is left to everything else.
+# Length of the pause after a round, in durations of that round: leaves most of the CPU to all other work.
 PAUSE_PER_ROUND = 3
-# Of the cloud's request rate.
+# Share of the cloud API's rate limit that is used, and the burst in seconds of that limit.
 CLOUD_RATE_SHARE = 0.9
 CLOUD_BURST_S = 1.5
 
 
 class NodeServices(msgspec.Struct, frozen=True):
-    """What a process has, whoever leads, and its leader uses."""
+    """Services of the process that exist independently of its terms and that its leader uses."""
 
     platform: Platform
     operators: Operators
@@ -77,24 +77,24 @@
 
 
 class Leader:
-    """All that lives from winning the lease to losing it."""
+    """The services of one term, created when the node is elected and stopped when it loses leadership."""
 
-    def __init__(self, node: NodeServices, fencing_token: int) -> None:
-        """Make everything that one term has; `run` loads the cluster state."""
-        self._node = node
-        self.term = Term(node.election, fencing_token)
+    def __init__(self, services: NodeServices, fencing_token: int) -> None:
+        """Create the services of the term; `run` loads the cluster state."""
+        self._services = services
+        self.term = Term(services.election, fencing_token)
         self.context = self._make_context()
         self.cluster = self.context.cluster
         self.writer = self.context.writer
         self._events = self.context.events
         self.reachability = self._make_reachability()
         self.leases = WorkerLeases(
-            node.platform.cluster.workers.lease,
-            node.clock() + node.election.failover_delay(node.platform.cluster.workers.lease),
+            services.platform.cluster.workers.lease,
+            services.clock() + services.election.failover_delay(services.platform.cluster.workers.lease),
         )
         self.catalog = MachineTypeCatalog(self.cluster, self._events)
         self.run_times = RunTimeModel()
-        self._factory = JobFactory(node.platform.cluster, node.operators, node.rollout.features)
+        self._factory = JobFactory(services.platform.cluster, services.operators, services.rollout.features)
         self._completions = CompletionRecorder(self.context)
         self._assignments = AssignmentRecorder(self.context)
         self.machine_manager = self._make_machine_manager()
@@ -104,43 +104,45 @@
             self.context, reconciler, self._assignments, self.catalog, self.leases
         )
         self.scheduler = self._make_scheduler()
-        self.autoscaler = Autoscaler(self.context, self.machine_manager, self.scheduler, self.run_times, node.operators)
+        self.autoscaler = Autoscaler(
+            self.context, self.machine_manager, self.scheduler, self.run_times, services.operators
+        )
 
     def _make_context(self) -> TermContext:
-        node = self._node
-        limits = node.platform.cluster.store.strictest()
+        services = self._services
+        limits = services.platform.cluster.store.strictest()
         pages = RecordPages(page_capacity(limits.value_kb))
         rate = limits.write_rps * LEADER_STORE_SHARE
-        write_limits = WriteLimits(TokenBucket(rate, rate, node.clock), limits.txn_ops)
+        write_limits = WriteLimits(TokenBucket(rate, rate, services.clock), limits.txn_ops)
         return TermContext(
             term=self.term,
-            store=node.store,
-            writer=RecordWriter(node.store, pages, self.term, write_limits, node.clock),
+            store=services.store,
+            writer=RecordWriter(services.store, pages, self.term, write_limits, services.clock),
             cluster=ClusterState(pages.capacity, empty_machine_record_bytes),
             events=ClusterEvents(),
-            features=node.rollout.features,
-            clock=node.clock,
+            features=services.rollout.features,
+            clock=services.clock,
         )
 
     def _make_reachability(self) -> TermReachability:
-        node, bounds = self._node, self._node.reachability.bounds
-        counts = ZoneCounts(self.cluster.machines, node.clock, bounds.heartbeat_timeout, node.clock())
-        return TermReachability(node.reachability, ZoneHealth(counts, bounds, node.clock), self.context)
+        services, bounds = self._services, self._services.reachability.bounds
+        counts = ZoneCounts(self.cluster.machines, services.clock, bounds.heartbeat_timeout, services.clock())
+        return TermReachability(services.reachability, ZoneHealth(counts, bounds, services.clock), self.context)
 
     def _make_machine_manager(self) -> MachineManager:
-        node, cloud = self._node, self._node.platform.cluster.cloud
-        calls = TokenBucket(cloud.rps * CLOUD_RATE_SHARE, max(1.0, cloud.rps * CLOUD_BURST_S), node.clock)
-        client = CloudClient(node.cloud, calls, cloud.list_lag, self.term.holds_lease)
+        services, cloud = self._services, self._services.platform.cluster.cloud
+        rate_limit = TokenBucket(cloud.rps * CLOUD_RATE_SHARE, max(1.0, cloud.rps * CLOUD_BURST_S), services.clock)
+        client = CloudClient(services.cloud, rate_limit, cloud.list_lag, self.term.holds_lease)
         return MachineManager(self.context, client, self.catalog, self.leases, self.reachability.zone_health)
 
     def _make_job_service(self) -> JobService:
-        platform = self._node.platform
+        platform = self._services.platform
         limits = RequestLimits(max_waiting_requests(platform), platform.cluster.workers.cancellation_time)
         validator = JobValidator(platform.cluster, self._factory, self.catalog)
         return JobService(self.context, self._factory, validator, self.leases, limits)
 
     def _make_scheduler(self) -> Scheduler:
-        cluster = self._node.platform.cluster
+        cluster = self._services.platform.cluster
         settings = SchedulerSettings({team.name: team for team in cluster.teams}, cluster.workers.heartbeat_interval)
         attempts = AttemptCounter(self.term.fencing_token)
         return Scheduler(self.context, settings, attempts, self._assignments, self.run_times)
@@ -150,14 +152,14 @@
     @property
     def loaded(self) -> bool:
         """Whether the cluster state is loaded, so that users and workers can be served."""
-        return self._node.reachability.leader_ready.is_set()
+        return self._services.reachability.leader_ready.is_set()
 
     async def run(self) -> None:
-        """Load the cluster state, then serve until the term ends. Raises what the load raises."""
-        rollout = TermRollout(self._node.rollout, self.context)
+        """Load the cluster state, then serve until the term ends. Propagates errors from loading."""
+        rollout = TermRollout(self._services.rollout, self.context)
         loader = StateLoader(self.context, self._factory, self.catalog, self._completions, rollout)
         await loader.load()
-        self._node.reachability.leader_ready.set()
+        self._services.reachability.leader_ready.set()
         self._events.notify_changed()
         async with asyncio.TaskGroup() as group:
             group.create_task(self.writer.run())
@@ -168,49 +170,49 @@
             group.create_task(rollout.run())
 
     async def _schedule(self) -> None:
-        """Run a scheduling round after each change, though not too often."""
+        """Run scheduling rounds after changes, with pauses in between, and periodically without changes."""
         while True:
             await _wait_for(self._events.changed, MAX_SCHEDULING_INTERVAL)
             self._events.changed.clear()
             await self._wait_while_overloaded()
-            began = self._node.clock()
+            started_at = self._services.clock()
             if self.term.holds_lease():
                 self.scheduler.run_round()
-            await self._pause(MIN_SCHEDULING_INTERVAL, began)
+            await self._pause(MIN_SCHEDULING_INTERVAL, started_at)
 
     async def _autoscale(self) -> None:
-        """Run an autoscaling round at intervals, and soon after machines could not be had."""
+        """Run autoscaling rounds periodically, and earlier when the cloud refuses machines or jobs have changed."""
         while True:
             self._events.capacity_short.clear()
             await self._wait_while_overloaded()
-            began = self._node.clock()
+            started_at = self._services.clock()
             if self.term.holds_lease():
                 self.autoscaler.run_round()
-            await self._pause(MIN_AUTOSCALING_INTERVAL, began)
-            await _wait_for(self._events.capacity_short, self._node.operators.urgent_share_check_interval)
+            await self._pause(MIN_AUTOSCALING_INTERVAL, started_at)
+            await _wait_for(self._events.capacity_short, self._services.operators.urgent_share_check_interval)
 
     async def _wait_while_overloaded(self) -> None:
-        """Delay decisions while there is not even time for responses, though not for ever."""
+        """Delay a round while overload leaves too little time even for responses, MAX_OVERLOAD_DELAYS times at most."""
         for _ in range(MAX_OVERLOAD_DELAYS):
-            if not self._node.load.rejects(WorkClass.SCHEDULING_ROUND):
+            if not self._services.load.rejects(WorkClass.SCHEDULING_ROUND):
                 return
             await asyncio.sleep(MIN_SCHEDULING_INTERVAL.total_seconds())
 
-    async def _pause(self, shortest: timedelta, began: timedelta) -> None:
-        """Pause after a round that began then, the longer the longer it took."""
-        took = self._node.clock() - began
-        if took > SLOW_ROUND:
-            log.info("a round of decisions took %.2f s", took.total_seconds())
-        await asyncio.sleep(max(shortest, took * PAUSE_PER_ROUND).total_seconds())
+    async def _pause(self, min_pause: timedelta, started_at: timedelta) -> None:
+        """Sleep for at least `min_pause` after a round, in proportion to the round's duration."""
+        duration = self._services.clock() - started_at
+        if duration > SLOW_ROUND:
+            log.info("a scheduling or autoscaling round took %.2f s", duration.total_seconds())
+        await asyncio.sleep(max(min_pause, duration * PAUSE_PER_ROUND).total_seconds())
 
     def stop(self) -> None:
-        """End what is under way; nothing more is written or requested of the cloud."""
+        """Stop the writer and the machine manager: no further records are written and no cloud requests sent."""
         self.writer.stop()
         self.machine_manager.stop()
 
 
 async def _wait_for(event: asyncio.Event, timeout: timedelta) -> None:
-    """Return once the event is set, at the latest after the timeout."""
+    """Wait until the event is set, at most for the timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             await event.wait()
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -16,10 +16,13 @@
 
 
 class LeaderRunner:
-    """Begins and ends this node's terms; a `leadership.listener.LeadershipListener`."""
+    """Starts and stops the leader of each of this node's terms; a `leadership.listener.LeadershipListener`."""
 
     def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
-        """`store_requests` paces this node's requests to the key-value store: a leader has a larger share of them."""
+        """Begin without a leader.
+
+        `store_requests` limits the rate of this node's requests to the key-value store; a leader gets a larger share.
+        """
         self.services = services
         self._store_requests = store_requests
         self._peers = peers
@@ -27,7 +30,7 @@
         self.task: asyncio.Task[None] | None = None
 
     def on_elected(self, fencing_token: int) -> None:
-        """Begin the term of that token."""
+        """Start a leader for the term of that fencing token."""
         self._set_store_share(LEADER_STORE_SHARE)
         self.leader = Leader(self.services, fencing_token)
         self.services.reachability.term = self.leader.reachability
@@ -35,7 +38,7 @@
         self._peers.announce()
 
     def on_lost(self) -> None:
-        """End the present term: nothing more is done under its token."""
+        """Stop the leader of the current term: nothing more is done under its fencing token."""
         self._set_store_share(FOLLOWER_STORE_SHARE)
         if self.leader is not None:
             self.leader.stop()
@@ -52,11 +55,11 @@
         except asyncio.CancelledError:
             raise
         except IncompatibleLevelError:
-            # The gate has logged why, and has ended the term.
+            # The gate has already logged the reason and made this node step down.
             pass
         except Exception:
-            # Another leader, with a cluster state that is loaded anew, may not meet the fault.
-            log.exception("the leader's work has failed")
+            # Another leader, which loads the cluster state anew, may not run into the same error.
+            log.exception("the leader failed with an unexpected error")
             leader.term.step_down(StepDownReason.FAULT)
 
     def _set_store_share(self, share: float) -> None:
@@ -64,13 +67,13 @@
         self._store_requests.rate = self._store_requests.burst = rate
 
     def leading_service(self) -> JobService | None:
-        """Return the leader's job service, while this node leads on a loaded cluster state and a certain lease."""
+        """Return the leader's job service if its lease certainly holds and the cluster state is loaded, else None."""
         if self.leader is not None and self.leader.loaded and self.services.election.holds_lease():
             return self.leader.job_service
         return None
 
     async def heartbeat(self, request: Request) -> Response:
-        """Return the leader's response to a worker, or a redirection to the leader."""
+        """Return the leader's response to a worker's heartbeat, or a redirection if another node leads."""
         leader = self.leader
         if leader is None or not leader.loaded:
             election, reachability = self.services.election, self.services.reachability
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -1,4 +1,4 @@
-"""What a controller takes of the platform's limits, and the times that follow from its settings."""
+"""The shares of the platform's limits that a controller uses, and durations derived from the platform settings."""
 
 from datetime import timedelta
 
@@ -9,21 +9,21 @@
 
 # The duration of the leader's lease.
 LEADER_LEASE = seconds(2)
-# A confirmed cancellation is right only if a machine that nobody reaches is empty within
-# cancel_s: an old leader's last responses and the worker's lease must both fit into it.
+# A confirmed cancellation is correct only if even an unreachable machine runs no more tasks after cancel_s:
+# the last responses of an earlier leader and the worker's lease must both fit into that time.
 CANCEL_SLACK = seconds(4)
-# However long the limits allow: a new leader has to wait for the end of an earlier one's grace period.
+# Applies even if the settings allow more: a new leader has to wait until an earlier leader's grace period is over.
 MAX_GRACE_PERIOD = seconds(60)
-# Shares of the key-value store's rates; the rest is for renewals.
+# Shares of the key-value store's rate limits; the rest is reserved for lease renewals.
 LEADER_STORE_SHARE = 0.85
 FOLLOWER_STORE_SHARE = 0.1
-# The rest of the connections is for requests of our own and for the other controllers.
+# Share of all connections; the rest is for this node's own requests and for the other controllers.
 SERVER_CONNECTION_SHARE = 0.9
-# Of the server's connections; the rest is for users, who must find one whatever the workers do.
+# Share of the server's connections; the rest is reserved for users, whatever the workers use.
 WORKER_CONNECTION_SHARE = 0.8
 MIN_CONNECTIONS = 10
 MIN_WORKER_CONNECTIONS = 5
-# The key-value store lets a transaction compare this many keys for each change that it allows.
+# Keys that the key-value store lets a transaction compare, for each operation that it allows in one.
 COMPARISONS_PER_OPERATION = 4
 
 
@@ -38,7 +38,7 @@
 
 
 def max_waiting_requests(platform: Platform) -> int:
-    """Return how many requests of users may wait here: about as many as their connections."""
+    """Return how many user requests may wait on this node: about as many as users have connections."""
     share = SERVER_CONNECTION_SHARE * (1 - WORKER_CONNECTION_SHARE)
     return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * share))
 
@@ -49,7 +49,7 @@
 
 
 def grace_period(platform: Platform) -> timedelta:
-    """Return how long workers may be answered on a lease that is no longer certain."""
+    """Return how long workers may still be answered once the lease is no longer certain."""
     workers = platform.cluster.workers
     return max(
         seconds(0), min(at_most(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD)
@@ -57,11 +57,11 @@
 
 
 def reachability_bounds(platform: Platform) -> ReachabilityBounds:
-    """Return the times by which links are judged."""
+    """Return the timeouts that decide whether a link counts as working."""
     workers = platform.cluster.workers
     return ReachabilityBounds(LEADER_LEASE, workers.heartbeat_interval, workers.lease)
 
 
 def misdirected_window(platform: Platform) -> timedelta:
-    """Return how long a machine counts that came to a follower because it did not reach the leader."""
+    """Return how long a machine whose heartbeat came to a follower counts as not reaching the leader."""
     return platform.cluster.workers.lease * HEARTBEAT_OVERDUE_LEASES
