--- a/src/elmthread/leadership/candidacy.py
+++ b/src/elmthread/leadership/candidacy.py
@@ -7,23 +7,26 @@
 
 
 class CandidacyPolicy(Protocol):
-    """What keeps a node from being a candidate for a while, though there is no leader."""
+    """Decides whether and when a node may be a candidate while there is no leader."""
 
     async def wait_admitted(self) -> None:
-        """Return once this process may take part in elections at all."""
+        """Wait until this process may take part in elections."""
 
     def candidacy_delay(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
-        """Return how long to leave leadership to others; `fencing_token` is that of the last term that is known."""
+        """Return how long this node must still wait before it is a candidate.
+
+        `vacant_for` is the time for which there has been no leader; `fencing_token` is that of the last known term.
+        """
 
     def on_term_ended(self) -> None:
-        """Note that a term of this node has ended before its process did."""
+        """Record that a term of this node has ended while its process runs on."""
 
     def watch_timeout(self, usual: timedelta) -> timedelta:
-        """Return how long a follower waits for news of the leader before it asks the key-value store again."""
+        """Return how long a follower watches the leader key before it sends the next request to the key-value store."""
 
 
 class UnrestrictedCandidacy:
-    """A node that is a candidate whenever there is no leader."""
+    """Lets a node be a candidate whenever there is no leader."""
 
     async def wait_admitted(self) -> None:
         """Return at once."""
@@ -36,5 +39,5 @@
         """Do nothing."""
 
     def watch_timeout(self, usual: timedelta) -> timedelta:
-        """Return the usual time."""
+        """Return the default timeout."""
         return usual
--- a/src/elmthread/leadership/context.py
+++ b/src/elmthread/leadership/context.py
@@ -1,4 +1,4 @@
-"""What all services of one term share."""
+"""The dependencies that all services of one term share."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class TermContext(msgspec.Struct, frozen=True):
-    """The term and what the leader owns in it: the cluster's state in memory and the way to the store."""
+    """The term, the cluster state that the leader keeps in memory for it, and access to the key-value store."""
 
     term: Term
     store: KeyValueStore
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -1,10 +1,10 @@
-"""The leader's lease: won by one transaction, renewed, and given up in time.
+"""Leader election: a lease that is acquired by one transaction, renewed, and given up before it may expire.
 
-The leader key is attached to a lease of the key-value store. A lease never expires early, so this
-node may lead until `ttl` after it SENT the last renewal that was answered, less drift.
-After that it may for a bounded grace period go on answering workers (LEASE_UNCERTAIN), to keep their
-tasks alive through an outage of the store. Every new leader waits for the end of that period
-before it treats a machine that has not reported as empty.
+The leader key is attached to a lease of the key-value store. A lease never expires early, so this node may lead
+until `ttl` after it sent (not: received the response to) the last successful renewal, minus clock drift.
+After that it may answer workers for a bounded grace period (LEASE_UNCERTAIN), so that their tasks survive an
+outage of the store. Every new leader waits for the end of that period before it treats a machine that has not
+reported as empty.
 """
 
 import asyncio
@@ -35,30 +35,30 @@
 
 log = logging.getLogger(__name__)
 
-# Time between a check of the lease and the moment at which a response leaves.
+# Allowance for the time between a check of the lease and the sending of the response that depends on it.
 RESPONSE_MARGIN = seconds(0.15)
 RETRY_INTERVAL = seconds(0.3)
 WATCH_TIMEOUT = seconds(10)
-# Two nodes that become candidates at once both spend a change of the store.
+# Spreads the candidacies of nodes, as each of several simultaneous ones uses up a write of the store's rate limit.
 MAX_CANDIDACY_JITTER_S = 0.05
-# A lease is renewed so many times while it lasts.
+# Renewals within the duration of a lease.
 RENEWALS_PER_LEASE = 5
 RENEWAL_TIMEOUTS_PER_LEASE = 3
 LEADER_PAGE_SIZE = 10
 
 
 class ElectionSettings(msgspec.Struct, frozen=True):
-    """The node that takes part, and the times of its terms."""
+    """The name of this node and the durations of its terms."""
 
     node: str
     # The duration of the leader's lease.
     ttl: timedelta
-    # How long workers may be answered on a lease that is no longer certain.
+    # How long workers may still be answered once the lease is no longer certain.
     grace_period: timedelta
 
 
 class Election:
-    """Compete for leadership, keep the lease and give it up; one for each process."""
+    """Competes for leadership, renews the lease and steps down; one instance per process."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         clock: Clock,
         candidacy: CandidacyPolicy | None = None,
     ) -> None:
-        """Begin as a follower; `candidacy` says when this node may be a candidate."""
+        """Begin as a follower; `candidacy` decides when this node may be a candidate."""
         self.settings = settings
         self._node = settings.node
         self._store = store
@@ -80,24 +80,24 @@
         self.highest_seen_token = 0
         self.leader: str | None = None
         self._lease_certain_until = ZERO
-        # The last moment at which, as far as the others confirm it, nobody else had won.
+        # The latest time at which all other nodes have confirmed that they had won no later term.
         self._no_later_term_at = ZERO
-        # The last term that this very process has found in the store or won, and whether it is a candidate now.
+        # The last term that this process itself has read from the store or won, and whether it is a candidate now.
         self._last_stored_token = 0
         self._is_candidate = False
-        # Since when this node has seen that nobody leads.
+        # When this node first found that there is no leader.
         self._vacant_since: timedelta | None = None
         self._stepped_down = asyncio.Event()
 
     def add_listener(self, listener: LeadershipListener) -> None:
-        """Call `listener` at the beginning and the end of each later term."""
+        """Register a listener, which is called at the beginning and the end of each later term of this node."""
         self._listeners.append(listener)
 
     def _set_role(self, role: Role) -> None:
         self.role = transition(self._node, ROLE_STEPS, self.role, role)
 
     def holds_lease(self) -> bool:
-        """Return whether the lease certainly holds now: this node may write, start tasks and answer users."""
+        """Return whether the lease certainly holds now, so that this node may write, start tasks and answer users."""
         if self.role is Role.LEADING and self._clock() >= self._lease_certain_until:
             self._set_role(Role.LEASE_UNCERTAIN)
         return self.role is Role.LEADING
@@ -106,37 +106,37 @@
         """Return whether workers may be answered: the lease certainly holds, or the grace period is not over."""
         if self.holds_lease():
             return True
-        since = max(self._lease_certain_until, self._no_later_term_at)
-        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + at_most(self.settings.grace_period):
+        grace_start = max(self._lease_certain_until, self._no_later_term_at)
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= grace_start + at_most(self.settings.grace_period):
             self.step_down(StepDownReason.GRACE_PERIOD_OVER)
         return self.role is Role.LEASE_UNCERTAIN
 
-    # Who else may have won
+    # Terms of other nodes
 
     def has_won_no_later_term(self, fencing_token: int) -> bool:
-        """Return whether no process of this node can have won a later term than that.
+        """Return whether no process of this node can have won a later term than that of the token.
 
-        A process knows of its own wins. An earlier process won before this one began, and so no
-        later term than the one that this process has found in the store, or has won, at any time:
-        the key held the newest term then. A process that has found none confirms nothing.
+        A process knows the terms that it has won itself. An earlier process of the node won its terms before this
+        one started, so they are no later than any term that this process has read from the store or won: the key
+        held the newest term at that time. A process that has found no term yet confirms nothing.
         """
         return not self._is_candidate and self._last_stored_token > 0 and self.highest_seen_token <= fencing_token
 
     def confirm_no_later_term(self, fencing_token: int, asked_at: timedelta) -> None:
-        """Note that all other nodes, asked then, have confirmed that they have won no later term than that.
+        """Record that all other nodes, asked at `asked_at`, have confirmed that they have won no later term.
 
-        So whoever wins does so later than that, and the time that a new leader waits for an
-        earlier one, and that a confirmed cancellation leaves, counts from then on.
+        Any later term thus begins after `asked_at`. The time for which a new leader waits for an earlier one, and
+        the time that a confirmed cancellation allows for, count from then on.
         """
         if self.fencing_token == fencing_token:
             self._no_later_term_at = max(self._no_later_term_at, asked_at)
 
     def failover_delay(self, worker_lease: timedelta) -> timedelta:
-        """Return how long after an election a silent machine may still keep what an earlier leader gave it."""
+        """Return how long after an election a machine that does not report may still run an earlier leader's tasks."""
         return at_least(self.settings.grace_period + worker_lease) + seconds(1)
 
     def observe_term(self, fencing_token: int, leader: str | None) -> None:
-        """Note a term that another controller or a worker knows of; a newer one ends this node's own."""
+        """Record a term that another controller or a worker has reported; step down if it is newer than this node's."""
         if fencing_token <= self.highest_seen_token:
             if fencing_token == self.highest_seen_token and leader is not None:
                 self.leader = leader
@@ -166,7 +166,7 @@
             try:
                 await self._follow_or_campaign()
             except StoreError as error:
-                log.debug("election: %s", error)
+                log.debug("a step of the election failed and is retried: %s", error)
                 await asyncio.sleep(RETRY_INTERVAL.total_seconds())
 
     async def _follow_or_campaign(self) -> None:
@@ -178,7 +178,7 @@
         self._vacant_since = None
         record = read_leader_record(item)
         if record.node == self._node:
-            # A node runs one process at a time, so that one has ended: its lease need not be waited for.
+            # A node runs one process at a time, so the process of this record has ended and its lease can be revoked.
             log.info("revoking the lease of an earlier process of this node")
             await self._store.revoke_lease(record.lease_id)
             return
@@ -187,7 +187,7 @@
         await self._follow(page.revision)
 
     async def _follow(self, revision: int) -> None:
-        """Return once the leader key has changed after that revision."""
+        """Wait until the leader key has changed after that revision."""
         while True:
             changes = await self._store.watch(LEADER_KEY, revision, self._candidacy.watch_timeout(WATCH_TIMEOUT))
             if changes.events:
@@ -216,7 +216,7 @@
             await self._keep_lease(lease_id)
 
     async def _win_term(self) -> int | None:
-        """Write the leader key; return the lease of a term that was won."""
+        """Try to write the leader key; return the lease if this node has won the term, else None."""
         sent_at = self._clock()
         lease_id = await self._store.grant_lease(self.settings.ttl)
         nonce = secrets.token_hex(8)
@@ -229,7 +229,7 @@
             await self._store.revoke_lease(lease_id)
             return None
         except UnknownOutcomeError:
-            # If it was applied, the next look at the key shows it, and revokes the lease.
+            # If the transaction was applied, the next read of the leader key finds it, and its lease is revoked.
             log.info("the outcome of this node's candidacy is unknown")
             return None
         if mod_revision < self.highest_seen_token:
@@ -249,7 +249,7 @@
             listener.on_elected(fencing_token)
 
     def _extend_lease(self, sent_at: timedelta) -> None:
-        """Count the lease from when the request that was answered was sent."""
+        """Extend the time for which the lease is certain, counted from when the successful request was sent."""
         until = sent_at + at_most(self.settings.ttl) - RESPONSE_MARGIN
         self._lease_certain_until = max(self._lease_certain_until, until)
 
@@ -282,7 +282,7 @@
             log.debug("the lease of the term that has ended could not be revoked")
 
     def _on_renewed(self, sent_at: timedelta) -> None:
-        """Lead on: the lease has not expired since it was granted, so nobody else has led meanwhile."""
+        """Continue the term: the lease has not expired since it was granted, so no other node has led meanwhile."""
         self._extend_lease(sent_at)
         if self.role is Role.LEASE_UNCERTAIN and self._clock() < self._lease_certain_until:
             self._set_role(Role.LEADING)
--- a/src/elmthread/leadership/grace_period.py
+++ b/src/elmthread/leadership/grace_period.py
@@ -1,4 +1,4 @@
-"""Extends the grace period of a leader whose lease is uncertain, while all other nodes confirm its term."""
+"""Extends the grace period of a leader with an uncertain lease as long as no other node has won a later term."""
 
 import asyncio
 from collections.abc import Sequence
@@ -12,22 +12,22 @@
 
 
 class TermConfirmations(Protocol):
-    """Requests to the other controllers about their terms."""
+    """Requests that ask other controllers which terms they have won."""
 
     async def confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
         """Return whether a node confirms that it has won no later term than that of the token."""
 
 
 class GracePeriodExtension:
-    """Asks the other nodes while the lease is uncertain.
+    """Asks the other nodes for their terms while the lease is uncertain.
 
-    As long as all of them confirm that they have not won, this node may go on answering workers: in an outage of
-    the key-value store that is so for as long as it lasts, and no work is lost. Where one of them does not respond,
-    the grace period ends as it would without.
+    As long as all of them confirm that they have won no later term, this node may keep answering workers. During an
+    outage of the key-value store no node can win, so this lasts for the whole outage and no work is lost. If one of
+    them does not respond, the grace period ends as it would without the extension.
     """
 
     def __init__(self, election: Election, others: Sequence[str], requests: TermConfirmations, clock: Clock) -> None:
-        """`others` are the other nodes."""
+        """Take the names of all other nodes as `others`."""
         self._election = election
         self._others = others
         self._requests = requests
--- a/src/elmthread/leadership/leader_record.py
+++ b/src/elmthread/leadership/leader_record.py
@@ -1,4 +1,4 @@
-"""The record under the leader key: which process leads, and by which lease."""
+"""The record under the leader key: which process leads, and under which lease."""
 
 import msgspec
 
@@ -15,8 +15,8 @@
 
 
 def read_leader_record(item: messages.KeyValue) -> LeaderRecord:
-    """Return the record under the leader key. Raises UnknownOutcomeError where it is malformed."""
+    """Return the record under the leader key. Raises UnknownOutcomeError if it is malformed."""
     try:
         return msgspec.convert(item.value, LeaderRecord)
     except msgspec.ValidationError as error:
-        raise UnknownOutcomeError(f"leader key: {error}") from error
+        raise UnknownOutcomeError(f"malformed record under the leader key: {error}") from error
--- a/src/elmthread/leadership/listener.py
+++ b/src/elmthread/leadership/listener.py
@@ -1,13 +1,13 @@
-"""Who acts on the terms of this node."""
+"""The interface of components that follow this node's terms."""
 
 from typing import Protocol
 
 
 class LeadershipListener(Protocol):
-    """Who acts on the beginning and the end of this node's terms."""
+    """Receives the beginning and the end of this node's terms."""
 
     def on_elected(self, fencing_token: int) -> None:
-        """Begin the term of that token."""
+        """Start the work of the term of that fencing token."""
 
     def on_lost(self) -> None:
-        """End the present term: nothing more may be done under its token."""
+        """Stop the work of the current term: nothing more may be done under its fencing token."""
--- a/src/elmthread/leadership/role.py
+++ b/src/elmthread/leadership/role.py
@@ -1,14 +1,14 @@
-"""The role of a node in the cluster, and how it may change."""
+"""The role of a node in the cluster, and its allowed transitions."""
 
 from enum import Enum, auto
 
 
 class Role(Enum):
-    """What this node is."""
+    """The role of this node."""
 
     FOLLOWER = auto()
     LEADING = auto()
-    # The lease may have expired: workers are still answered for a while, nothing else is done.
+    # The lease may have expired: workers are still answered for the grace period, and nothing else is done.
     LEASE_UNCERTAIN = auto()
 
 
--- a/src/elmthread/leadership/step_down.py
+++ b/src/elmthread/leadership/step_down.py
@@ -1,10 +1,10 @@
-"""Why a leader's term ends before its process does."""
+"""The reasons for which a leader steps down while its process runs on."""
 
 from enum import StrEnum
 
 
 class StepDownReason(StrEnum):
-    """The reasons; the values stand in the log."""
+    """Why a leader steps down; the values are written to the log."""
 
     NEWER_TERM = "a newer term is known"
     LEASE_EXPIRED = "the lease has expired"
