--- a/src/elmthread/rollout/__init__.py
+++ b/src/elmthread/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollout: behaviour that an earlier version can't read stays off until every controller has it."""
+"""Staged rollout: formats and messages that earlier versions can't read stay off until all controllers support them."""
--- a/src/elmthread/rollout/activation.py
+++ b/src/elmthread/rollout/activation.py
@@ -1,4 +1,4 @@
-"""Whether the active level may be raised, and what it waits for; a pure function over a view."""
+"""Decides whether the active level may be raised and which nodes prevent it; a pure function of a `RolloutView`."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class ObstacleKind(Enum):
-    """Why a node keeps the level from rising."""
+    """Why a node prevents the level from being raised."""
 
     NOT_ANNOUNCED = "has never announced itself: it runs a version that knows no levels, or never ran"
     UNREADABLE = "has a record that is no announcement"
@@ -29,18 +29,18 @@
     detail: str = ""
 
     def __str__(self) -> str:
-        """Return the text for the log and for operators."""
+        """Return the text that is logged and shown to operators."""
         return f"{self.node} {self.kind.value}{f' ({self.detail})' if self.detail else ''}"
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """The level stays, because of these nodes; without any there is no higher level."""
+    """The level is not raised because of these nodes, or because there is no higher level if there are none."""
 
     obstacles: tuple[Obstacle, ...] = ()
 
 
 class Activate(msgspec.Struct, frozen=True):
-    """The level may be raised, if the view's revisions still stand when the transaction is carried out."""
+    """The level may be raised if the records still have the view's revisions when the transaction is applied."""
 
     level: int
     level_mod_revision: int
@@ -48,16 +48,16 @@
 
 
 def plan_activation(view: RolloutView, members: frozenset[str], supported: SupportedLevels) -> Activate | Wait:
-    """Return the highest level that every member can read and write and that nobody holds back, or who keeps it."""
+    """Return the highest level that all members support and none is held below, or the obstacles to a higher one."""
     readable: dict[str, Announcement] = {}
     obstacles: list[Obstacle] = []
     for node in sorted(members):
-        found = view.announcements.get(node)
-        obstacle = _announcement_obstacle(node, found, view.level, members)
+        announcement = view.announcements.get(node)
+        obstacle = _announcement_obstacle(node, announcement, view.level, members)
         if obstacle is not None:
             obstacles.append(obstacle)
-        elif isinstance(found, Announcement):
-            readable[node] = found
+        elif isinstance(announcement, Announcement):
+            readable[node] = announcement
     if obstacles:
         return Wait((*obstacles, *_level_obstacles(readable, view.level + 1)))
     target = min([supported.highest, *map(_highest_allowed, readable.values())])
@@ -69,33 +69,33 @@
 
 
 def _announcement_obstacle(
-    node: str, found: Announcement | UnreadableAnnouncement | None, level: int, members: frozenset[str]
+    node: str, announcement: Announcement | UnreadableAnnouncement | None, level: int, members: frozenset[str]
 ) -> Obstacle | None:
-    """Return what is wrong with a node's announcement, whatever the level is to be."""
-    if found is None:
+    """Return the obstacle in a node's announcement that prevents any level from being activated, if there is one."""
+    if announcement is None:
         return Obstacle(node, ObstacleKind.NOT_ANNOUNCED)
-    if isinstance(found, UnreadableAnnouncement):
-        return Obstacle(node, ObstacleKind.UNREADABLE, found.reason)
-    if found.members != members:
-        return Obstacle(node, ObstacleKind.OTHER_MEMBERS, ", ".join(sorted(found.members)))
-    if level not in found.levels:
-        kind = ObstacleKind.NEWER if found.levels.lowest > level else ObstacleKind.OLDER
-        return Obstacle(node, kind, f"levels {found.levels.lowest} to {found.levels.highest}")
+    if isinstance(announcement, UnreadableAnnouncement):
+        return Obstacle(node, ObstacleKind.UNREADABLE, announcement.reason)
+    if announcement.members != members:
+        return Obstacle(node, ObstacleKind.OTHER_MEMBERS, ", ".join(sorted(announcement.members)))
+    if level not in announcement.levels:
+        kind = ObstacleKind.NEWER if announcement.levels.lowest > level else ObstacleKind.OLDER
+        return Obstacle(node, kind, f"levels {announcement.levels.lowest} to {announcement.levels.highest}")
     return None
 
 
 def _highest_allowed(announcement: Announcement) -> int:
-    """Return the highest level that a node allows."""
+    """Return the highest level that a node supports and its operators allow."""
     if announcement.hold_at is None:
         return announcement.levels.highest
     return min(announcement.levels.highest, announcement.hold_at)
 
 
-def _level_obstacles(readable: dict[str, Announcement], wanted: int) -> Iterator[Obstacle]:
+def _level_obstacles(readable: dict[str, Announcement], target_level: int) -> Iterator[Obstacle]:
     """Yield an obstacle for each node that does not allow the wanted level."""
-    for node, found in readable.items():
-        if found.levels.highest < wanted:
-            detail = f"levels {found.levels.lowest} to {found.levels.highest}"
+    for node, announcement in readable.items():
+        if announcement.levels.highest < target_level:
+            detail = f"levels {announcement.levels.lowest} to {announcement.levels.highest}"
             yield Obstacle(node, ObstacleKind.OLDER, detail)
-        elif found.hold_at is not None and found.hold_at < wanted:
-            yield Obstacle(node, ObstacleKind.HELD, f"at {found.hold_at}")
+        elif announcement.hold_at is not None and announcement.hold_at < target_level:
+            yield Obstacle(node, ObstacleKind.HELD, f"at {announcement.hold_at}")
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -1,4 +1,4 @@
-"""`elmthread rollout status`: what each controller has announced and what the level waits for."""
+"""`elmthread rollout status`: what each controller has announced and what prevents a higher level."""
 
 import asyncio
 import sys
@@ -20,7 +20,7 @@
 
 
 def run(platform: Platform, settings: RolloutSettings) -> int:
-    """Print the state of the rollout; return 1 where it can't be read."""
+    """Print the state of the rollout; return 1 if it can't be read."""
     client = KeyValueStore(HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
     try:
         view = read_view(asyncio.run(read_records(client)).items)
@@ -35,7 +35,7 @@
 def describe(
     view: RolloutView, members: frozenset[str], supported: SupportedLevels, settings: RolloutSettings, now: float
 ) -> list[str]:
-    """Return the state of the rollout, line by line."""
+    """Return a description of the rollout's state, as lines of text."""
     lines = [f"active level: {view.level}"]
     for feature, description in REGISTRY.items():
         state = "active" if description.level <= view.level else "off"
@@ -46,7 +46,11 @@
         lines.append(f"announced, but not in these settings: {', '.join(unknown_nodes)}")
     plan = plan_activation(view, members, supported)
     if isinstance(plan, Activate):
-        latest = max(found.announced_at for found in view.announcements.values() if isinstance(found, Announcement))
+        latest = max(
+            announcement.announced_at
+            for announcement in view.announcements.values()
+            if isinstance(announcement, Announcement)
+        )
         remaining_s = max(0.0, latest + settings.soak_s - now)
         lines.append(
             f"level {plan.level} may be activated, in about {remaining_s:.0f} s or {settings.soak_s:.0f} s "
@@ -59,11 +63,14 @@
     return lines
 
 
-def _describe_node(node: str, found: Announcement | UnreadableAnnouncement | None, now: float) -> str:
-    if found is None:
+def _describe_node(node: str, announcement: Announcement | UnreadableAnnouncement | None, now: float) -> str:
+    if announcement is None:
         return f"{node}: nothing announced"
-    if isinstance(found, UnreadableAnnouncement):
-        return f"{node}: unreadable announcement: {found.reason}"
-    held = "" if found.hold_at is None else f", holds at {found.hold_at}"
-    age_s = max(0.0, now - found.announced_at)
-    return f"{node}: levels {found.levels.lowest} to {found.levels.highest}{held}, announced {age_s:.0f} s ago"
+    if isinstance(announcement, UnreadableAnnouncement):
+        return f"{node}: unreadable announcement: {announcement.reason}"
+    held = "" if announcement.hold_at is None else f", holds at {announcement.hold_at}"
+    age_s = max(0.0, now - announcement.announced_at)
+    return (
+        f"{node}: levels {announcement.levels.lowest} to {announcement.levels.highest}{held}, "
+        f"announced {age_s:.0f} s ago"
+    )
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -1,9 +1,9 @@
-"""Lets a process take part only once its levels are announced and it can read the active one.
+"""Admits a process to the cluster only once its levels are announced and it can read the active one.
 
-The announcement is written before the process serves, is a candidate or reads jobs. Its transaction
-compares the record of the active level, so either the activation sees the announcement, or the process
-sees the level. It compares the node's own earlier record too and is made at every start, also with the
-same content: what an earlier process of this node has on its way then fails, however late it arrives.
+The announcement is written before the process serves, is a candidate or reads jobs. Its transaction compares the
+record of the active level, so either the activation sees the announcement, or the process sees the level. It also
+compares the node's previous announcement and is sent at every start, even with the same content: a delayed
+transaction of an earlier process of this node then fails, however late it arrives.
 """
 
 import asyncio
@@ -29,12 +29,12 @@
 log = logging.getLogger(__name__)
 
 RETRY_INTERVAL = seconds(0.3)
-# A process that was refused checks again after this time whether it can take part.
+# A refused process checks again after this time whether it can be admitted.
 RECHECK_INTERVAL = seconds(10)
 
 
 class GateState(Enum):
-    """Whether this process may take part."""
+    """Whether this process may take part in the cluster."""
 
     ANNOUNCING = auto()
     ADMITTED = auto()
@@ -49,10 +49,10 @@
 
 
 class IncompatibleLevelError(ElmthreadError):
-    """The active level is not one that this process can read and write."""
+    """This process can't read and write the active level."""
 
     def __init__(self, level: int, supported: SupportedLevels) -> None:
-        """Say what an operator has to do."""
+        """State in the message what an operator has to do."""
         self.level = level
         super().__init__(
             f"compatibility level {level} is active, this version reads {supported.lowest} to {supported.highest}: "
@@ -61,10 +61,10 @@
 
 
 class CompatibilityGate:
-    """The state of one process, and the work that admits it."""
+    """Announces a process and admits it to the cluster or refuses it."""
 
     def __init__(self, membership: Membership, store: KeyValueStore, on_refused: Callable[[], None]) -> None:
-        """Without the rollout enabled a process is admitted at once, and announces nothing."""
+        """Admit the process at once, without an announcement, if the rollout is not enabled."""
         self._membership = membership
         self._supported = membership.supported
         self._settings = membership.settings
@@ -73,7 +73,7 @@
         self.process = secrets.token_hex(8)
         self._admission = asyncio.Event()
         self._refusal = asyncio.Event()
-        # The same refusal is an error in the log only once.
+        # A refusal for the same reason as the last one is logged at debug level.
         self._last_refusal: str | None = None
         self.state = GateState.ANNOUNCING
         if not self._settings.enabled:
@@ -89,7 +89,7 @@
         return self.state is GateState.ADMITTED
 
     async def wait_admitted(self) -> None:
-        """Return once this process may take part."""
+        """Wait until this process is admitted."""
         await self._admission.wait()
 
     def check(self, level: int) -> None:
@@ -100,7 +100,7 @@
             raise error
 
     def refuse(self, reason: str) -> None:
-        """End this process's part until its levels are checked again."""
+        """Exclude this process from the cluster until its levels are checked again."""
         if self.state is GateState.REFUSED:
             return
         log.log(logging.DEBUG if reason == self._last_refusal else logging.ERROR, "%s", reason)
@@ -111,7 +111,7 @@
         self._on_refused()
 
     async def run(self) -> None:
-        """Announce this process; check again at intervals while it is refused."""
+        """Announce this process, and check again periodically while it is refused."""
         while True:
             if self.state is GateState.ADMITTED:
                 await self._refusal.wait()
@@ -134,7 +134,7 @@
         except IncompatibleLevelError:
             return
         else:
-            # A leader may have announced a higher level meanwhile.
+            # The process may have been refused meanwhile, as a leader has announced a higher level.
             if self.state is GateState.ANNOUNCING:
                 self._set_state(GateState.ADMITTED)
                 self._admission.set()
@@ -142,19 +142,19 @@
         await asyncio.sleep(RETRY_INTERVAL.total_seconds() * random.uniform(0.5, 1.5))
 
     async def _announce(self) -> None:
-        """Return once this process's announcement is known to stand, or none is wanted."""
+        """Check the active level, then write this process's announcement unless it is stored already or not needed."""
         view = records.read_view((await records.read_records(self._store)).items)
         self.check(view.level)
         if not self._settings.enabled:
             return
-        own = view.announcements.get(self._membership.node)
-        if isinstance(own, Announcement) and own.process == self.process:
-            # Of an earlier transaction without a response; should it be carried out again, it fails on this revision.
+        own_announcement = view.announcements.get(self._membership.node)
+        if isinstance(own_announcement, Announcement) and own_announcement.process == self.process:
+            # Written by a transaction whose response was lost. If it is applied again, it fails on this revision.
             return
-        await self._write(view, 0 if own is None else own.mod_revision)
+        await self._write_announcement(view, 0 if own_announcement is None else own_announcement.mod_revision)
         log.info("levels %s to %s are announced", self._supported.lowest, self._supported.highest)
 
-    async def _write(self, view: RolloutView, own_mod_revision: int) -> None:
+    async def _write_announcement(self, view: RolloutView, own_mod_revision: int) -> None:
         record = records.AnnouncementRecord(
             lowest=self._supported.lowest,
             highest=self._supported.highest,
@@ -164,7 +164,7 @@
             hold_at=self._settings.hold_at,
         )
         key = records.node_key(self._membership.node)
-        # Without the first comparison a process could start unnoticed beside an activation.
+        # Without the first comparison a process could start unnoticed during an activation.
         comparisons = [
             store_messages.compare(records.LEVEL_KEY, view.level_mod_revision),
             store_messages.compare(key, own_mod_revision),
--- a/src/elmthread/rollout/membership.py
+++ b/src/elmthread/rollout/membership.py
@@ -1,4 +1,4 @@
-"""One controller's part in a rollout, as its version and its settings have it."""
+"""A controller's view of the cluster in a rollout, from its version and its settings."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """This node, all controllers of its settings, itself included, and the levels that its version supports."""
+    """This node, all controllers in its settings including itself, and the levels that its version supports."""
 
     node: str
     members: frozenset[str]
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -2,8 +2,8 @@
 
 `rollout/nodes/NODE` is a controller's announcement and the only record besides the leader key that a
 follower writes. `rollout/level` is the active level, written by the leader. Versions that know no levels
-read neither prefix. The fence stands among the records of the pages under a key that those versions do read,
-in a form that they refuse.
+read neither prefix. The fence is stored in the record pages under a key that those versions do read, in a format
+that they reject.
 """
 
 from collections.abc import Iterable
@@ -28,26 +28,26 @@
 
 
 class AnnouncementRecord(msgspec.Struct, omit_defaults=True):
-    """The levels of one controller's present process, and the members in its settings."""
+    """The levels of one controller's current process, and the members in its settings."""
 
     lowest: Level
     highest: Level
     members: list[str]
-    # Distinguishes this process's record from an earlier one with the same content.
+    # Identifies the process: distinguishes its record from an earlier one with the same content.
     process: str
     announced_at: float
     hold_at: Level | None = None
 
 
 class LevelRecord(msgspec.Struct, rename={"fencing_token": "token"}):
-    """The active level, and the fencing token under which it was raised."""
+    """The active level, and the fencing token of the leader that activated it."""
 
     level: Level
     fencing_token: int
 
 
 class FenceRecord(msgspec.Struct):
-    """Keeps versions that know no levels from leading on forms that they would misread."""
+    """Prevents versions that know no levels from leading with stored formats that they would misread."""
 
     level: Level
 
@@ -56,7 +56,7 @@
 
 
 class UnreadableLevelError(ElmthreadError):
-    """The record of the active level, or the fence, is malformed: nothing may be concluded from it."""
+    """The record of the active level, or the fence, is malformed, so the active level is unknown."""
 
 
 def node_key(node: str) -> str:
@@ -64,16 +64,16 @@
     return f"{NODES_PREFIX}{node}"
 
 
-def read_level(key: str, value: Any, form: type[LevelOrFence]) -> LevelOrFence:
-    """Return the record of a level that stands under the key. Raises UnreadableLevelError."""
+def read_level(key: str, value: Any, record_type: type[LevelOrFence]) -> LevelOrFence:
+    """Return the level record or the fence read under the key. Raises UnreadableLevelError if it is malformed."""
     try:
-        return msgspec.convert(value, form)
+        return msgspec.convert(value, record_type)
     except msgspec.ValidationError as error:
         raise UnreadableLevelError(f"{key}: {error}") from error
 
 
 async def read_records(store: KeyValueStore) -> PrefixRecords:
-    """Read all records under the rollout's prefix, page by page. Raises StoreError."""
+    """Read all records under the rollout's prefix, in pages. Raises StoreError."""
     return await read_prefix(store.read_page, PREFIX, PAGE_SIZE)
 
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -1,8 +1,8 @@
 """The leader's part of a rollout, for one term: reads the active level, raises it, and writes the fence.
 
-The level is raised by one transaction that compares the fencing token, the record of the level and each
-member's announcement. New forms are written only after that, and only once the fence is durable: a record
-that versions without levels can't read, so none of them leads on forms that it would misread.
+The level is raised by one transaction that compares the fencing token, the record of the level and each member's
+announcement. New formats are written only after that, and only once the fence is durable. Versions without levels
+can't read the fence, so none of them leads with formats that it would misread.
 """
 
 import asyncio
@@ -31,19 +31,19 @@
 
 RETRY_INTERVAL = seconds(1)
 WATCH_TIMEOUT = seconds(10)
-# What only an operator can change is checked again after this time.
+# Interval of checks for conditions that only an operator can change.
 RECHECK_INTERVAL = seconds(60)
 
 
 class RolloutContext(msgspec.Struct, frozen=True):
-    """What a process has of the rollout, whoever leads."""
+    """The process's part of the rollout, independent of its terms."""
 
     membership: Membership
     gate: CompatibilityGate
     features: ActiveFeatures
-    # Comparisons that one transaction may have.
+    # How many keys one transaction may compare.
     max_comparisons: int
-    # Returns which process another node runs now; raises PeerUnreachableError.
+    # Returns the id of the process that another node runs now; raises PeerUnreachableError.
     get_process: Callable[[str], Awaitable[str | None]]
 
     @property
@@ -53,7 +53,7 @@
 
 
 class TermRollout:
-    """Reads and raises the level under one fencing token."""
+    """Reads and raises the active level during one term."""
 
     def __init__(self, rollout: RolloutContext, context: TermContext) -> None:
         """Assume the first level until `load`."""
@@ -64,7 +64,7 @@
         self._fencing_token = context.term.fencing_token
         self._level = FIRST_LEVEL
         self._fence = FIRST_LEVEL
-        # What is planned, and since when; which obstacles were logged last.
+        # The planned activation and when it was planned first; the obstacles that were logged last.
         self._planned: Activate | None = None
         self._planned_at = self._clock()
         self._logged_obstacles: tuple[Obstacle, ...] | None = None
@@ -76,21 +76,21 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether the level is read and raised. Without that, only the fence says what may be met and written."""
+        """Whether the level is read and raised. If not, the fence alone says which formats may be read and written."""
         return self._rollout.membership.settings.enabled
 
     def load(self, items: Iterable[store_messages.KeyValue], packed_records: Mapping[str, Any]) -> None:
-        """Take the active level from the store's content. Raises IncompatibleLevelError and UnreadableLevelError."""
+        """Set the active level from the store's records. Raises IncompatibleLevelError and UnreadableLevelError."""
         if records.FENCE_KEY in packed_records:
             fence = packed_records[records.FENCE_KEY]
             self._fence = records.read_level(records.FENCE_KEY, fence, records.FenceRecord).level
         self._level = max(records.read_view(items).level, self._fence)
         self._rollout.gate.check(self._level)
-        # Forms up to the fence's level may be in the store, and may be written.
+        # Formats up to the fence's level may be in the store and may be written.
         self._rollout.features.raise_level(self._fence)
 
     async def run(self) -> None:
-        """Write the fence where it is missing, then raise the level as soon as it may be raised."""
+        """Write the fence if it is missing, then raise the level as soon as this is allowed."""
         if self._fence < self._level:
             self._write_fence()
         while self.enabled and self._level < self._rollout.supported.highest:
@@ -107,7 +107,7 @@
         stored = await records.read_records(self._store)
         view = records.read_view(stored.items)
         if view.level > self._level:
-            # An earlier transaction of this term, to which no response came.
+            # Raised by an earlier transaction of this term whose response was lost.
             self._on_activated(view.level)
             return
         plan = plan_activation(view, self._rollout.membership.members, self._rollout.supported)
@@ -116,7 +116,9 @@
             if plan != self._planned:
                 self._planned, self._planned_at = plan, self._clock()
                 log.info(
-                    "compatibility level %s is activated in %s s", plan.level, self._rollout.membership.settings.soak_s
+                    "compatibility level %s will be activated in %s s",
+                    plan.level,
+                    self._rollout.membership.settings.soak_s,
                 )
             remaining = self._planned_at + self._rollout.membership.settings.soak - self._clock()
             if remaining <= timedelta():
@@ -140,30 +142,36 @@
             store_messages.compare(records.LEVEL_KEY, plan.level_mod_revision),
         ]
         comparisons += [
-            store_messages.compare(records.node_key(node), found.mod_revision) for node, found in plan.announcements
+            store_messages.compare(records.node_key(node), announcement.mod_revision)
+            for node, announcement in plan.announcements
         ]
         if len(comparisons) > self._rollout.max_comparisons:
-            log.error("%s controllers are more than one transaction can compare: the level stays", len(comparisons) - 2)
+            log.error(
+                "%s controllers are more than one transaction can compare: the level is not raised",
+                len(comparisons) - 2,
+            )
             await asyncio.sleep(RECHECK_INTERVAL.total_seconds())
             return
         record = msgspec.to_builtins(records.LevelRecord(plan.level, self._fencing_token))
         try:
             await self._store.compare_and_swap(comparisons, [store_messages.put(records.LEVEL_KEY, record)])
-        except ConflictError as lost:
-            log.info("compatibility level %s was not activated, as these records changed: %s", plan.level, lost.failed)
+        except ConflictError as conflict:
+            log.info(
+                "compatibility level %s was not activated, as these records changed: %s", plan.level, conflict.failed
+            )
             self._planned = None
             await asyncio.sleep(RETRY_INTERVAL.total_seconds())
             return
         self._on_activated(plan.level)
 
     async def _other_processes(self, plan: Activate) -> tuple[Obstacle, ...]:
-        """Return an obstacle for each node that responds, but not as the process that announced itself.
+        """Return an obstacle for each node that responds with another process id than it has announced.
 
-        A node that was rolled back to a version without levels announces nothing, so its earlier
-        announcement still stands. One that does not respond counts by what it has announced: should it come
-        back with such a version, the fence keeps it from leading.
+        A node that was rolled back to a version without levels announces nothing, so its earlier announcement is
+        still stored. For a node that does not respond, its announcement counts: if it comes back with a version
+        without levels, the fence prevents it from leading.
         """
-        found = []
+        obstacles = []
         for node, announcement in plan.announcements:
             if node == self._rollout.membership.node:
                 continue
@@ -172,8 +180,8 @@
             except PeerUnreachableError:
                 continue
             if process != announcement.process:
-                found.append(Obstacle(node, ObstacleKind.OTHER_PROCESS))
-        return tuple(found)
+                obstacles.append(Obstacle(node, ObstacleKind.OTHER_PROCESS))
+        return tuple(obstacles)
 
     def _on_activated(self, level: int) -> None:
         self._level = level
--- a/src/elmthread/rollout/tests/test_activation.py
+++ b/src/elmthread/rollout/tests/test_activation.py
@@ -1,4 +1,4 @@
-"""The decision to raise the level, against a slow reference model."""
+"""Tests of the decision to raise the level, against a simple reference implementation."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,16 +12,16 @@
 
 
 def reference(view: RolloutView, members: frozenset[str], highest: int) -> int:
-    """The level that may be active after this look: the highest that every member agrees to, one by one."""
+    """Return the active level, or the highest above it that every member allows, by checking each one by one."""
     allowed = [view.level]
     for level in range(view.level + 1, highest + 1):
-        agree = 0
+        agreeing = 0
         for node in members:
-            found = view.announcements.get(node)
-            if isinstance(found, Announcement) and found.members == members:
-                reads_both = view.level in found.levels and level in found.levels
-                agree += reads_both and (found.hold_at is None or level <= found.hold_at)
-        if agree == len(members):
+            announcement = view.announcements.get(node)
+            if isinstance(announcement, Announcement) and announcement.members == members:
+                reads_both = view.level in announcement.levels and level in announcement.levels
+                agreeing += reads_both and (announcement.hold_at is None or level <= announcement.hold_at)
+        if agreeing == len(members):
             allowed.append(level)
     return max(allowed)
 
@@ -48,28 +48,28 @@
 def test_the_level_rises_as_far_as_all_members_agree_and_never_falls(
     level: int, found: list[Announcement | UnreadableAnnouncement | None], highest: int
 ) -> None:
-    view = RolloutView(level, 7, {node: one for node, one in zip(NODES, found, strict=True) if one is not None})
+    view = RolloutView(level, 7, {node: item for node, item in zip(NODES, found, strict=True) if item is not None})
     plan = plan_activation(view, MEMBERS, SupportedLevels(1, highest))
     expected = reference(view, MEMBERS, highest)
     if isinstance(plan, Activate):
         assert plan.level == expected > level
-        # All that the decision is based on is compared by the transaction.
+        # The transaction compares all records on which the decision is based.
         assert plan.level_mod_revision == 7
         assert dict(plan.announcements) == view.announcements
     else:
         assert expected == level
-        # A wait names its obstacles, but for the newest version, which has no higher level.
+        # A `Wait` names its obstacles, unless there is no higher level.
         assert plan.obstacles or level >= highest
 
 
 def test_each_obstacle_is_named() -> None:
-    def one(low: int, high: int, **more: object) -> Announcement:
+    def make_announcement(low: int, high: int, **more: object) -> Announcement:
         return Announcement(SupportedLevels(low, high), MEMBERS, 3, **more)  # type: ignore[arg-type]
 
-    found = {"a": one(1, 1), "b": one(1, 2, hold_at=1)}
+    found = {"a": make_announcement(1, 1), "b": make_announcement(1, 2, hold_at=1)}
     plan = plan_activation(RolloutView(1, 0, found), MEMBERS, SupportedLevels(1, 2))
     assert isinstance(plan, Wait)
     kinds = {obstacle.node: obstacle.kind for obstacle in plan.obstacles}
     assert kinds == {"a": ObstacleKind.OLDER, "b": ObstacleKind.HELD, "c": ObstacleKind.NOT_ANNOUNCED}
-    newer = plan_activation(RolloutView(1, 0, {**found, "c": one(2, 3)}), MEMBERS, SupportedLevels(1, 2))
+    newer = plan_activation(RolloutView(1, 0, {**found, "c": make_announcement(2, 3)}), MEMBERS, SupportedLevels(1, 2))
     assert isinstance(newer, Wait) and newer.obstacles[0].kind is ObstacleKind.NEWER
--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""A process that receives a level it can't read while its announcement is being written."""
+"""A process that learns of a level that it can't read while its announcement is being written stays refused."""
 
 import asyncio
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class SlowStore:
-    """A store that is empty, and takes a while to carry out a transaction."""
+    """An empty store that delays each transaction."""
 
     async def read_page(self, prefix: str, after: str | None, page_size: int) -> RangePage:
         return RangePage([], 1)
@@ -23,7 +23,7 @@
         return 2
 
 
-def test_a_refusal_while_the_announcement_is_on_its_way_stands() -> None:
+def test_a_refusal_while_the_announcement_is_written_stays() -> None:
     refusals: list[str] = []
 
     async def main() -> None:
@@ -37,7 +37,7 @@
         with pytest.raises(IncompatibleLevelError):
             gate.check(2)
         await asyncio.sleep(0.1)
-        # A change of state that the table does not allow would have ended the process.
+        # A transition that GATE_STEPS does not allow would have ended the task.
         assert gate.state is GateState.REFUSED and not gate.admitted and not running.done()
         running.cancel()
 
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -1,4 +1,4 @@
-"""What the key-value store says of the rollout, as plain values for decisions."""
+"""The state of the rollout in the key-value store, as plain values on which decisions are based."""
 
 from collections.abc import Mapping
 
@@ -8,19 +8,19 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """What the last process of a node that announced itself can read and write."""
+    """The levels, members and process that a node has announced last."""
 
     levels: SupportedLevels
     members: frozenset[str]
     mod_revision: int
     process: str = ""
     announced_at: float = 0.0
-    # An operator's wish: no level above this one is to be activated.
+    # Set by an operator: no level above this one may be activated.
     hold_at: int | None = None
 
 
 class UnreadableAnnouncement(msgspec.Struct, frozen=True):
-    """A record under a node's key that is no valid announcement."""
+    """A record under a node's key that is not a valid announcement."""
 
     mod_revision: int
     reason: str
