--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -20,7 +20,7 @@
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
 from elmthread.leadership.listener import LeadershipListener
-from elmthread.leadership.role import ROLE_STEPS, Role
+from elmthread.leadership.role import ROLE_TRANSITIONS, Role
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.store import messages
 from elmthread.store.client import (
@@ -94,7 +94,7 @@
         self._listeners.append(listener)
 
     def _set_role(self, role: Role) -> None:
-        self.role = transition(self._node, ROLE_STEPS, self.role, role)
+        self.role = transition(self._node, ROLE_TRANSITIONS, self.role, role)
 
     def holds_lease(self) -> bool:
         """Return whether the lease certainly holds now, so that this node may write, start tasks and answer users."""
