--- a/src/elmthread/rollout/tests/test_gate.py
+++ b/src/elmthread/rollout/tests/test_gate.py
@@ -37,7 +37,7 @@
         with pytest.raises(IncompatibleLevelError):
             gate.check(2)
         await asyncio.sleep(0.1)
-        # A transition that GATE_STEPS does not allow would have ended the task.
+        # A transition that GATE_TRANSITIONS does not allow would have ended the task.
         assert gate.state is GateState.REFUSED and not gate.admitted and not running.done()
         running.cancel()
 
