--- a/src/elmthread/leadership/candidacy.py
+++ b/src/elmthread/leadership/candidacy.py
@@ -21,7 +21,7 @@
     def on_term_ended(self) -> None:
         """Record that a term of this node has ended while its process runs on."""
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return how long a follower watches the leader key before it sends the next request to the key-value store."""
 
 
@@ -38,6 +38,6 @@
     def on_term_ended(self) -> None:
         """Do nothing."""
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return the default timeout."""
-        return usual
+        return default
