--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -71,7 +71,7 @@
     store: KeyValueStore
     cloud: HttpCaller
     clock: Clock
-    load: OverloadControl
+    overload_control: OverloadControl
     reachability: Reachability
     rollout: RolloutContext
 
@@ -194,7 +194,7 @@
     async def _wait_while_overloaded(self) -> None:
         """Delay a round while overload leaves too little time even for responses, MAX_OVERLOAD_DELAYS times at most."""
         for _ in range(MAX_OVERLOAD_DELAYS):
-            if not self._services.load.rejects(WorkClass.SCHEDULING_ROUND):
+            if not self._services.overload_control.rejects(WorkClass.SCHEDULING_ROUND):
                 return
             await asyncio.sleep(MIN_SCHEDULING_INTERVAL.total_seconds())
 
