--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -6,7 +6,7 @@
 
 from elmthread.api.node import ApiNode
 from elmthread.api.routes import RequestRouter
-from elmthread.common.clock import Clock, steady
+from elmthread.common.clock import Clock, steady_clock
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.common.overload import OverloadControl
 from elmthread.leader import Leader, NodeServices
@@ -47,7 +47,7 @@
 class ControllerEnvironment(msgspec.Struct, frozen=True):
     """The external dependencies of a controller; tests replace some of them."""
 
-    clock: Clock = steady
+    clock: Clock = steady_clock
     # None: HTTP clients for the endpoints in the platform settings.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
+from elmthread.common.clock import ZERO, Clock, extend_for_drift, reduce_for_drift, seconds
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
@@ -107,7 +107,9 @@
         if self.holds_lease():
             return True
         grace_start = max(self._lease_certain_until, self._no_later_term_at)
-        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= grace_start + at_most(self.settings.grace_period):
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= grace_start + reduce_for_drift(
+            self.settings.grace_period
+        ):
             self.step_down(StepDownReason.GRACE_PERIOD_OVER)
         return self.role is Role.LEASE_UNCERTAIN
 
@@ -133,7 +135,7 @@
 
     def failover_delay(self, worker_lease: timedelta) -> timedelta:
         """Return how long after an election a machine that does not report may still run an earlier leader's tasks."""
-        return at_least(self.settings.grace_period + worker_lease) + seconds(1)
+        return extend_for_drift(self.settings.grace_period + worker_lease) + seconds(1)
 
     def observe_term(self, fencing_token: int, leader: str | None) -> None:
         """Record a term that another controller or a worker has reported; step down if it is newer than this node's."""
@@ -250,7 +252,7 @@
 
     def _extend_lease(self, sent_at: timedelta) -> None:
         """Extend the time for which the lease is certain, counted from when the successful request was sent."""
-        until = sent_at + at_most(self.settings.ttl) - RESPONSE_MARGIN
+        until = sent_at + reduce_for_drift(self.settings.ttl) - RESPONSE_MARGIN
         self._lease_certain_until = max(self._lease_certain_until, until)
 
     async def _keep_lease(self, lease_id: int) -> None:
