--- a/src/elmthread/cluster/__init__.py
+++ b/src/elmthread/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What the leader owns in memory: jobs, machines, and which task may be on which machine."""
+"""The leader's in-memory state: jobs, machines, and the allocations of tasks to machines."""
--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -1,8 +1,8 @@
 """Allocations: which task may be on which machine.
 
-An allocation is made before a start command can be sent, and released only once the task is proven not to
-be on the machine, so allocations never count less than what really runs. Quotas, the rules on zones and the
-rule of one copy of each task are checked against allocations.
+An allocation is created before a start command can be sent, and released only once the task is proven not to
+be on the machine, so allocations never account for less than what actually runs. Quotas, zone constraints and
+the limit of one copy per task are checked against allocations.
 """
 
 from dataclasses import dataclass
@@ -18,8 +18,8 @@
     """The state of a task on its machine, as far as the leader knows it."""
 
     PLANNED = auto()  # not yet durable: its start must not be sent
-    COMMITTED = auto()  # durable: its start is sent with each response until a heartbeat lists the task
-    UNCONFIRMED = auto()  # loaded from the store, of an earlier term: the task may be there
+    COMMITTED = auto()  # durable: its start is sent in each response until a heartbeat lists the task
+    UNCONFIRMED = auto()  # loaded from the store, from an earlier term: the task may be on the machine
     FETCHING = auto()
     RUNNING = auto()
     CHECKPOINTING = auto()
@@ -53,7 +53,7 @@
     attempt: int
     machine: Machine
     state: AllocationState
-    # How the task is to be stopped, None while it is not.
+    # How the task is to be stopped; None while it is not to be stopped.
     stop_mode: StopMode | None = None
     start_sent: bool = False
     # When a heartbeat first listed the task as running.
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers, and the size and price that they give each machine."""
+"""Catalog of the machine types that the cloud offers; sets the size and price of each machine by its type."""
 
 from collections.abc import Iterable
 
@@ -14,7 +14,7 @@
     """All machine types by name; empty until they are loaded from the store or listed by the cloud."""
 
     def __init__(self, cluster: ClusterState, events: ClusterEvents) -> None:
-        """Keep the sizes and prices of the machines in `cluster` as their types say."""
+        """Keep the sizes and prices of the machines in `cluster` consistent with their types."""
         self._cluster = cluster
         self._events = events
         self.types: dict[str, MachineType] = {}
--- a/src/elmthread/cluster/events.py
+++ b/src/elmthread/cluster/events.py
@@ -2,9 +2,9 @@
 
 import asyncio
 
-# Passes of the event loop until the response about a change that has just become durable has left. The
-# scheduling round that the change causes takes longer than these passes, so it is delayed until then.
-PASSES_BEFORE_ROUND = 6
+# Event loop iterations until the response to a request whose change has just become durable has been sent. The
+# scheduling round that the change triggers takes longer than these iterations, so it is delayed until then.
+LOOP_ITERATIONS_BEFORE_ROUND = 6
 
 
 class ClusterEvents:
@@ -25,18 +25,18 @@
         self.capacity_short.set()
 
     def notify_jobs_changed(self) -> None:
-        """Signal that a job was submitted or ended; decisions start once its response has left."""
+        """Signal that a job was submitted or ended; decisions start once its response has been sent."""
         self._jobs_changed = True
-        self._notify_after(PASSES_BEFORE_ROUND)
+        self._notify_after(LOOP_ITERATIONS_BEFORE_ROUND)
 
     def take_jobs_changed(self) -> bool:
         """Return whether a job was submitted or ended since the last call."""
         changed, self._jobs_changed = self._jobs_changed, False
         return changed
 
-    def _notify_after(self, passes: int) -> None:
-        if passes > 0:
-            asyncio.get_running_loop().call_soon(self._notify_after, passes - 1)
+    def _notify_after(self, iterations_left: int) -> None:
+        if iterations_left > 0:
+            asyncio.get_running_loop().call_soon(self._notify_after, iterations_left - 1)
             return
         self.notify_changed()
         self.notify_capacity_short()
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -35,13 +35,13 @@
 
 
 class JobPolicy(msgspec.Struct, frozen=True):
-    """What the operators' rules decide for a job when it is submitted."""
+    """The policy that the operators' expressions and the objectives give a job when it is created."""
 
-    # How long after its submission the job is to be done.
+    # Time after submission by which the job is to be done.
     deadline: timedelta
-    # Once the deadline can't be met, the job is to be done within this multiple of it.
+    # Multiple of the deadline that applies instead once the deadline can't be met.
     slack: float
-    # Whether the job may preempt others and has machines requested at once.
+    # Whether the job may preempt others, and machines are requested for it immediately.
     urgent: bool
 
 
@@ -50,33 +50,33 @@
     """A job and its tasks: each task is done, allocated to machines, or pending."""
 
     spec: JobSpec
-    # When it was submitted, by the calendar and by this process's clock.
+    # When the job was submitted, by the wall clock and by this process's monotonic clock.
     submission_time: datetime
     submitted_at: timedelta
     policy: InitVar[JobPolicy]
     tasks_per_chunk: int
 
     id: str = field(init=False)
-    # The tasks of a service are replicas: however one ends, it is started again, and none is ever done.
+    # The tasks of a service are replicas: each is restarted however it ends, and none is ever done.
     is_service: bool = field(init=False)
     task_count: int = field(init=False)
-    # The machine types that it may run on; None if it may run on any.
+    # The machine types that the job may run on; None if it may run on any.
     machine_types: frozenset[str] | None = field(init=False)
     priority_rank: int = field(init=False)
     urgent: bool = field(init=False)
-    # Times after the submission: the deadline, the later one that applies once the first can't be met, and
+    # Relative to the submission: the deadline, the later one that applies once the first can't be met, and
     # the one of the two that placement uses now.
     deadline: timedelta = field(init=False)
     latest_deadline: timedelta = field(init=False)
     target_deadline: timedelta = field(init=False)
 
     state: JobState = JobState.OPEN
-    # The state in the store, None until the job is durable. Users are shown only this one.
+    # The state in the store, None until the job is durable. Only this state is shown to users.
     durable_state: JobState | None = None
     # The state in the record that is being written to the store.
     state_being_written: JobState = JobState.OPEN
 
-    # One bit for each done task, the lowest of each byte first.
+    # A bitmap of the done tasks, with the least significant bit of each byte first.
     done_bits: bytearray = field(init=False)
     done_count: int = 0
     pending_tasks: deque[int] = field(init=False)
@@ -84,18 +84,18 @@
     allocations: "dict[int, Allocation]" = field(default_factory=dict)
     allocation_counts: dict[int, int] = field(default_factory=dict)
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
-    # Tasks that heartbeats list as running.
+    # Number of tasks that heartbeats list as running.
     running_count: int = 0
 
-    # Machines on which it failed recently, which it avoids, and when it failed last.
+    # Machines on which the job failed recently, which it avoids, and the time of its last failure.
     failed_machines: set[str] = field(default_factory=set)
     last_failure_at: timedelta = ZERO
-    # No task is started before `retry_at`; `backoff` is the last pause.
+    # No task is started before `retry_at`; `backoff` is the last delay.
     retry_at: timedelta = ZERO
     backoff: timedelta = ZERO
 
     def __post_init__(self, policy: JobPolicy) -> None:
-        """Derive what follows from the specification and the policy; all tasks are pending."""
+        """Initialize the fields derived from the specification and the policy; all tasks are pending."""
         spec = self.spec
         self.id = spec.id
         self.is_service = spec.form == SERVICE
@@ -119,7 +119,7 @@
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
-            # The record of an ended job is never deleted, so the bits of its tasks are not kept in it.
+            # Done jobs are never removed, so the bitmap of their tasks is dropped.
             self.done_bits = bytearray()
 
     def is_done(self, task: int) -> bool:
@@ -127,7 +127,7 @@
         return self.state is JobState.DONE or bool(self.done_bits[task >> 3] & (1 << (task & 7)))
 
     def mark_done(self, task: int) -> bool:
-        """Mark a task as done; return False if it was done before or can't be done."""
+        """Mark a task as done; return False if it already is, is a replica, or does not exist."""
         if self.is_service or not 0 <= task < self.task_count or self.is_done(task):
             return False
         self.done_bits[task >> 3] |= 1 << (task & 7)
@@ -135,7 +135,7 @@
         return True
 
     def rebuild_pending_tasks(self) -> None:
-        """Find the pending tasks, after the done tasks and the allocations were loaded."""
+        """Recompute the pending tasks after the done tasks and the allocations have been loaded."""
         self.pending_tasks = deque(
             task for task in range(self.task_count) if task not in self.allocation_counts and not self.is_done(task)
         )
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -1,4 +1,4 @@
-"""Makes jobs from their specifications, with the deadlines and the urgency that placement orders them by."""
+"""Creates jobs from their specifications, with the deadlines and the urgency that determine placement order."""
 
 from datetime import UTC, datetime, timedelta
 from typing import Any
@@ -15,12 +15,12 @@
     """The service-level objectives of each class of jobs."""
 
     def __init__(self, objectives: list[Objective]) -> None:
-        """Objectives without a class, or of kinds that set no time, are left out."""
-        # Times within which jobs are to end.
+        """Index `objectives` by class, leaving out those without a class or of a kind that sets no time or factor."""
+        # Target times for the completion of jobs.
         self._end_times_s: dict[str, list[float]] = {}
-        # How many times its own deadline a job may take at the latest.
+        # The latest completion of a job, as a multiple of its own deadline.
         self._deadline_factors: dict[str, float] = {}
-        # Times within which a replica is to be started.
+        # Target times for the start of replicas.
         self._start_times_s: dict[str, float] = {}
         for objective in objectives:
             if objective.job_class:
@@ -35,14 +35,14 @@
         elif objective.kind == "deadline" and objective.times:
             self._deadline_factors[job_class] = max(objective.times, self._deadline_factors.get(job_class, 1.0))
 
-    def time_s(self, spec: JobSpec) -> float:
-        """Return the time to the start of a service, or to the end of a batch; 0 if there is none."""
+    def target_time_s(self, spec: JobSpec) -> float:
+        """Return the target time for the start of a service or the completion of a batch job; 0 if there is none."""
         if spec.form == SERVICE:
             return self._start_times_s.get(spec.job_class, 0.0)
         return min(self._end_times_s.get(spec.job_class, [0.0]))
 
     def latest_deadline_factor(self, spec: JobSpec) -> float:
-        """Return how many times its deadline a job may take once that can't be met."""
+        """Return the multiple of its deadline that applies to a job once the deadline can't be met."""
         if spec.deadline_s:
             return self._deadline_factors.get(spec.job_class, 1.0)
         times_s = self._end_times_s.get(spec.job_class, [0.0])
@@ -50,10 +50,10 @@
 
 
 class JobFactory:
-    """Makes jobs from submissions and from stored records."""
+    """Creates jobs from submissions and from stored records."""
 
     def __init__(self, cluster: ClusterSettings, operators: Operators, features: ActiveFeatures) -> None:
-        """`operators` give deadlines and urgency; `features` the form of records of done tasks."""
+        """Take deadlines and urgency from `operators`, and the format of done-task records from `features`."""
         self._features = features
         self._operators = operators
         value_kb = cluster.store.strictest().value_kb
@@ -62,7 +62,7 @@
         self._objectives = ClassObjectives(cluster.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Return an open job, submitted at `submitted_at` by this process's clock; `submission_time` is now if None."""
+        """Create an open job; `submitted_at` is by this process's clock, `submission_time` defaults to now."""
         tasks_per_chunk = self._tasks_per_chunk
         if self._features.is_active(Feature.DONE_BITMAPS):
             tasks_per_chunk = self._tasks_per_bitmap_chunk
@@ -73,7 +73,7 @@
         return JobPolicy(
             self._operators.deadline(variables),
             self._objectives.latest_deadline_factor(spec),
-            # Replicas have no end to be late with: they are urgent whatever the operators say.
+            # Services never complete, so no deadline can make them urgent: they always are, whatever the operators say.
             spec.form == SERVICE or self._operators.urgent(variables),
         )
 
@@ -90,7 +90,7 @@
             "ram_gb": spec.ram_gb,
             "expected_s": spec.expected_run_time_s,
             "due_s": spec.deadline_s or 0.0,
-            "objective_s": self._objectives.time_s(spec),
+            "objective_s": self._objectives.target_time_s(spec),
             "saves": spec.makes_checkpoints,
             "spot": spec.spot,
         }
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -1,11 +1,11 @@
-"""Worker leases: by when a machine that can't be reached is guaranteed to have ended its tasks."""
+"""Worker leases: the time by which an unreachable machine is guaranteed to have ended its tasks."""
 
 from datetime import timedelta
 
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.common.clock import at_least, seconds
 
-# Allowed for a worker to end its tasks once its lease has expired.
+# Time allowed for a worker to end its tasks after its lease has expired.
 STOP_TIME = seconds(0.5)
 
 
@@ -20,8 +20,8 @@
     def expires_by(self, machine: Machine) -> timedelta:
         """Return the latest time at which the machine's lease can expire, if no response reaches it from now on.
 
-        An earlier leader may have renewed it for as long as that leader's own lease lasted. For a machine
-        that has sent no heartbeat to this leader, the time is counted from there.
+        An earlier leader may have renewed it until that leader's own lease ended. For a machine that has sent
+        no heartbeat to this leader, the worker lease is counted from there.
         """
         if machine.last_response_at is None:
             return self._unconfirmed_until
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -17,10 +17,10 @@
 class MachineState(Enum):
     """The state of a machine, as far as the leader knows it."""
 
-    BOOTING = auto()  # provided by the cloud, has sent no heartbeat yet
-    UNCONFIRMED = auto()  # may hold what the store says; has sent no heartbeat to this term
+    BOOTING = auto()  # provisioned by the cloud, has sent no heartbeat yet
+    UNCONFIRMED = auto()  # may run its stored assignments; has sent no heartbeat in this term
     UP = auto()
-    DELETING = auto()  # its deletion is requested until the cloud confirms it
+    DELETING = auto()  # its deletion is requested repeatedly until the cloud confirms it
     DELETED = auto()
 
 
@@ -33,30 +33,30 @@
 }
 
 
-# How long a new leader counts on unconfirmed machines: about as long as they need for a heartbeat.
+# How long a new leader counts unconfirmed machines as capacity: about the time until their first heartbeat.
 FIRST_HEARTBEAT_GRACE = seconds(8)
 
 
 class InstanceKind(msgspec.Struct, frozen=True):
-    """What an instance request names: a machine type in a zone, as spot or on-demand instance."""
+    """The kind of instance that a request asks for: a machine type in a zone, as spot or on-demand instance."""
 
     machine_type: str
     zone: str
     spot: bool
 
     def __str__(self) -> str:
-        """Return the kind as log lines name it."""
+        """Return the kind as it appears in log lines."""
         return f"{self.machine_type} in {self.zone}{' (spot)' if self.spot else ''}"
 
 
 class HeartbeatId(NamedTuple):
-    """What identifies a heartbeat of a machine; a later heartbeat compares as greater."""
+    """Identifies a heartbeat of a machine; a later heartbeat compares as greater."""
 
     incarnation: int
     sequence: int
 
 
-# Older than every heartbeat.
+# Compares as less than the ID of every heartbeat.
 NO_HEARTBEAT = HeartbeatId(0, 0)
 
 
@@ -73,65 +73,65 @@
     machine_type: str = field(init=False)
     zone: str = field(init=False)
     spot: bool = field(init=False)
-    # By its type, 0 while that is not known.
+    # Set from its type; these defaults apply while the type is not known.
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
     image_fetch_gb_per_s: float = 1.0
     price_per_hour: float = 0.0
-    # Whether the cloud's list has named it.
+    # Whether the cloud's machine list has ever included it.
     was_listed: bool = False
 
-    # Allocations by attempt, and what they take.
+    # Allocations by attempt, and the resources that they use.
     allocations: "dict[int, Allocation]" = field(default_factory=dict)
     cpus_used: float = 0.0
     gpus_used: float = 0.0
     memory_gb_used: float = 0.0
-    # CPUs that urgent jobs take, and those that replicas of services take, for autoscaling.
+    # CPUs used by urgent jobs, and CPUs used by replicas of services, for autoscaling.
     urgent_cpus: float = 0.0
     service_cpus: float = 0.0
-    # Allocations by job, and the bytes that the machine's stored record takes at most.
+    # Number of allocations by job, and the maximum size of the machine's stored record.
     task_counts: dict[str, int] = field(default_factory=dict)
     record_bytes: int = 0
-    # Attempts that completed; the worker is to remove them once the completions are durable.
+    # Attempts whose completion is not durable yet; the worker is told to remove them once it is.
     uncommitted_completions: set[int] = field(default_factory=set)
     # Images in its cache, with their sizes in GB.
     cached_images: dict[str, float] = field(default_factory=dict)
 
-    # The last heartbeat, and when it came.
+    # The last heartbeat, and when it was received.
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
     last_heartbeat_at: timedelta | None = None
     incarnation_since: timedelta = field(init=False)
     # The incarnation whose lease has expired: its heartbeats are ignored.
     expired_incarnation: int = 0
-    # Its heartbeat is overdue: it may hang or be dead, so it gets nothing new.
+    # Its heartbeat is overdue: it may be hung or down, so it gets no new tasks.
     heartbeat_overdue: bool = False
-    # Its whole zone seems to be cut off: its capacity is not counted, but the machine is kept for a while.
+    # Its whole zone seems to be unreachable: its capacity is not counted, but the machine is kept for a while.
     zone_unreachable: bool = False
     last_response_at: timedelta | None = None
-    # Its last heartbeat came on a connection on which our response to the one before had arrived.
+    # Whether its last heartbeat came on a connection on which the response to the previous one had arrived.
     receives_responses: bool = False
-    # Since when there is evidence that our responses get lost. Heartbeats alone do not prove that commands
-    # arrive, so the machine gets nothing new until its heartbeats show that responses do.
+    # Since when there is evidence that responses to the machine get lost. Heartbeats alone do not prove that
+    # commands arrive, so the machine gets no new tasks until its heartbeats show that responses do.
     responses_lost_since: timedelta | None = None
-    # Starts in a row that were sent and did not arrive.
+    # Number of consecutive start commands that were sent and did not arrive.
     undelivered_starts: int = 0
 
     idle_since: timedelta = field(init=False)
-    # When the cloud is going to take back a spot instance.
+    # When the cloud is going to interrupt the spot instance.
     interruption_at: timedelta | None = None
     in_deferrable_pool: bool = False
     # Draining: gets tasks only where no other machine has room.
     draining: bool = False
     draining_since: timedelta | None = None
-    # Kept in reserve for services that may use no spot instance: not deleted when idle.
+    # Kept in reserve for services that may not run on spot instances: not deleted when idle.
     reserved: bool = False
     failures_by_job: dict[str, int] = field(default_factory=dict)
-    # Considered faulty: gets nothing new.
+    # Considered faulty: gets no new tasks.
     quarantined: bool = False
 
     def __post_init__(self) -> None:
-        """Unpack the kind; the machine is idle from `first_seen_at` on."""
+        """Copy the fields of the kind; the machine is idle from `first_seen_at` on."""
         self.machine_type = self.kind.machine_type
         self.zone = self.kind.zone
         self.spot = self.kind.spot
@@ -159,7 +159,7 @@
 
     @property
     def price_per_core(self) -> float:
-        """The price of a CPU for an hour, 0 while the type is not known."""
+        """The price per CPU and hour, 0 while the type is not known."""
         return self.price_per_hour / self.cpus if self.cpus else 0.0
 
     @property
@@ -168,7 +168,7 @@
         return self.state in (MachineState.UP, MachineState.UNCONFIRMED)
 
     def is_silent(self, now: timedelta, term_began_at: timedelta) -> bool:
-        """Return whether the machine has sent the present leader no heartbeat for longer than it should."""
+        """Return whether the current leader has received no heartbeat from the machine for longer than expected."""
         if self.state is MachineState.UNCONFIRMED:
             return now - max(self.first_seen_at, term_began_at) > FIRST_HEARTBEAT_GRACE
         return self.heartbeat_overdue
--- a/src/elmthread/cluster/machine_deletion.py
+++ b/src/elmthread/cluster/machine_deletion.py
@@ -1,4 +1,4 @@
-"""Why machines are deleted, and the request for it."""
+"""Requests for the deletion of machines, and the reasons for them."""
 
 import logging
 from enum import StrEnum
@@ -24,7 +24,7 @@
 
 
 def request_deletion(machine: Machine, reason: DeletionReason) -> None:
-    """Request the deletion of the machine, unless that was done before."""
+    """Request the deletion of the machine, unless it has been requested already."""
     if machine.state in (MachineState.DELETING, MachineState.DELETED):
         return
     log.info("deleting machine %s: %s", machine.name, reason)
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -26,7 +26,7 @@
     mean: float = 0.0
 
     def add(self, value: float) -> None:
-        """Take in the logarithm of one ratio; recent values weigh more."""
+        """Add the logarithm of one ratio; recent values weigh more."""
         self.count += 1
         weight = max(NEWEST_WEIGHT, 1 / self.count)
         self.mean += weight * (value - self.mean)
@@ -36,24 +36,24 @@
     """Corrects the owners' estimates by the run times that were observed in this term."""
 
     def __init__(self) -> None:
-        """Start without observations: estimates stay as they are."""
+        """Start without observations, so estimates are not corrected."""
         self._classes: dict[str, _LogRatioMean] = {}
         self._all = _LogRatioMean()
 
     def record(self, job_class: str, expected_s: float, ran: timedelta) -> None:
-        """Record the run time of a finished task with its owner's estimate."""
+        """Record the run time of a finished task and its owner's estimate."""
         ratio = max(ran.total_seconds(), MIN_RUN_TIME_S) / max(expected_s, MIN_RUN_TIME_S)
         value = math.log(min(max(ratio, MIN_RUN_TIME_RATIO), MAX_RUN_TIME_RATIO))
         self._classes.setdefault(job_class, _LogRatioMean()).add(value)
         self._all.add(value)
 
     def correction(self, job_class: str) -> float:
-        """Return the factor by which the class's tasks run longer than their owners expect."""
+        """Return the factor that corrects the estimates of the class; 1 without enough observations."""
         mean = self._classes.get(job_class)
         if mean is None or mean.count < MIN_TASKS:
             mean = self._all
         return math.exp(mean.mean) if mean.count >= MIN_TASKS else 1.0
 
     def expected(self, job: Job) -> timedelta:
-        """Return how long a task of the job is expected to run: its owner's estimate, corrected."""
+        """Return the expected run time of a task of the job: its owner's estimate, corrected."""
         return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction(job.spec.job_class))
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -1,4 +1,4 @@
-"""The leader's state in memory: all jobs, machines and allocations, and the counts that follow from them."""
+"""The leader's in-memory state: all jobs, machines and allocations, and the resource counts derived from them."""
 
 from collections.abc import Callable, Iterator
 from datetime import timedelta
@@ -26,7 +26,7 @@
 
 
 class ClusterState:
-    """All jobs and machines, with counts of what the allocations use by machine, job, zone and team."""
+    """All jobs and machines, with the resource usage of allocations by machine, job, zone and team."""
 
     def __init__(self, max_record_bytes: int, empty_record_bytes: Callable[[Machine], int] = lambda machine: 0) -> None:
         """Start empty; a machine's record may take `max_record_bytes`, and takes `empty_record_bytes` without tasks."""
@@ -39,7 +39,7 @@
         self.gpus_by_team: dict[str, float] = {}
         self.max_record_bytes = max_record_bytes
         self._empty_record_bytes = empty_record_bytes
-        # Whether the last scheduling round left tasks without room.
+        # Whether the last scheduling round left tasks unplaced.
         self.has_waiting_tasks = False
 
     def add_machine(self, machine: Machine) -> None:
@@ -48,7 +48,7 @@
         machine.record_bytes = self._empty_record_bytes(machine)
 
     def record_bytes_left(self, machine: Machine) -> int:
-        """Return the bytes that more assignments may take; below 0 where larger values were allowed once."""
+        """Return the bytes left for more assignments; negative if the limit on values has been lowered since."""
         return self.max_record_bytes - machine.record_bytes
 
     def add_job(self, job: Job) -> None:
@@ -66,12 +66,12 @@
         self.deleted_machines[machine.name] = now
 
     def close_job(self, job: Job, state: JobState) -> None:
-        """Move an open job to the state in which it ends."""
+        """Move an open job to a final state."""
         job.transition_to(state)
         self.open_jobs.pop(job.id, None)
 
     def allocate(self, machine: Machine, job: Job, task: int, attempt: int, state: AllocationState) -> Allocation:
-        """Return a new allocation, with its resources counted."""
+        """Create an allocation and count its resources."""
         allocation = Allocation(job, task, attempt, machine, state)
         machine.allocations[attempt] = allocation
         job.allocations[attempt] = allocation
@@ -79,7 +79,7 @@
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation whose task is proven to be off the machine; a task without another one is pending."""
+        """Release an allocation whose task is proven to be off the machine; without another, the task is pending."""
         machine, job, task = allocation.machine, allocation.job, allocation.task
         del machine.allocations[allocation.attempt]
         del job.allocations[allocation.attempt]
@@ -87,7 +87,7 @@
         if allocation.state is AllocationState.RUNNING:
             job.running_count -= 1
         if not machine.allocations:
-            # Sums of fractions may not come back to exactly 0.
+            # Floating-point sums may not return to exactly 0.
             machine.cpus_used = machine.gpus_used = machine.memory_gb_used = 0.0
             machine.urgent_cpus = machine.service_cpus = 0.0
             machine.idle_since = now
@@ -100,7 +100,7 @@
             self.release(allocation, now)
 
     def _count(self, allocation: Allocation, sign: int) -> None:
-        """Add what the allocation takes to all counts, or subtract it: `sign` is 1 or -1."""
+        """Add the allocation's resources to all counts, or subtract them: `sign` is 1 or -1."""
         machine, job, spec = allocation.machine, allocation.job, allocation.job.spec
         cpus, gpus = sign * spec.cpus, sign * spec.gpus
         machine.cpus_used += cpus
@@ -121,7 +121,7 @@
         _change_count(job.allocation_counts, allocation.task, sign)
 
     def is_newer_heartbeat(self, machine_name: str, incarnation: int, sequence: int) -> bool:
-        """Return whether the machine sent that heartbeat after all that this leader has received from it."""
+        """Return whether the heartbeat is newer than all that this leader has received from the machine."""
         machine = self.machines.get(machine_name)
         return machine is not None and (incarnation, sequence) > machine.last_heartbeat_id
 
@@ -131,7 +131,7 @@
 
 
 def _change_count(counts: dict[K, int], key: K, change: int) -> int:
-    """Change a count, which is removed when it comes to 0, and return it."""
+    """Change a count and return it; a count of 0 is removed."""
     count = counts.get(key, 0) + change
     if count:
         counts[key] = count
--- a/src/elmthread/cluster/tests/test_health.py
+++ b/src/elmthread/cluster/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Faulty machines and faulty jobs, distinguished by where tasks fail and where they run."""
+"""Faulty machines and faulty jobs are told apart by where tasks fail and where they run."""
 
 from datetime import UTC, datetime
 
@@ -10,10 +10,10 @@
 from elmthread.cluster.machine import InstanceKind, Machine, MachineState
 from elmthread.cluster.state import ClusterState
 from elmthread.common.clock import ZERO, seconds
-from tests.world.specs import job as wire
+from tests.world.specs import job as submission_body
 
 
-class Bench:
+class HealthFixture:
     def __init__(self) -> None:
         self.cluster = ClusterState(100)
         self.attempt = 0
@@ -24,12 +24,12 @@
         return machine
 
     def job(self, number: int, tasks: int = 100) -> Job:
-        spec = read_submission(wire(number, pieces=tasks))
+        spec = read_submission(submission_body(number, pieces=tasks))
         job = Job(spec, datetime.now(UTC), ZERO, JobPolicy(seconds(100), 1.0, False), 64)
         self.cluster.add_job(job)
         return job
 
-    def runs(self, job: Job, machine: Machine) -> None:
+    def start_running(self, job: Job, machine: Machine) -> None:
         self.attempt += 1
         allocation = self.cluster.allocate(
             machine, job, job.pending_tasks.popleft(), self.attempt, AllocationState.COMMITTED
@@ -39,12 +39,12 @@
 
 
 def test_large_job_that_fails_on_faulty_machines_is_not_delayed() -> None:
-    """Its first tasks fail at once on the faulty machines, long before any is done on the others."""
-    bench = Bench()
-    job = bench.job(1)
+    """Its first tasks fail immediately on the faulty machines, long before any is done on the others."""
+    fixture = HealthFixture()
+    job = fixture.job(1)
     for number in range(10, 40):
-        bench.runs(job, bench.machine(number))
-    faulty = [bench.machine(number) for number in range(4)]
+        fixture.start_running(job, fixture.machine(number))
+    faulty = [fixture.machine(number) for number in range(4)]
     for _ in range(4):
         for machine in faulty:
             health.record_failure(machine, job, seconds(5))
@@ -54,25 +54,25 @@
 
 
 def test_faulty_job_backs_off_and_quarantines_no_machine() -> None:
-    bench = Bench()
-    job = bench.job(1)
-    machines = [bench.machine(number) for number in range(6)]
-    now, pauses = seconds(1), []
+    fixture = HealthFixture()
+    job = fixture.job(1)
+    machines = [fixture.machine(number) for number in range(6)]
+    now, delays = seconds(1), []
     for machine in machines:
-        # Many of its tasks fail together, which counts once.
+        # Tasks that fail at the same time cause one backoff.
         for _ in range(8):
             health.record_failure(machine, job, now)
-        pauses.append(job.retry_at - now)
+        delays.append(job.retry_at - now)
         now = max(now, job.retry_at) + seconds(1)
-    assert pauses[2:] == [MIN_BACKOFF, MIN_BACKOFF * 2, MIN_BACKOFF * 4, MIN_BACKOFF * 8]
+    assert delays[2:] == [MIN_BACKOFF, MIN_BACKOFF * 2, MIN_BACKOFF * 4, MIN_BACKOFF * 8]
     assert not any(machine.quarantined for machine in machines)
 
 
-def test_a_job_that_failed_on_all_machines_is_tried_again() -> None:
-    bench = Bench()
-    job = bench.job(1)
+def test_job_that_failed_on_all_machines_is_retried() -> None:
+    fixture = HealthFixture()
+    job = fixture.job(1)
     for number in range(3):
-        health.record_failure(bench.machine(number), job, seconds(1))
+        health.record_failure(fixture.machine(number), job, seconds(1))
     health.release_avoided_machines(job, seconds(30))
     assert len(job.failed_machines) == 3
     health.release_avoided_machines(job, seconds(62))
@@ -80,29 +80,29 @@
 
 
 def test_failures_of_two_jobs_quarantine_the_machine() -> None:
-    bench = Bench()
-    machine = bench.machine(1)
-    health.record_failure(machine, bench.job(1), seconds(1))
+    fixture = HealthFixture()
+    machine = fixture.machine(1)
+    health.record_failure(machine, fixture.job(1), seconds(1))
     assert not machine.quarantined
-    health.record_failure(machine, bench.job(2), seconds(1))
+    health.record_failure(machine, fixture.job(2), seconds(1))
     assert machine.quarantined
 
 
 def test_replica_is_restarted_at_once_after_a_steady_run_and_with_backoff_after_short_ones() -> None:
-    bench = Bench()
-    job, machine = bench.job(1, tasks=2), bench.machine(1)
-    pauses = []
+    fixture = HealthFixture()
+    job, machine = fixture.job(1, tasks=2), fixture.machine(1)
+    delays = []
     now = seconds(0)
     for _ in range(8):
-        bench.runs(job, machine)
+        fixture.start_running(job, machine)
         allocation = next(iter(job.allocations.values()))
         allocation.started_at = now
         health.record_replica_end(allocation, now + seconds(1))
-        pauses.append((job.retry_at - now).total_seconds() - 1)
-        bench.cluster.release(allocation, now)
+        delays.append((job.retry_at - now).total_seconds() - 1)
+        fixture.cluster.release(allocation, now)
         now = job.retry_at
-    assert pauses[:4] == [2, 4, 8, 16] and max(pauses) == 120
-    bench.runs(job, machine)
+    assert delays[:4] == [2, 4, 8, 16] and max(delays) == 120
+    fixture.start_running(job, machine)
     allocation = next(iter(job.allocations.values()))
     allocation.started_at = now
     health.record_replica_end(allocation, now + STEADY_RUN_TIME)
