--- a/src/elmthread/persistence/__init__.py
+++ b/src/elmthread/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state: records made of the cluster state, and the state rebuilt from them by a new leader."""
+"""Durable state: writes the cluster state as records, and rebuilds it from them in a new leader."""
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -1,4 +1,4 @@
-"""Makes assignments durable, and lets heartbeats wait for that."""
+"""Makes assignments durable, and lets heartbeat handlers wait for that."""
 
 import asyncio
 from datetime import timedelta
@@ -16,11 +16,11 @@
     """Makes planned allocations durable; only then may their starts be sent."""
 
     def __init__(self, context: TermContext) -> None:
-        """`context` is that of the term in which the tasks are assigned."""
+        """Record the assignments of the term of `context`."""
         self._writer = context.writer
         self._features = context.features
-        # Set once assignments are durable for which a heartbeat waits, by machine.
-        self._waiting: dict[str, asyncio.Event] = {}
+        # By machine for which a heartbeat handler waits: set once new assignments are durable.
+        self._durable_events: dict[str, asyncio.Event] = {}
 
     def assign(self, machine: Machine) -> None:
         """Make the machine's new allocations durable; after that, their starts may be sent."""
@@ -36,24 +36,24 @@
 
     async def wait_for(self, machine: Machine, timeout: timedelta) -> None:
         """Wait until assignments of the machine have become durable, or until `timeout` has passed."""
-        event = self._waiting.setdefault(machine.name, asyncio.Event())
+        event = self._durable_events.setdefault(machine.name, asyncio.Event())
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 await event.wait()
         except TimeoutError:
             pass
         finally:
-            if self._waiting.get(machine.name) is event:
-                del self._waiting[machine.name]
+            if self._durable_events.get(machine.name) is event:
+                del self._durable_events[machine.name]
 
     def _mark_committed(self, machine: Machine, planned: list[Allocation]) -> None:
-        """Mark the allocations that the written record holds; later ones are in a later record."""
+        """Mark the allocations in the written record as committed; newer ones are part of a later record."""
         for allocation in planned:
             if (
                 allocation.state is AllocationState.PLANNED
                 and machine.allocations.get(allocation.attempt) is allocation
             ):
                 allocation.transition_to(AllocationState.COMMITTED)
-        event = self._waiting.get(machine.name)
+        event = self._durable_events.get(machine.name)
         if event is not None:
             event.set()
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -12,7 +12,7 @@
 
 
 def make_job_record(job: Job) -> Any:
-    """Return the job's record for a write that starts now, and keep which state it holds."""
+    """Return the job's record for a write that starts now, and remember which state is being written."""
     job.state_being_written = job.state
     return job_record(job)
 
@@ -21,13 +21,13 @@
     """Records done tasks; workers may remove them, and users see the job as done, only once that is durable."""
 
     def __init__(self, context: TermContext) -> None:
-        """`context` is that of the term in which the tasks ended."""
+        """Record the completions of the term of `context`."""
         self._cluster = context.cluster
         self._writer = context.writer
         self._features = context.features
 
     def record(self, job: Job, task: int, on_durable: Callable[[], None]) -> None:
-        """Record that a task is done; `on_durable` is called once that is in the store."""
+        """Record that a task is done; `on_durable` is called once the record is in the store."""
         if job.done_count == job.task_count:
             self._record_end(job, on_durable)
             return
@@ -50,7 +50,7 @@
         )
 
     def _mark_durable(self, job: Job, on_durable: Callable[[], None]) -> None:
-        """Mark the job's end as durable; it replaces the records of done tasks, which are deleted."""
+        """Mark the job's end as durable, and delete the records of its done tasks, which it supersedes."""
         job.durable_state = job.state_being_written
         on_durable()
         for chunk in range((job.task_count + job.tasks_per_chunk - 1) // job.tasks_per_chunk):
--- a/src/elmthread/persistence/layout_migration.py
+++ b/src/elmthread/persistence/layout_migration.py
@@ -1,4 +1,4 @@
-"""Migration from the earlier layout of the store, in which each record had a key of its own."""
+"""Migration from the earlier layout of the store, in which each record had its own key."""
 
 from collections.abc import Sequence
 from functools import partial
@@ -18,10 +18,10 @@
         self._remaining = 0
 
     def start(self, items: Sequence[messages.KeyValue]) -> None:
-        """Queue the writes; without any, the layout record at once."""
+        """Queue the writes; if there are none, write the layout record immediately."""
         self._remaining = len(items)
         for item in items:
-            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_same, item.value), self._finish_one)
+            self._writer.write(item.key, WritePriority.MAINTENANCE, partial(_identity, item.value), self._finish_one)
         if not items:
             self._write_layout()
 
@@ -34,5 +34,5 @@
         self._writer.write(records.LAYOUT_KEY, WritePriority.MAINTENANCE, lambda: records.PAGES_LAYOUT)
 
 
-def _same(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -31,30 +31,30 @@
 RETRY_PAUSE = seconds(0.2)
 # Keys in one read of the store.
 READ_PAGE_SIZE = 400
-# Records loaded before the event loop runs other work: lease renewals must not wait for a large load.
-RECORDS_PER_TURN = 100
+# Records loaded before yielding to the event loop: lease renewals must not wait for a large load.
+RECORDS_PER_YIELD = 100
 
 
-class JobMaker(Protocol):
-    """Makes a job from its specification."""
+class JobCreator(Protocol):
+    """Creates a job from its specification."""
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Return the job, submitted at `submitted_at` by the clock and `submission_time` by the calendar."""
+        """Create the job, submitted at `submitted_at` by the monotonic and `submission_time` by the wall clock."""
 
 
 class CompatibilityLevel(Protocol):
-    """The level of the stored forms, before which nothing else may be read."""
+    """The compatibility level of the stored records, which must be read before any other record."""
 
     @property
     def supported(self) -> SupportedLevels:
-        """The levels whose forms this process reads."""
+        """The levels whose formats this process reads."""
 
     @property
     def enabled(self) -> bool:
-        """Whether the records of the level are read; the fence always is."""
+        """Whether the records of the level are read; the fence is always read."""
 
     def load(self, items: Iterable[messages.KeyValue], packed_records: Mapping[str, Any], /) -> None:
-        """Read the level and the fence. Raises an error for a level that this process does not read."""
+        """Read the level and the fence. Raises an error for a level that this process does not support."""
 
 
 class StateLoader:
@@ -63,7 +63,7 @@
     def __init__(
         self,
         context: TermContext,
-        factory: JobMaker,
+        factory: JobCreator,
         catalog: MachineTypeCatalog,
         completions: CompletionRecorder,
         level: CompatibilityLevel,
@@ -83,8 +83,8 @@
 
     async def load(self) -> None:
         """Rebuild the state. Raises UnreadableRecordError, which names the key."""
-        view = await self._read_view()
-        await self._load_records(view)
+        newest_records = await self._read_newest_records()
+        await self._load_records(newest_records)
         if self._types:
             self._catalog.replace(self._types.values())
         for job in list(self._cluster.open_jobs.values()):
@@ -98,19 +98,19 @@
             len(self._cluster.machines),
         )
 
-    async def _read_view(self) -> dict[str, Any]:
-        """Return the newest version of each record."""
+    async def _read_newest_records(self) -> dict[str, Any]:
+        """Return the newest version of each record, by key."""
         level = await self._read_all(records.ROLLOUT_PREFIX) if self._level.enabled else []
         pages = await self._read_all(PAGE_PREFIX)
-        view = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
-        # Nothing else may be interpreted on a level that this process does not read.
-        self._level.load(level, view)
-        view.pop(records.COMPATIBILITY_FENCE_KEY, None)
-        if records.LAYOUT_KEY not in view:
-            await self._migrate_earlier_layout(view)
-        return view
-
-    async def _load_records(self, view: dict[str, Any]) -> None:
+        newest_records = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
+        # No other record may be interpreted if this process does not support the level.
+        self._level.load(level, newest_records)
+        newest_records.pop(records.COMPATIBILITY_FENCE_KEY, None)
+        if records.LAYOUT_KEY not in newest_records:
+            await self._migrate_earlier_layout(newest_records)
+        return newest_records
+
+    async def _load_records(self, newest_records: dict[str, Any]) -> None:
         readers: tuple[tuple[str, Callable[[str, Any], None]], ...] = (
             (records.JOB_PREFIX, self._load_job),
             (records.DONE_TASKS_PREFIX, self._load_done_tasks),
@@ -121,7 +121,7 @@
         )
         count = 0
         for prefix, read in readers:
-            for key, value in view.items():
+            for key, value in newest_records.items():
                 if not key.startswith(prefix):
                     continue
                 try:
@@ -129,11 +129,11 @@
                 except (msgspec.MsgspecError, ValueError) as error:
                     raise UnreadableRecordError(f"{key}: {error}") from error
                 count += 1
-                if count % RECORDS_PER_TURN == 0:
+                if count % RECORDS_PER_YIELD == 0:
                     await asyncio.sleep(0)
 
-    async def _migrate_earlier_layout(self, view: dict[str, Any]) -> None:
-        """Pack the records that an earlier version wrote under keys of their own into pages."""
+    async def _migrate_earlier_layout(self, newest_records: dict[str, Any]) -> None:
+        """Move records that an earlier version wrote under their own keys into pages."""
         migration = LayoutMigration(self._writer)
         found = [
             item
@@ -144,16 +144,16 @@
                 records.MACHINE_TYPE_PREFIX,
             )
             for item in await self._read_all(prefix)
-            if item.key not in view
+            if item.key not in newest_records
         ]
-        view.update((item.key, item.value) for item in found)
+        newest_records.update((item.key, item.value) for item in found)
         migration.start(found)
 
     async def _read_all(self, prefix: str) -> list[messages.KeyValue]:
         return (await read_prefix(self._read_page, prefix, READ_PAGE_SIZE)).items
 
     async def _read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
-        """Return one page, requested until the key-value store responds."""
+        """Return one page, retrying until the key-value store responds."""
         while True:
             try:
                 return await self._store.read_page(prefix, after, page_size)
@@ -165,7 +165,7 @@
         record = msgspec.convert(value, records.JobRecord)
         state = JobState(record.state)
         if record.spec is None:
-            spec = _finished_spec(key.removeprefix(records.JOB_PREFIX), record.tasks)
+            spec = _placeholder_spec(key.removeprefix(records.JOB_PREFIX), record.tasks)
             policy = JobPolicy(deadline=ZERO, slack=1.0, urgent=False)
             job = Job(spec, datetime.now(UTC), self._clock(), policy, MAX_TASKS_PER_CHUNK)
         else:
@@ -189,7 +189,7 @@
             self._writer.delete(key)
 
     def _discard_instance_request(self, key: str, value: Any) -> None:
-        # The machine list shows whether it was carried out; its name is never used again.
+        # The cloud's machine list shows whether the request was fulfilled; its name is never reused.
         self._writer.delete(key)
 
     def _load_types(self, key: str, value: Any) -> None:
@@ -211,8 +211,8 @@
                     self._cluster.allocate(machine, job, task, attempt, AllocationState.UNCONFIRMED)
 
 
-def _finished_spec(job_id: str, tasks: int) -> JobSpec:
-    """Return a specification for a finished job, of which only its end is kept."""
+def _placeholder_spec(job_id: str, tasks: int) -> JobSpec:
+    """Return a placeholder specification for a done job, whose record no longer contains one."""
     return JobSpec(
         id=job_id,
         job_class="-",
--- a/src/elmthread/persistence/records.py
+++ b/src/elmthread/persistence/records.py
@@ -1,4 +1,4 @@
-"""Jobs and machines of the cluster's state as stored records, in the newest form that every controller reads."""
+"""Converts jobs and machines to stored records, in the newest format that every controller reads."""
 
 import msgspec
 
@@ -12,9 +12,9 @@
 
 
 def job_record(job: Job) -> JobRecord:
-    """Return the job's record."""
+    """Return the stored record of a job."""
     if job.state is JobState.DONE:
-        # Never deleted, so it is kept small.
+        # The record of a done job is never deleted, so it is kept small.
         return JobRecord(job.state.value, job.task_count)
     spec = job.spec
     if job.state is JobState.CANCELLED:
@@ -26,9 +26,9 @@
 
 
 def done_record(job: Job, chunk: int, features: ActiveFeatures) -> DoneRecord | DoneBitmapRecord:
-    """Return the done tasks of a chunk."""
-    low = chunk * job.tasks_per_chunk // 8
-    marks = bytes(job.done_bits[low : low + job.tasks_per_chunk // 8])
+    """Return the stored record of the done tasks of a chunk."""
+    first_byte = chunk * job.tasks_per_chunk // 8
+    marks = bytes(job.done_bits[first_byte : first_byte + job.tasks_per_chunk // 8])
     if not features.is_active(Feature.DONE_BITMAPS):
         return DoneRecord(marks.hex())
     from elmthread.store import bitmaps  # its library is loaded only where it is used
@@ -37,24 +37,24 @@
 
 
 def mark_done(job: Job, chunk: int, record: DoneRecord | DoneBitmapRecord) -> None:
-    """Mark the done tasks of a chunk. Raises ValueError for what is no bitmap of such a chunk."""
-    low = chunk * job.tasks_per_chunk
+    """Mark the done tasks of a chunk. Raises ValueError if the record is not a valid bitmap of the chunk."""
+    first_task = chunk * job.tasks_per_chunk
     for task in done_tasks(record, job.tasks_per_chunk):
-        job.mark_done(low + task)
+        job.mark_done(first_task + task)
 
 
 def machine_record(machine: Machine, features: ActiveFeatures) -> MachineRecord | AssignmentRunsRecord:
-    """Return the machine's assignments, in the smaller of the forms that every controller reads."""
+    """Return the record of the machine's assignments, in the smaller of the formats that every controller reads."""
     pairs = _pairs_record(machine)
     if not features.is_active(Feature.ASSIGNMENT_RUNS) or not pairs.holds:
         return pairs
     runs = as_runs(pairs)
-    # Placement counts a machine's record in the first form: no record may be larger than that.
+    # Placement computes the size of a machine's record as pairs, so no record may be larger than that.
     return runs if len(json_text(runs)) < len(json_text(pairs)) else pairs
 
 
 def empty_machine_record_bytes(machine: Machine) -> int:
-    """Return the bytes of a page that a machine's record takes at most before anything is assigned to it."""
+    """Return the maximum size in a page of the record of a machine without assignments."""
     record = MachineRecord(machine.machine_type, machine.zone, True, True, {"": []})
     return record_bytes(machine_key(machine.name), json_text(record))
 
--- a/src/elmthread/persistence/tests/test_records.py
+++ b/src/elmthread/persistence/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Both stored forms of assignments, against the plain list of tasks and attempts."""
+"""Both stored formats of assignments preserve the list of tasks and attempts."""
 
 from typing import Any
 
@@ -14,11 +14,11 @@
 from elmthread.store.machine_records import AssignmentRunsRecord, MachineRecord, read_machine
 from elmthread.store.pages import json_text
 
-BEFORE = SupportedLevels(1, 1)
+LEVEL_1 = SupportedLevels(1, 1)
 
 
-class Assigned:
-    """The part of an allocation that the record is made from."""
+class FakeAllocation:
+    """Stands in for an allocation, with the fields that the record is made from."""
 
     def __init__(self, job_id: str, task: int, attempt: int) -> None:
         self.job = type("Job", (), {"id": job_id})
@@ -28,12 +28,12 @@
 def machine_with(assigned: list[tuple[str, int, int]]) -> Machine:
     machine = Machine("m-000001", InstanceKind("small", "east", True), MachineState.UP, ZERO)
     machine.in_deferrable_pool = True
-    for one in assigned:
-        machine.allocations[one[2]] = Assigned(*one)  # type: ignore[assignment]
+    for assignment_fields in assigned:
+        machine.allocations[assignment_fields[2]] = FakeAllocation(*assignment_fields)  # type: ignore[assignment]
     return machine
 
 
-def level(number: int) -> ActiveFeatures:
+def features_at_level(number: int) -> ActiveFeatures:
     features = ActiveFeatures()
     features.raise_level(number)
     return features
@@ -55,21 +55,21 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True, database=None)
 @given(st.lists(runs, max_size=8), st.integers(1, 10**6))
-def test_assignments_survive_both_forms_and_the_second_takes_no_more_bytes(
-    found: list[Any], fencing_token: int
+def test_assignments_survive_both_formats_and_the_second_takes_no_more_bytes(
+    generated: list[Any], fencing_token: int
 ) -> None:
     assigned: dict[int, tuple[str, int, int]] = {}
     attempt = fencing_token * 10_000_000
-    for job_id, first, count, term in found:
+    for job_id, first, count, term in generated:
         for step in range(count):
             attempt += 1
             number = attempt + term * 10_000_000
             assigned[number] = (job_id, first + step, number)
     machine = machine_with(list(assigned.values()))
-    old, new = machine_record(machine, level(1)), machine_record(machine, level(2))
+    old, new = machine_record(machine, features_at_level(1)), machine_record(machine, features_at_level(2))
     assert isinstance(old, MachineRecord)
     assert len(json_text(new)) <= len(json_text(old))
-    for record, supported in ((old, BEFORE), (old, SUPPORTED), (new, SUPPORTED)):
+    for record, supported in ((old, LEVEL_1), (old, SUPPORTED), (new, SUPPORTED)):
         read = read_machine(msgspec.to_builtins(record), supported)
         assert assignments_in(read) == set(assigned.values())
         assert (read.machine_type, read.zone, read.spot, read.pool) == ("small", "east", True, True)
@@ -77,15 +77,15 @@
 
 def test_tasks_placed_together_take_one_run() -> None:
     machine = machine_with([("run-000001", 40 + n, 7_000_000_100 + n) for n in range(50)])
-    record = machine_record(machine, level(2))
+    record = machine_record(machine, features_at_level(2))
     assert isinstance(record, AssignmentRunsRecord) and record.runs == {"run-000001": [40, 0, 50]}
-    # A version without support for the form rejects it, and does not treat the machine as empty.
+    # A version that does not support the format rejects it, and does not treat the machine as empty.
     with pytest.raises(ValueError):
-        read_machine(msgspec.to_builtins(record), BEFORE)
+        read_machine(msgspec.to_builtins(record), LEVEL_1)
 
 
 @pytest.mark.parametrize("numbers", [[1, 2], [0, 0, 0], [0, 0, -3], [-1, 0, 2], [0, -1, 2], [0, 0, 10**7], ["a", 0, 1]])
-def test_numbers_that_are_no_run_are_rejected(numbers: list[Any]) -> None:
+def test_numbers_that_are_not_a_run_are_rejected(numbers: list[Any]) -> None:
     value = {"type": "small", "zone": "east", "spot": True, "base": 5, "runs": {"run-000001": numbers}}
     with pytest.raises(ValueError):
         read_machine(value, SUPPORTED)
