--- a/src/elmthread/common/__init__.py
+++ b/src/elmthread/common/__init__.py
@@ -1,1 +1,1 @@
-"""What all parts share: HTTP, clocks, states, load, logs."""
+"""Shared by all packages: clocks, errors, gated features, logging, overload control, state machines."""
--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -1,4 +1,4 @@
-"""Monotonic time as timedelta, and the allowance for clocks that drift apart."""
+"""Monotonic time as timedelta, and the allowance for clock drift between machines."""
 
 import time
 from collections.abc import Callable
@@ -7,25 +7,25 @@
 Clock = Callable[[], timedelta]
 
 ZERO = timedelta()
-# Clocks of two machines differ by at most 0.05%; twice that covers both directions.
-DRIFT = 0.001
+# The clock rates of two machines differ by at most 0.05%; twice that covers both directions.
+DRIFT_ALLOWANCE = 0.001
 
 
 def steady() -> timedelta:
-    """Return the time since an arbitrary moment, by this machine's monotonic clock."""
+    """Return the time since an arbitrary reference point, by this machine's monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
 
 def seconds(value: float) -> timedelta:
-    """Return a time span of so many seconds."""
+    """Return a time span of `value` seconds."""
     return timedelta(seconds=value)
 
 
 def at_most(span: timedelta) -> timedelta:
-    """Return the span that, measured here, surely ends before `span` has passed on another clock."""
-    return span * (1 - DRIFT)
+    """Shorten `span` so that, measured here, it surely ends before `span` has passed on another machine's clock."""
+    return span * (1 - DRIFT_ALLOWANCE)
 
 
 def at_least(span: timedelta) -> timedelta:
-    """Return how long to wait here until the span has surely passed on another clock."""
-    return span * (1 + DRIFT)
+    """Extend `span` so that, measured here, it ends only after `span` has passed on another machine's clock."""
+    return span * (1 + DRIFT_ALLOWANCE)
--- a/src/elmthread/common/errors.py
+++ b/src/elmthread/common/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that the package defines."""
+"""The base class of all errors that the package defines."""
 
 
 class ElmthreadError(Exception):
-    """Base of all errors of the package; subclasses name the fault and carry its values."""
+    """Base class of all errors of the package; subclasses name the failure and carry its values."""
--- a/src/elmthread/common/features.py
+++ b/src/elmthread/common/features.py
@@ -1,8 +1,8 @@
 """The registry of gated features, and which of them are active.
 
-A compatibility level is an integer. Each feature that changes a stored form, a message between
+A compatibility level is an integer. Each feature that changes a stored format, a message between
 controllers or a decision belongs to one level, and is used only once that level is active. Code
-asks `ActiveFeatures.is_active`; it never compares version numbers.
+checks `ActiveFeatures.is_active`; it never compares version numbers.
 """
 
 import logging
@@ -13,14 +13,14 @@
 
 log = logging.getLogger(__name__)
 
-# The level of the versions without compatibility levels.
+# The level of versions that predate compatibility levels.
 FIRST_LEVEL = 1
-# A larger number is not a level but a fault.
+# Larger numbers are not valid as a level.
 LAST_LEVEL = 1_000_000
 
 
 class Feature(Enum):
-    """A feature that may be used only while all controllers have its level."""
+    """A feature that may be used only while all controllers support its level."""
 
     DONE_BITMAPS = auto()
     ASSIGNMENT_RUNS = auto()
@@ -31,12 +31,12 @@
 class ChangeKind(Enum):
     """What a feature changes."""
 
-    STORED_FORM = auto()
+    STORED_FORMAT = auto()
     MESSAGE = auto()
 
 
 class FeatureDescription(msgspec.Struct, frozen=True):
-    """What an upgrade to a feature's level brings, and what would go wrong without the gate."""
+    """What a feature changes from its level on, and how earlier versions would react to it without the gate."""
 
     level: int
     changes: ChangeKind
@@ -47,13 +47,13 @@
 REGISTRY = {
     Feature.DONE_BITMAPS: FeatureDescription(
         level=2,
-        changes=ChangeKind.STORED_FORM,
+        changes=ChangeKind.STORED_FORMAT,
         what="done tasks are stored as compressed bitmaps of up to 1,024 tasks",
         earlier_versions="miss the field `marks`, refuse the record and do not lead",
     ),
     Feature.ASSIGNMENT_RUNS: FeatureDescription(
         level=2,
-        changes=ChangeKind.STORED_FORM,
+        changes=ChangeKind.STORED_FORMAT,
         what="a machine's assignments are stored as runs of tasks with consecutive attempts",
         earlier_versions="miss the field `build`, refuse the record and do not lead",
     ),
@@ -73,17 +73,17 @@
 
 
 class SupportedLevels(msgspec.Struct, frozen=True, order=True):
-    """The levels whose forms one process can read and write, from the lowest to the highest."""
+    """The levels whose formats a process can read and write, from the lowest to the highest."""
 
     lowest: int
     highest: int
 
     def __contains__(self, level: int) -> bool:
-        """Return whether the level's forms can be read and written."""
+        """Return whether the level's formats can be read and written."""
         return self.lowest <= level <= self.highest
 
     def reads(self, feature: Feature) -> bool:
-        """Return whether the feature's forms can be read."""
+        """Return whether the feature's formats can be read."""
         return REGISTRY[feature].level <= self.highest
 
 
@@ -91,12 +91,12 @@
 
 
 class ActiveFeatures:
-    """The active level as far as this process knows it. It only ever rises, as the stored level does."""
+    """The active level as known to this process. Like the stored level, it never decreases."""
 
     def __init__(self) -> None:
-        """Begin with the first level, which is active everywhere."""
+        """Start at the first level, which is active everywhere."""
         self._level = FIRST_LEVEL
-        self._changed: list[Callable[[], None]] = []
+        self._callbacks: list[Callable[[], None]] = []
 
     @property
     def level(self) -> int:
@@ -104,18 +104,18 @@
         return self._level
 
     def is_active(self, feature: Feature) -> bool:
-        """Return whether the feature's forms may be written and sent now."""
+        """Return whether the feature's formats may be written and sent now."""
         return self._level >= REGISTRY[feature].level
 
-    def on_change(self, call: Callable[[], None]) -> None:
-        """Call back after each rise of the level."""
-        self._changed.append(call)
+    def on_change(self, callback: Callable[[], None]) -> None:
+        """Register a callback for each increase of the level."""
+        self._callbacks.append(callback)
 
     def raise_level(self, level: int) -> None:
-        """Note that the level is active; a level that is lower than the known one changes nothing."""
+        """Record that the level is active; a level that is not above the known one changes nothing."""
         if level <= self._level:
             return
         self._level = level
         log.info("compatibility level %s is in use here", level)
-        for call in self._changed:
-            call()
+        for callback in self._callbacks:
+            callback()
--- a/src/elmthread/common/logs.py
+++ b/src/elmthread/common/logs.py
@@ -1,4 +1,4 @@
-"""Logging to standard error, at the level that LOG_LEVEL names."""
+"""Logging to standard error, at the level set by the environment variable LOG_LEVEL."""
 
 import logging
 import os
@@ -8,10 +8,10 @@
 
 
 def configure() -> None:
-    """Log to standard error, at the level that the environment variable `LOG_LEVEL` names."""
+    """Set up logging to standard error, at the level set by the environment variable `LOG_LEVEL`."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
     logging.basicConfig(stream=sys.stderr, level=level, format="%(levelname)s %(name)s %(message)s")
-    # Looking up the thread and the process costs time for each line; there is only one of each.
+    # Looking up the thread and the process costs time for each log line, and there is only one of each.
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
--- a/src/elmthread/common/states.py
+++ b/src/elmthread/common/states.py
@@ -1,4 +1,4 @@
-"""State machines: a named state changes along a table of allowed transitions."""
+"""State machines, whose transitions are checked against a table of allowed ones."""
 
 import logging
 from collections.abc import Mapping
@@ -13,7 +13,7 @@
 
 
 class TransitionError(ElmthreadError):
-    """A state may not change like that: a fault in the program."""
+    """A state transition that is not allowed: a bug in the program."""
 
 
 def transition(name: str, table: Mapping[S, frozenset[S]], old: S, new: S) -> S:
@@ -21,6 +21,6 @@
     if new is old:
         return old
     if new not in table[old]:
-        raise TransitionError(f"{name}: {old.name} -> {new.name}")
+        raise TransitionError(f"{name}: state transition {old.name} -> {new.name} is not allowed")
     log.debug("%s: %s -> %s", name, old.name, new.name)
     return new
