--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from elmthread.common.clock import at_least, at_most, seconds
+from elmthread.common.clock import at_least, shorten_for_drift, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import Platform
@@ -52,7 +52,8 @@
     """Return how long workers may be answered on a lease that is no longer certain."""
     workers = platform.cluster.workers
     return max(
-        seconds(0), min(at_most(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD)
+        seconds(0),
+        min(shorten_for_drift(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD),
     )
 
 
