--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -26,6 +26,6 @@
     return span * (1 - DRIFT_ALLOWANCE)
 
 
-def at_least(span: timedelta) -> timedelta:
+def extend_for_drift(span: timedelta) -> timedelta:
     """Extend `span` so that, measured here, it ends only after `span` has passed on another machine's clock."""
     return span * (1 + DRIFT_ALLOWANCE)
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from elmthread.common.clock import ZERO, Clock, at_least, shorten_for_drift, seconds
+from elmthread.common.clock import ZERO, Clock, extend_for_drift, shorten_for_drift, seconds
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
@@ -133,7 +133,7 @@
 
     def failover_delay(self, worker_lease: timedelta) -> timedelta:
         """Return how long after an election a silent machine may still keep what an earlier leader gave it."""
-        return at_least(self.settings.grace_period + worker_lease) + seconds(1)
+        return extend_for_drift(self.settings.grace_period + worker_lease) + seconds(1)
 
     def observe_term(self, fencing_token: int, leader: str | None) -> None:
         """Note a term that another controller or a worker knows of; a newer one ends this node's own."""
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from elmthread.common.clock import at_least, shorten_for_drift, seconds
+from elmthread.common.clock import extend_for_drift, shorten_for_drift, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import Platform
@@ -53,7 +53,10 @@
     workers = platform.cluster.workers
     return max(
         seconds(0),
-        min(shorten_for_drift(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD),
+        min(
+            shorten_for_drift(workers.cancellation_time) - extend_for_drift(workers.lease) - CANCEL_SLACK,
+            MAX_GRACE_PERIOD,
+        ),
     )
 
 
