--- a/src/elmthread/common/features.py
+++ b/src/elmthread/common/features.py
@@ -16,7 +16,7 @@
 # The level of versions that predate compatibility levels.
 FIRST_LEVEL = 1
 # Larger numbers are not valid as a level.
-LAST_LEVEL = 1_000_000
+MAX_VALID_LEVEL = 1_000_000
 
 
 class Feature(Enum):
