--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -54,6 +54,6 @@
             mean = self._all
         return math.exp(mean.mean) if mean.count >= MIN_TASKS else 1.0
 
-    def expected(self, job: Job) -> timedelta:
+    def expected_run_time(self, job: Job) -> timedelta:
         """Return the expected run time of a task of the job: its owner's estimate, corrected."""
         return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction(job.spec.job_class))
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -29,7 +29,7 @@
 
 
 class SameRunTime(RunTimeModel):
-    def expected(self, job: Job) -> timedelta:
+    def expected_run_time(self, job: Job) -> timedelta:
         return RUN
 
 
