--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -47,7 +47,7 @@
         self._classes.setdefault(job_class, _LogRatioMean()).add(value)
         self._all.add(value)
 
-    def correction(self, job_class: str) -> float:
+    def correction_factor(self, job_class: str) -> float:
         """Return the factor that corrects the estimates of the class; 1 without enough observations."""
         mean = self._classes.get(job_class)
         if mean is None or mean.count < MIN_TASKS:
@@ -56,4 +56,4 @@
 
     def expected_run_time(self, job: Job) -> timedelta:
         """Return the expected run time of a task of the job: its owner's estimate, corrected."""
-        return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction(job.spec.job_class))
+        return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction_factor(job.spec.job_class))
