--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -22,7 +22,7 @@
         # By machine for which a heartbeat handler waits: set once new assignments are durable.
         self._durable_events: dict[str, asyncio.Event] = {}
 
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         """Make the machine's new allocations durable; after that, their starts may be sent."""
         planned = [
             allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -24,7 +24,7 @@
 
 
 class NoAssignments:
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         pass
 
 
