--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -34,7 +34,7 @@
             partial(self._mark_committed, machine, planned),
         )
 
-    async def wait_for(self, machine: Machine, timeout: timedelta) -> None:
+    async def wait_until_durable(self, machine: Machine, timeout: timedelta) -> None:
         """Wait until assignments of the machine have become durable, or until `timeout` has passed."""
         event = self._durable_events.setdefault(machine.name, asyncio.Event())
         try:
