--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -11,7 +11,7 @@
 DRIFT_ALLOWANCE = 0.001
 
 
-def monotonic_time() -> timedelta:
+def steady_clock() -> timedelta:
     """Return the time since an arbitrary reference point, by this machine's monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -6,7 +6,7 @@
 
 from elmthread.api.node import ApiNode
 from elmthread.api.routes import RequestRouter
-from elmthread.common.clock import Clock, monotonic_time
+from elmthread.common.clock import Clock, steady_clock
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.common.overload import OverloadControl
 from elmthread.leader import Leader, NodeServices
@@ -47,7 +47,7 @@
 class ControllerEnvironment(msgspec.Struct, frozen=True):
     """What a controller runs on; tests replace parts of it."""
 
-    clock: Clock = monotonic_time
+    clock: Clock = steady_clock
     # None: the endpoints of the platform.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -4,7 +4,7 @@
 import sys
 import time
 
-from elmthread.common.clock import monotonic_time
+from elmthread.common.clock import steady_clock
 from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.net.http_client import HttpClient
 from elmthread.rollout.activation import Activate, plan_activation
@@ -22,7 +22,7 @@
 def run(platform: Platform, settings: RolloutSettings) -> int:
     """Print the state of the rollout; return 1 where it can't be read."""
     client = KeyValueStore(
-        HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, monotonic_time)
+        HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady_clock)
     )
     try:
         view = read_view(asyncio.run(read_records(client)).items)
