--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -21,7 +21,7 @@
     return timedelta(seconds=value)
 
 
-def shorten_for_drift(span: timedelta) -> timedelta:
+def reduce_for_drift(span: timedelta) -> timedelta:
     """Shorten `span` so that, measured here, it surely ends before `span` has passed on another machine's clock."""
     return span * (1 - DRIFT_ALLOWANCE)
 
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from elmthread.common.clock import ZERO, Clock, extend_for_drift, shorten_for_drift, seconds
+from elmthread.common.clock import ZERO, Clock, extend_for_drift, reduce_for_drift, seconds
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
@@ -107,7 +107,7 @@
         if self.holds_lease():
             return True
         since = max(self._lease_certain_until, self._no_later_term_at)
-        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + shorten_for_drift(self.settings.grace_period):
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + reduce_for_drift(self.settings.grace_period):
             self.step_down(StepDownReason.GRACE_PERIOD_OVER)
         return self.role is Role.LEASE_UNCERTAIN
 
@@ -250,7 +250,7 @@
 
     def _extend_lease(self, sent_at: timedelta) -> None:
         """Count the lease from when the request that was answered was sent."""
-        until = sent_at + shorten_for_drift(self.settings.ttl) - RESPONSE_MARGIN
+        until = sent_at + reduce_for_drift(self.settings.ttl) - RESPONSE_MARGIN
         self._lease_certain_until = max(self._lease_certain_until, until)
 
     async def _keep_lease(self, lease_id: int) -> None:
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from elmthread.common.clock import extend_for_drift, shorten_for_drift, seconds
+from elmthread.common.clock import extend_for_drift, reduce_for_drift, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import Platform
@@ -54,7 +54,7 @@
     return max(
         seconds(0),
         min(
-            shorten_for_drift(workers.cancellation_time) - extend_for_drift(workers.lease) - CANCEL_SLACK,
+            reduce_for_drift(workers.cancellation_time) - extend_for_drift(workers.lease) - CANCEL_SLACK,
             MAX_GRACE_PERIOD,
         ),
     )
