--- a/src/elmthread/workers/commands.py
+++ b/src/elmthread/workers/commands.py
@@ -36,7 +36,7 @@
 
     def commands_for(self, machine: Machine) -> list[Command]:
         """Return stops and then starts; unwanted allocations whose start was never sent are released."""
-        leads = self._term.holds_lease()
+        has_lease = self._term.holds_lease()
         stops: list[Command] = []
         starts: list[Command] = []
         now = self._clock()
@@ -55,7 +55,7 @@
                 self._release_unsent(allocation, now)
             elif allocation.stop_mode is not None:
                 stops.append(StopCommand(name, allocation.attempt, _grace_s(allocation)))
-            elif state is AllocationState.COMMITTED and leads and not unwanted:
+            elif state is AllocationState.COMMITTED and has_lease and not unwanted:
                 allocation.start_sent = True
                 starts.append(StartCommand(name, allocation.attempt))
         return stops + starts
@@ -80,7 +80,7 @@
         self._events.notify_changed()
 
 
-def removals(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
+def removal_commands(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
     """Return commands to remove the exited tasks, except those whose completions are not durable yet."""
     return [
         RemoveCommand(task.name, task.attempt) for task in exited if task.attempt not in machine.uncommitted_completions
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -118,7 +118,7 @@
     return heartbeat
 
 
-class Sender(
+class HeartbeatHeader(
     msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
     """The fields that identify a heartbeat, the only ones that a node which does not lead decodes."""
