--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -1,4 +1,4 @@
-"""The cloud's API: typed calls, which count against its rate."""
+"""A typed client for the cloud's API, which limits the rate of calls."""
 
 import logging
 from collections.abc import Callable
@@ -33,16 +33,19 @@
 
 
 class CloudClient:
-    """Calls the cloud. Callers check `rate_limit` before each call."""
+    """Calls the cloud's API. Callers take a token from `rate_limit` before each call."""
 
     def __init__(
         self, caller: HttpCaller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
     ) -> None:
-        """`may_change` is checked right before each changing call is sent, as the cloud does no fencing."""
+        """Create a client that checks `may_change` right before it sends a mutating call.
+
+        The check stands in for fencing, which the cloud's API lacks.
+        """
         self._caller = caller
         self._may_change = may_change
         self.rate_limit = rate_limit
-        # How far the cloud's list may lag behind.
+        # Maximum staleness of the cloud's list of machines.
         self.list_lag = list_lag
 
     async def machine_types(self) -> list[MachineType]:
@@ -50,7 +53,7 @@
         return _read(await self._call("GET", "/flavors"), messages.MachineTypeList).types
 
     async def request_instances(self, name: str, kind: InstanceKind, count: int) -> list[str]:
-        """Return the names of the machines given, at most `count`. Raises NoCapacityError and CloudError."""
+        """Return the names of the machines provisioned, at most `count`. Raises NoCapacityError and CloudError."""
         body = messages.ProvisioningBody(
             name, kind.machine_type, kind.zone, kind.spot, min(count, MAX_INSTANCES_PER_REQUEST)
         )
@@ -63,7 +66,7 @@
         await self._call("POST", "/hosts/delete", body, self._may_change)
 
     async def list_page(self, after: str | None) -> messages.ListPage:
-        """Return the page of the list that follows the machine `after`. Raises CloudError."""
+        """Return the page of the list after the machine `after`, or the first page. Raises CloudError."""
         since = "" if after is None else f"&since={after}"
         return _read(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
--- a/src/elmthread/machines/deletion.py
+++ b/src/elmthread/machines/deletion.py
@@ -17,12 +17,12 @@
 
 
 class Deleter:
-    """Deletes the machines whose deletion was requested, many with one call."""
+    """Deletes the machines whose deletion was requested, in batches."""
 
     def __init__(
         self, context: TermContext, cloud: CloudClient, provisioner: Provisioner, inventory: Inventory
     ) -> None:
-        """`provisioner` and `inventory` are notified of deleted machines."""
+        """Create a deleter that notifies `provisioner` and `inventory` of deleted machines."""
         self._cluster = context.cluster
         self._writer = context.writer
         self._events = context.events
@@ -33,7 +33,7 @@
         self._in_progress: set[str] = set()
 
     def next_batch(self) -> list[str]:
-        """Return the machines that the next call is to delete."""
+        """Return the names of the machines to delete with the next call."""
         return [
             machine.name
             for machine in self._cluster.machines.values()
@@ -41,11 +41,11 @@
         ][:MAX_DELETIONS_PER_CALL]
 
     def start(self, names: list[str]) -> None:
-        """Mark the machines as being deleted, so that the next batch leaves them out."""
+        """Exclude the machines from further batches while the call that deletes them is in progress."""
         self._in_progress.update(names)
 
     async def delete(self, names: list[str]) -> None:
-        """Delete the machines; after an error they are in the next batch again."""
+        """Delete the machines; if the call fails, the next batch includes them again."""
         try:
             await self._cloud.delete(names)
         except (CloudError, NoCapacityError) as error:
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -1,4 +1,4 @@
-"""Failure detection: finds overdue, lost and faulty machines, and releases what expired worker leases held."""
+"""Failure detection: finds overdue, lost and faulty machines, and releases allocations after worker leases expire."""
 
 import logging
 from datetime import timedelta
@@ -13,24 +13,24 @@
 
 log = logging.getLogger(__name__)
 
-# In durations of the worker lease.
+# The following times are multiples of the worker lease duration.
 # A machine without a heartbeat for this long gets no new tasks.
 HEARTBEAT_OVERDUE_LEASES = 0.4
-# A machine without a heartbeat for this long, while hardly any others are silent, is most likely dead. If it
-# holds replicas it is deleted, as they can be restarted once the deletion is confirmed, before the lease
-# expires; this is worth deleting a few machines that only hang.
+# A machine without a heartbeat for this long, while few others are silent, is most likely dead. If it runs
+# service replicas, it is deleted early: they can be restarted once the deletion is confirmed, which is before
+# the lease expires. This is worth the loss of a few machines that only hang.
 PROBABLY_DEAD_LEASES = 0.6
 # A machine that has not received responses for this long is deleted.
 RESPONSES_LOST_LEASES = 3
-# Machines in a zone that seems to be cut off are not deleted for missing heartbeats this much longer, as
-# they may be back sooner than others would boot.
+# Added to the boot and heartbeat timeouts of machines in a zone that appears unreachable, as they may be
+# reachable again sooner than replacements would boot.
 ZONE_OUTAGE_ALLOWANCE = seconds(90)
 # An interrupted machine is deleted this long before the cloud reclaims it: its tasks have been stopped by then.
 INTERRUPTION_MARGIN = seconds(1)
-# A machine may take this many times the boot time of its type, plus the margin.
+# The boot timeout is this multiple of the boot time of the machine's type, plus the margin.
 BOOT_TIMEOUT_FACTOR = 2.5
 BOOT_TIMEOUT_MARGIN = seconds(10)
-# For a machine whose type is not known.
+# The boot timeout of a machine whose type is not known.
 DEFAULT_BOOT_TIMEOUT = seconds(300)
 
 
@@ -45,7 +45,7 @@
         zones: ZoneHealth,
         list_lag: timedelta,
     ) -> None:
-        """`zones` says which zones seem to be cut off; `list_lag` is how far the cloud's list may lag behind."""
+        """Create a detector; `zones` tells unreachable zones, `list_lag` is how stale the cloud's list can be."""
         self._cluster = context.cluster
         self._events = context.events
         self._clock = context.clock
@@ -56,7 +56,7 @@
         self._lost_after = leases.duration + list_lag * 2
 
     def check(self) -> None:
-        """Note overdue heartbeats, release what expired leases held, and have failed machines deleted."""
+        """Mark overdue machines, release allocations of expired leases, and request deletion of failed machines."""
         now = self._clock()
         if self._zones.find_unreachable():
             self._events.notify_changed()
@@ -71,7 +71,7 @@
                 and machine.responses_lost_since is None
                 and not machine.quarantined
             ):
-                # The usual case: healthy.
+                # Fast path: the machine is healthy.
                 machine.heartbeat_overdue = False
             else:
                 self._check_machine(machine, now)
@@ -93,7 +93,7 @@
             request_deletion(machine, reason)
 
     def _deletion_reason(self, machine: Machine, now: timedelta, allowance: timedelta) -> DeletionReason | None:
-        """Return why a machine that has booted is to be deleted, None if it is not."""
+        """Return the reason to delete a machine that has booted, or None to keep it."""
         lease = self._leases.duration
         lost_since = machine.responses_lost_since
         silence = self._leases.time_since_heartbeat(machine, now)
@@ -122,7 +122,7 @@
         return seconds(machine_type.boot_s) * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN
 
     def _release_expired(self, machine: Machine, now: timedelta) -> None:
-        """Release the allocations of a machine whose worker lease has expired by now at the latest."""
+        """Release the allocations of the machine if its worker lease is certain to have expired."""
         if machine.allocations and now > self._leases.expires_by(machine):
             log.info("the worker lease of machine %s has expired; its tasks are released", machine.name)
             machine.expired_incarnation = machine.last_heartbeat_id.incarnation
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -1,7 +1,7 @@
 """Reconciliation of the known machines with the cloud's list.
 
-The list lags, and can be older than the one before it, so a machine missing from it may still exist: one that
-several lists leave out and that sends no heartbeats is deleted explicitly.
+The list is eventually consistent and can be older than the previous one, so a machine missing from it may still
+exist. A machine that is missing from several lists and sends no heartbeats is deleted explicitly.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-# A machine that this many consecutive lists leave out is deleted, if it sends no heartbeats either.
+# A machine missing from this many consecutive lists is deleted if it sends no heartbeats either.
 MAX_MISSED_LISTS = 3
-# Of the calls that the cloud allows, at most one in this many reads the list.
+# At most one in this many calls within the cloud's rate limit reads the list.
 CALLS_PER_LIST_CALL = 3
 
 
@@ -28,22 +28,22 @@
     """Reconciles the cluster's machines with the cloud's list."""
 
     def __init__(self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog) -> None:
-        """`catalog` gives sizes to machines that were not known before."""
+        """Create an inventory that takes the sizes of adopted machines from `catalog`."""
         self._cluster = context.cluster
         self._term = context.term
         self._clock = context.clock
         self._cloud = cloud
         self._catalog = catalog
-        # The number of consecutive lists that left a machine out, by its name.
+        # By machine name: the number of consecutive lists that the machine was missing from.
         self._missed_lists: dict[str, int] = {}
 
     def refresh_interval(self) -> timedelta:
-        """Return how often the list is to be read, as its lag and the cloud's rate allow."""
+        """Return the interval between reads of the list, given its lag and the cloud's rate limit."""
         pages = 1 + len(self._cluster.machines) // MAX_MACHINES_PER_PAGE
         return max(self._cloud.list_lag / 2, seconds(CALLS_PER_LIST_CALL * pages / self._cloud.rate_limit.rate))
 
     async def refresh(self) -> None:
-        """Read the whole list and reconcile with it; the caller has taken its first call from the rate limit."""
+        """Read all pages of the list and reconcile with it; the caller has taken the token for the first page."""
         machines: list[ListedMachine] = []
         after = None
         try:
@@ -62,7 +62,7 @@
             self.reconcile(machines)
 
     def reconcile(self, machines: list[ListedMachine]) -> None:
-        """Adopt machines that are not known yet, and have those deleted that failed or are gone."""
+        """Adopt unknown machines, and request the deletion of failed and missing ones."""
         now = self._clock()
         listed_names = set()
         for listed in machines:
@@ -74,7 +74,7 @@
                 self._observe_missing(machine, now)
 
     def forget(self, name: str) -> None:
-        """Forget a machine that is gone."""
+        """Drop the missed lists of a deleted machine."""
         self._missed_lists.pop(name, None)
 
     def _observe(self, listed: ListedMachine, now: timedelta) -> None:
@@ -84,7 +84,7 @@
         machine.was_listed = True
         self._missed_lists.pop(listed.name, None)
         if listed.state == InstanceState.FAILED:
-            # Its tasks may still run; only the response to its deletion proves that they ended.
+            # Its tasks may still run; only the response to its deletion proves that they have ended.
             request_deletion(machine, DeletionReason.LISTED_AS_FAILED)
 
     def _observe_missing(self, machine: Machine, now: timedelta) -> None:
@@ -94,7 +94,7 @@
             request_deletion(machine, DeletionReason.NOT_LISTED)
 
     def _adopt(self, listed: ListedMachine, now: timedelta) -> Machine:
-        """Add a machine that an earlier leader requested, or a request whose response was lost."""
+        """Add a machine that was requested by an earlier leader, or by a request whose response was lost."""
         state = MachineState.BOOTING if listed.state == InstanceState.STARTING else MachineState.UNCONFIRMED
         machine = Machine(listed.name, InstanceKind(listed.machine_type, listed.zone, listed.spot), state, now)
         machine.first_seen_at = now - seconds(listed.age_s)
--- a/src/elmthread/machines/machine_type_updater.py
+++ b/src/elmthread/machines/machine_type_updater.py
@@ -1,4 +1,4 @@
-"""Reads the cloud's machine types regularly, and stores them for the next leader."""
+"""Updates the machine types from the cloud, and stores them for the next leader."""
 
 import logging
 from functools import partial
@@ -16,7 +16,7 @@
     """Keeps the catalog up to date with the cloud."""
 
     def __init__(self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog) -> None:
-        """`catalog` may hold the types that were loaded from the store."""
+        """Create an updater of `catalog`, which may already hold the types loaded from the store."""
         self._writer = context.writer
         self._cloud = cloud
         self._catalog = catalog
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -1,4 +1,4 @@
-"""The loop that paces all calls to the cloud, and the interface for requesting and deleting machines."""
+"""The loop that starts all calls to the cloud, and the interface for requesting and deleting machines."""
 
 import asyncio
 import logging
@@ -24,17 +24,17 @@
 
 PASS_INTERVAL = seconds(0.2)
 FAILURE_CHECK_INTERVAL = seconds(0.5)
-# A process that was suspended for this long has unread heartbeats, which are handled for a while before
-# machines are checked for missing ones.
+# After the process was suspended for this long, heartbeats that arrived meanwhile are still unread. They are
+# handled for CATCH_UP_TIME before machines are checked for missing heartbeats.
 PROCESS_STALL = seconds(1.5)
 CATCH_UP_TIME = seconds(1)
 TYPES_REFRESH_INTERVAL = seconds(60)
-# While no type is known, as no task can be placed until then.
+# While no machine type is known, as no task can be placed until then.
 TYPES_RETRY_INTERVAL = seconds(2)
 
 
 class MachineManager:
-    """Runs failure detection, and starts calls to the cloud within its rate, the most urgent first."""
+    """Runs failure detection, and starts calls to the cloud within its rate limit, the most urgent first."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         leases: WorkerLeases,
         zones: ZoneHealth,
     ) -> None:
-        """`zones` says which zones seem to be cut off: machines there are kept for longer."""
+        """Create a manager that keeps machines longer in zones that are unreachable according to `zones`."""
         self._clock = context.clock
         self._term = context.term
         self._rate_limit = cloud.rate_limit
@@ -65,11 +65,11 @@
         return self._provisioner.requests
 
     def request_instances(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> None:
-        """Request machines of that kind."""
+        """Request `count` instances of that kind."""
         self._provisioner.request(kind, count, for_deferrable_pool)
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
-        """Return whether that kind is not to be requested now."""
+        """Return whether requests for that kind are suspended now."""
         return self._provisioner.is_unavailable(kind)
 
     def delete_machine(self, machine: Machine, reason: DeletionReason) -> None:
@@ -77,7 +77,7 @@
         request_deletion(machine, reason)
 
     async def run(self) -> None:
-        """Check the machines and start calls until cancelled."""
+        """Check the machines and start calls to the cloud until cancelled."""
         last_pass_at = self._clock()
         while True:
             now = self._clock()
@@ -108,7 +108,7 @@
         if deletions and rate_limit.take():
             self._deleter.start(deletions)
             self._start(self._deleter.delete(deletions))
-        # Before instance requests, as these could otherwise take all calls.
+        # Before instance requests, as these could otherwise use up the rate limit.
         if self._is_due(self._list_read_at, self.inventory.refresh_interval()) and rate_limit.take():
             self._list_read_at = now
             self._start(self.inventory.refresh())
--- a/src/elmthread/machines/messages.py
+++ b/src/elmthread/machines/messages.py
@@ -1,4 +1,4 @@
-"""The cloud's requests and responses, in the words of the wire."""
+"""Request and response bodies of the cloud's API, with their wire names."""
 
 from enum import StrEnum
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class InstanceState(StrEnum):
-    """States of a listed machine that the leader acts on; the values are the words of the wire."""
+    """States of a listed machine that the leader acts on; the values are those on the wire."""
 
     STARTING = "starting"
     FAILED = "failed"
@@ -22,7 +22,7 @@
 
 
 class ProvisionedMachines(msgspec.Struct, rename={"machines": "looms"}):
-    """The names of the machines that an instance request was given."""
+    """The names of the machines that were provisioned for an instance request."""
 
     machines: list[str]
 
@@ -49,7 +49,7 @@
 
 
 class ListPage(msgspec.Struct, rename={"machines": "looms", "has_more": "has_next"}):
-    """One page of the cloud's list, in the order of the names."""
+    """One page of the cloud's list, sorted by name."""
 
     machines: list[ListedMachine]
     has_more: bool = False
@@ -59,7 +59,7 @@
     msgspec.Struct,
     rename={"name": "hire", "machine_type": "build", "zone": "yard", "spot": "loaners", "count": "how_many"},
 ):
-    """An instance request; one that is repeated under the same name is carried out once."""
+    """An instance request, idempotent by its name: the cloud executes a repeated one only once."""
 
     name: str
     machine_type: str
@@ -75,6 +75,6 @@
 
 
 def encode_body(body: ProvisioningBody | DeletionBody) -> dict[str, Any]:
-    """Return the body in the words of the wire."""
+    """Return the body with its wire names."""
     fields: dict[str, Any] = msgspec.to_builtins(body)
     return fields
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -1,4 +1,4 @@
-"""Instance requests, which are durable before they are sent, and paused for kinds without capacity."""
+"""Instance requests: durable before they are sent, and paused for instance kinds without capacity."""
 
 import logging
 from collections import deque
@@ -22,7 +22,7 @@
 # doubles with each consecutive refusal.
 MIN_REFUSAL_PAUSE = seconds(40)
 MAX_REFUSAL_PAUSE = seconds(160)
-# A request whose outcome is unknown is repeated until it is this old.
+# A request whose outcome is unknown is retried until it is this old.
 MAX_REQUEST_AGE = seconds(20)
 
 
@@ -38,7 +38,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A kind of instance that the cloud had no capacity for."""
+    """The pause in requests for a kind of instance that the cloud had no capacity for."""
 
     paused_until: timedelta
     pause: timedelta
@@ -50,7 +50,7 @@
     def __init__(
         self, context: TermContext, cloud: CloudClient, catalog: MachineTypeCatalog, zones: ZoneHealth
     ) -> None:
-        """`zones` says which zones seem to be cut off: no machines are requested there."""
+        """Create a provisioner that requests nothing in zones that are unreachable according to `zones`."""
         self._cluster = context.cluster
         self._term = context.term
         self._writer = context.writer
@@ -62,7 +62,7 @@
         self._request_count = 0
         # Requests without a response yet, by name.
         self.requests: dict[str, InstanceRequest] = {}
-        # Requests that are durable and may be sent, or sent again.
+        # Durable requests that are to be sent or retried.
         self._ready: deque[InstanceRequest] = deque()
         self._refusals: dict[InstanceKind, Refusal] = {}
 
@@ -74,14 +74,14 @@
             count -= MAX_INSTANCES_PER_REQUEST
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
-        """Return whether that kind can't be requested now: its zone is cut off, or the cloud had no capacity."""
+        """Return whether requests for that kind are suspended: its zone is unreachable, or capacity was lacking."""
         if kind.zone in self._zones.unreachable or self._zones.is_in_doubt(kind.zone):
             return True
         refusal = self._refusals.get(kind)
         return refusal is not None and self._clock() < refusal.paused_until
 
     def forget_refusal(self, kind: InstanceKind) -> None:
-        """Allow requests of that kind at once, as a machine of it was deleted or provisioned."""
+        """End the pause for that kind, as a machine of it was deleted or a request fully met."""
         self._refusals.pop(kind, None)
 
     def has_ready_request(self) -> bool:
@@ -89,11 +89,11 @@
         return bool(self._ready)
 
     def take_ready_request(self) -> InstanceRequest:
-        """Return the request to `send` next."""
+        """Remove and return the request to `send` next."""
         return self._ready.popleft()
 
     async def send(self, request: InstanceRequest) -> None:
-        """Send the request, and add the machines that the cloud gives."""
+        """Send the request, and add the machines that the cloud provisions."""
         if not self._term.holds_lease():
             return
         request.sent = True
@@ -106,7 +106,7 @@
         except CloudError as error:
             log.info("instance request %s failed: %s", request.name, error)
             if self._clock() - request.requested_at < MAX_REQUEST_AGE:
-                # Repeated under the same name, it is carried out at most once.
+                # A retry is safe: requests with the same name are executed at most once.
                 self._ready.append(request)
             else:
                 self._close(request)
@@ -129,7 +129,7 @@
         return added
 
     def _create(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> None:
-        """Make a request durable before it is sent, so that its name is never used again."""
+        """Create a request and make it durable before it is sent, so that its name is never reused."""
         self._request_count += 1
         name = f"r-{self._term.fencing_token}-{self._request_count}"
         request = InstanceRequest(name, kind, count, for_deferrable_pool, self._clock())
@@ -152,7 +152,7 @@
             machine.in_deferrable_pool = request.for_deferrable_pool
 
     def _pause(self, kind: InstanceKind) -> None:
-        """Pause requests of that kind, and have others made at once."""
+        """Pause requests for that kind, and trigger autoscaling so that others are requested at once."""
         refusal = self._refusals.get(kind)
         pause = MIN_REFUSAL_PAUSE if refusal is None else min(refusal.pause * 2, MAX_REFUSAL_PAUSE)
         log.info("the cloud has no capacity for %s; none are requested for %.0f s", kind, pause.total_seconds())
--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -1,4 +1,4 @@
-"""Instance requests, lists and deletions against a stand-in for the cloud."""
+"""Instance requests, lists and deletions against a fake of the cloud's API."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class Store:
-    """A writer that is durable at once."""
+    """A record writer whose writes are durable at once."""
 
     def write(
         self,
@@ -103,7 +103,7 @@
     deleted = [body for _, path, body in cloud.calls if path == "/hosts/delete"]
     requested = [body for _, path, body in cloud.calls if path == "/hosts" and body]
     assert [len(body["looms"]) for body in deleted] == [100, 100, 100]
-    # 280 machines in requests of up to 50, each name once.
+    # 280 machines in requests of up to 50, each request with its own name.
     assert sum(body["how_many"] for body in requested) == 280 and len(requested) <= 7
     assert len({body["hire"] for body in requested}) == len(requested)
     for start in range(10):
@@ -117,20 +117,20 @@
     up, booting = add_machine(cluster, 1), add_machine(cluster, 2, MachineState.BOOTING)
     seen = ListedMachine(up.name, "small", "east", True, "running", 10.0)
     manager.inventory.reconcile([seen])
-    # New machines are missing at first, and an older list may follow a newer one.
+    # The list may lack new machines at first, and may be older than the previous one.
     manager.inventory.reconcile([])
     manager.inventory.reconcile([seen])
     for _ in range(MAX_MISSED_LISTS - 1):
         manager.inventory.reconcile([])
     assert up.state is MachineState.UP and booting.state is MachineState.BOOTING
-    # A machine that sends heartbeats runs, however many lists leave it out.
+    # A machine that sends heartbeats is kept, however many lists it is missing from.
     up.last_heartbeat_at = cloud.loop.clock()
     manager.inventory.reconcile([])
     assert up.state is MachineState.UP
     cloud.loop.now = 30.0
     manager.inventory.reconcile([])
     assert up.state.name == "DELETING"
-    # A late list that still names a deleted machine does not bring it back.
+    # A stale list that still names a deleted machine does not add it again.
     cluster.remove_machine(up, cloud.loop.clock())
     manager.inventory.reconcile([seen])
     assert up.name not in cluster.machines
@@ -141,7 +141,7 @@
 
 
 def test_after_a_stall_of_the_process_heartbeats_are_handled_before_machines_are_checked() -> None:
-    """Their heartbeats are still unread; checked at once, all machines would be deleted as silent."""
+    """Heartbeats are still unread after a stall: an immediate check would delete all machines as silent."""
     cloud, cluster, manager = machine_manager()
     machines = [add_machine(cluster, number) for number in range(50)]
 
