--- a/src/elmthread/workers/commands.py
+++ b/src/elmthread/workers/commands.py
@@ -1,8 +1,9 @@
 """The commands to a worker, derived from its machine's allocations.
 
 Commands are sent only in responses to heartbeats, never to a worker's address. A worker discards a late
-response, so a start is never executed after the worker's next heartbeat was made: if that heartbeat does not
-list the task, the task is not there. A start is sent in each response until a heartbeat lists the task.
+response, so a start command is never executed after the worker has built its next heartbeat: if that heartbeat
+does not list the task, the task is not on the machine. A start command is repeated in each response until a
+heartbeat lists the task.
 """
 
 from datetime import timedelta
@@ -28,14 +29,14 @@
     """Derives the commands for a machine from its allocations."""
 
     def __init__(self, context: TermContext) -> None:
-        """`context` is that of the term whose allocations are sent."""
+        """Create a planner for the allocations of one term."""
         self._cluster = context.cluster
         self._events = context.events
         self._term = context.term
         self._clock = context.clock
 
     def commands_for(self, machine: Machine) -> list[Command]:
-        """Return stops and then starts; unwanted allocations whose start was never sent are released."""
+        """Return stop and then start commands; release unwanted allocations whose start was never sent."""
         leads = self._term.holds_lease()
         stops: list[Command] = []
         starts: list[Command] = []
@@ -47,7 +48,7 @@
             if not job.is_open or job.is_done(allocation.task):
                 allocation.stop_mode = StopMode.KILL
             elif allocation.stop_mode is None and not is_unseen:
-                # The usual case: it runs and is to continue.
+                # Fast path: the task runs and is to continue.
                 continue
             name = messages.task_name(job.id, allocation.task)
             unwanted = _is_unwanted(allocation)
@@ -61,10 +62,10 @@
         return stops + starts
 
     def stops_of_closed_jobs(self, heartbeat: Heartbeat) -> list[Command]:
-        """Return stops of tasks whose jobs have ended, which are safe however old the heartbeat is.
+        """Return stop commands for tasks whose jobs have ended, which are safe however old the heartbeat is.
 
-        Each response renews the worker lease. If leaders changed so often that each sent nothing but its
-        fencing token, tasks of cancelled jobs would otherwise run on.
+        Each response renews the worker lease. Without these commands, tasks of cancelled jobs would run on if
+        leaders changed so often that each sent nothing but its fencing token.
         """
         stops: list[Command] = []
         for task in heartbeat.tasks:
@@ -75,7 +76,7 @@
         return stops[:MAX_COMMANDS_PER_RESPONSE]
 
     def _release_unsent(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation whose start was not sent, so that its task can't be on the machine."""
+        """Release an allocation whose start was not sent, which proves that its task is not on the machine."""
         self._cluster.release(allocation, now)
         self._events.notify_changed()
 
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -20,13 +20,13 @@
 
 log = logging.getLogger(__name__)
 
-# A response waits this long for starts that are about to become durable.
+# A response is delayed by up to this long for assignments that are about to become durable.
 ASSIGNMENT_WAIT = seconds(0.4)
 RETRY_AFTER = seconds(1)
 
 
 class HeartbeatHandler:
-    """Handles the heartbeats of one term."""
+    """Handles heartbeats during one term."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         catalog: MachineTypeCatalog,
         leases: WorkerLeases,
     ) -> None:
-        """`catalog` gives sizes to machines that were not known before; `leases` is for lost responses."""
+        """Create a handler; `catalog` gives the sizes of adopted machines, `leases` the worker lease duration."""
         self._cluster = context.cluster
         self._term = context.term
         self._clock = context.clock
@@ -48,7 +48,7 @@
         self._rejected_count = 0
 
     async def handle(self, request: Request) -> Response:
-        """Return the response to a heartbeat, which may wait a moment for new assignments."""
+        """Return the response to a heartbeat, after a short wait if new assignments are expected."""
         try:
             heartbeat = messages.read_heartbeat(decode_body(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
@@ -60,7 +60,7 @@
         if not self._term.may_answer_workers():
             return self._redirect()
         if heartbeat.machine in self._cluster.deleted_machines:
-            # Late: the cloud has confirmed the machine's deletion.
+            # A late heartbeat: the cloud has confirmed the machine's deletion.
             return retry_later(503, RETRY_AFTER, "machine is gone")
         machine = self._cluster.machines.get(heartbeat.machine) or self._adopt(heartbeat)
         heartbeat_id = HeartbeatId(heartbeat.incarnation, heartbeat.sequence)
@@ -68,8 +68,8 @@
             self._rejected_count += 1
             return retry_later(503, RETRY_AFTER, "an older report")
         if heartbeat.fencing_token < self._term.fencing_token:
-            # The first response carries this term's fencing token. After it, no earlier leader can change
-            # what the worker runs. Until then, this may be a late copy of a heartbeat to an earlier leader,
+            # The first response delivers this term's fencing token, after which no earlier leader can change
+            # what the worker runs. Until then, this may be a delayed copy of a heartbeat to an earlier leader,
             # so it does not prove that the machine is alive.
             machine.last_heartbeat_id = heartbeat_id
             return self._respond(machine, self._commands.stops_of_closed_jobs(heartbeat))
@@ -96,7 +96,7 @@
     def _respond(self, machine: Machine, commands: list[Command]) -> Response:
         machine.last_response_at = self._clock()
         body = msgspec.to_builtins(HeartbeatResponse(self._term.fencing_token, commands))
-        # Checked again right before the response is sent: no start may leave after the leader lease has expired.
+        # Checked again right before sending: no start command may be sent after the leader lease has expired.
         has_start = any(isinstance(command, StartCommand) for command in commands)
         return Response(200, body, precondition=self._term.holds_lease if has_start else self._term.may_answer_workers)
 
@@ -115,7 +115,7 @@
         return machine
 
     def _expects_assignments(self, machine: Machine) -> bool:
-        """Return whether its assignments are being made durable, or it has room and tasks are waiting."""
+        """Return whether assignments are becoming durable, or the machine has a free CPU and tasks are waiting."""
         return (machine.free_cpus >= 1.0 and self._cluster.has_waiting_tasks) or any(
             allocation.state is AllocationState.PLANNED for allocation in machine.allocations.values()
         )
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats and the commands in the responses, in the words of the wire."""
+"""Workers' heartbeats and the commands in the responses, with their wire names."""
 
 from enum import StrEnum
 from operator import attrgetter
@@ -8,17 +8,16 @@
 
 from elmthread.common.clock import seconds
 
-# Where workers send their heartbeats.
 HEARTBEAT_PATH = "/agent/beat"
-# A worker turns to another controller after this time without a response.
+# A worker sends its heartbeat to another controller after this long without a response.
 HEARTBEAT_RESPONSE_TIMEOUT = seconds(4)
-# Incarnations, sequence numbers, tokens and attempts are smaller than this.
+# Exclusive upper bound of incarnations, sequence numbers, fencing tokens and attempts.
 NUMBER_LIMIT = 1 << 64
 MAX_TASK_NUMBER_DIGITS = 7
 
 
 class TaskState(StrEnum):
-    """States of a task in a heartbeat; the values are the words of the wire."""
+    """States of a task in a heartbeat; the values are those on the wire."""
 
     FETCHING = "fetching"
     RUNNING = "running"
@@ -27,7 +26,7 @@
 
 
 class ExitReason(StrEnum):
-    """Why a task exited, as far as the leader acts on it; the values are the words of the wire."""
+    """Exit reasons of a task that the leader acts on; the values are those on the wire."""
 
     COMPLETED = "done"
     FAILED = "error"
@@ -109,19 +108,19 @@
 
 
 def read_heartbeat(body: Any) -> Heartbeat:
-    """Return the heartbeat that a decoded body holds. Raises msgspec.ValidationError."""
+    """Return the heartbeat in a decoded body. Raises msgspec.ValidationError."""
     heartbeat = msgspec.convert(body, Heartbeat)
     # A leader steps down for a higher fencing token, so one that can't have been issued must be rejected.
     numbers = (heartbeat.incarnation, heartbeat.sequence, heartbeat.fencing_token, *map(_attempt_of, heartbeat.tasks))
     if min(numbers) < 0 or max(numbers) >= NUMBER_LIMIT:
-        raise msgspec.ValidationError("a number is out of range")
+        raise msgspec.ValidationError("an incarnation, sequence number, fencing token or attempt is out of range")
     return heartbeat
 
 
 class Sender(
     msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
-    """The fields that identify a heartbeat, the only ones that a node which does not lead decodes."""
+    """The fields that identify a heartbeat; a node that is not the leader decodes only these."""
 
     machine: str
     incarnation: int
@@ -172,7 +171,7 @@
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"leader": "foreman"}):
-    """The response of a node that does not lead; `leader` is absent where it knows none."""
+    """The response of a node that is not the leader; `leader` is absent if it knows of none."""
 
     leader: str | None = None
 
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciliation of what a heartbeat lists with the allocations of its machine."""
+"""Reconciliation of the tasks in a heartbeat with the allocations of its machine."""
 
 import logging
 from datetime import timedelta
@@ -23,26 +23,26 @@
     TaskState.RUNNING: AllocationState.RUNNING,
     TaskState.CHECKPOINTING: AllocationState.CHECKPOINTING,
 }
-# An allocation in one of these states that a heartbeat leaves out is not on the machine.
+# If a heartbeat does not list the task of an allocation in one of these states, it is not on the machine.
 MUST_BE_LISTED = OBSERVED_STATES | {AllocationState.UNCONFIRMED}
 
 
 class Reconciliation(msgspec.Struct):
-    """What the response to a heartbeat needs to know of its reconciliation."""
+    """The outcome of a reconciliation, as far as the response to the heartbeat depends on it."""
 
     # Exited tasks, which the worker is to remove once their completions are durable.
     exited: list[TaskStatus]
-    # Stops of tasks that belong to no known job.
+    # Stop commands for tasks that belong to no known job.
     stops: list[StopCommand]
-    # Whether a task is not listed whose start the last response carried.
+    # Whether a start command that was sent has been lost: the heartbeat does not list its task.
     start_was_lost: bool
 
 
 class HeartbeatReconciler:
-    """Brings allocations, completions and machine health up to date with heartbeats."""
+    """Updates allocations, completions and the health of machines and jobs from heartbeats."""
 
     def __init__(self, context: TermContext, completions: CompletionRecorder, run_times: RunTimeModel) -> None:
-        """`completions` makes completed tasks durable; `run_times` is given how long they ran."""
+        """Create a reconciler; `completions` makes completed tasks durable, `run_times` records their run times."""
         self._cluster = context.cluster
         self._events = context.events
         self._completions = completions
@@ -56,7 +56,7 @@
         for task in heartbeat.tasks:
             allocation = machine.allocations.get(task.attempt)
             if allocation is not None and ALLOCATION_STATES.get(task.state) is allocation.state:
-                # The usual case: unchanged since the last heartbeat.
+                # Fast path: unchanged since the last heartbeat.
                 continue
             if task.state == TaskState.EXITED:
                 self._observe_exit(machine, allocation, task, now)
@@ -84,7 +84,7 @@
         start_was_lost = False
         for allocation in _missing_allocations(machine, heartbeat):
             if allocation.state in MUST_BE_LISTED:
-                # Killed when its incarnation ended, or never started by an earlier leader.
+                # The task was killed when its incarnation ended, or was never started by an earlier leader.
                 log.info(
                     "machine %s does not list task %s/%s, which is released",
                     machine.name,
@@ -93,7 +93,7 @@
                 )
                 self._release(allocation, now)
             elif allocation.start_sent:
-                # The response with its start was lost, and can't be executed any more.
+                # The response with its start command was lost, and can no longer be executed.
                 allocation.start_sent = False
                 start_was_lost = True
         return start_was_lost
@@ -111,7 +111,7 @@
         allocation.transition_to(state)
 
     def _observe_unexpected(self, machine: Machine, task: TaskStatus, now: timedelta) -> list[StopCommand]:
-        """Allocate a task that no record names, so that it counts while it is there, and have it stopped."""
+        """Allocate an unrecorded task, so that its resources count as used while it is there, and have it stopped."""
         task_id = task.task_id()
         job = self._job_of(task_id)
         log.info("machine %s lists task %s attempt %s, which is not recorded", machine.name, task.name, task.attempt)
@@ -148,7 +148,7 @@
         self._completions.record(job, number, partial(machine.uncommitted_completions.discard, attempt))
 
     def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
-        """Record what the exit means for the health of machine and job, and the task's run time."""
+        """Update the health of the machine and the job, and record the task's run time."""
         job = allocation.job
         completed = task.exit_reason == ExitReason.COMPLETED
         if job.is_service and (completed or health.has_run_steadily(allocation, now)):
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -1,9 +1,9 @@
 """Detects machines that send heartbeats but do not receive the leader's responses.
 
-A worker starts a new incarnation when no response has arrived for the duration of a worker lease. A start
-that the next heartbeat does not list was in a response that got lost. An incarnation that lasts longer than
-a lease proves that responses arrive. So does a heartbeat on a connection on which a response has been sent
-since the incarnation began, unless starts have been lost on the machine.
+A worker starts a new incarnation when no response has arrived for the duration of a worker lease. If the next
+heartbeat does not list a task whose start command was sent, the response was lost. An incarnation that lasts
+longer than a lease proves that responses arrive. So does a heartbeat on a connection on which a response has
+been sent since the incarnation began, unless the machine has repeatedly lost start commands.
 """
 
 import logging
@@ -15,9 +15,9 @@
 
 log = logging.getLogger(__name__)
 
-# Consecutive responses with lost starts, after which a machine counts as not receiving responses.
+# After this many consecutive responses with lost start commands, a machine is taken not to receive responses.
 MAX_LOST_STARTS = 3
-# Added to the lease, for differences between clocks.
+# Added to the lease duration as a tolerance for differences between clocks.
 PROOF_MARGIN = seconds(1)
 
 
@@ -25,15 +25,15 @@
     """Maintains `responses_lost_since`, and the fields that it depends on, of each machine."""
 
     def __init__(self, lease: timedelta) -> None:
-        """`lease` is the duration of the worker lease: how long a worker runs tasks without a response."""
+        """Create a monitor; `lease` is how long a worker runs its tasks without a response."""
         self._proof_time = at_least(lease) + PROOF_MARGIN
 
     def observe_heartbeat(
         self, machine: Machine, heartbeat: Heartbeat, responded_at: timedelta | None, now: timedelta
     ) -> None:
-        """Update the machine by a heartbeat that is newer than its last one, which `machine` still holds.
+        """Update the machine from a heartbeat that is newer than the last one, which `machine` still holds.
 
-        `responded_at`: when the last response was sent on the same connection, if any was.
+        `responded_at` is when the last response was sent on the same connection, None if none was.
         """
         machine.receives_responses = responded_at is not None or _follows_at_once(machine, heartbeat, now)
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
@@ -50,7 +50,7 @@
             machine.undelivered_starts = 0
 
     def observe_starts(self, machine: Machine, start_was_lost: bool, now: timedelta) -> None:
-        """Update the machine by whether a start in the last response got lost."""
+        """Count consecutive responses with lost start commands, and mark the machine at MAX_LOST_STARTS."""
         machine.undelivered_starts = machine.undelivered_starts + 1 if start_was_lost else 0
         if machine.undelivered_starts >= MAX_LOST_STARTS and machine.responses_lost_since is None:
             log.info(
@@ -73,7 +73,7 @@
 def _follows_at_once(machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
     """Return whether this heartbeat follows the last one without a response timeout in between.
 
-    A worker that gets no response turns to another node first, and returns after the timeout at the earliest.
+    A worker that gets no response tries another node first, and returns after the timeout at the earliest.
     """
     return (
         machine.last_heartbeat_at is not None
