--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -36,45 +36,49 @@
     """Calls the cloud's API. Callers take a token from `rate_limit` before each call."""
 
     def __init__(
-        self, caller: HttpCaller, rate_limit: TokenBucket, list_lag: timedelta, may_change: Callable[[], bool]
+        self,
+        caller: HttpCaller,
+        rate_limit: TokenBucket,
+        list_lag: timedelta,
+        mutation_precondition: Callable[[], bool],
     ) -> None:
-        """Create a client that checks `may_change` right before it sends a mutating call.
+        """Create a client that checks `mutation_precondition` right before it sends a mutating call.
 
         The check stands in for fencing, which the cloud's API lacks.
         """
         self._caller = caller
-        self._may_change = may_change
+        self._mutation_precondition = mutation_precondition
         self.rate_limit = rate_limit
         # Maximum staleness of the cloud's list of machines.
         self.list_lag = list_lag
 
     async def machine_types(self) -> list[MachineType]:
         """Return all machine types. Raises CloudError."""
-        return _read(await self._call("GET", "/flavors"), messages.MachineTypeList).types
+        return _decode(await self._call("GET", "/flavors"), messages.MachineTypeList).types
 
     async def request_instances(self, name: str, kind: InstanceKind, count: int) -> list[str]:
         """Return the names of the machines provisioned, at most `count`. Raises NoCapacityError and CloudError."""
         body = messages.ProvisioningBody(
             name, kind.machine_type, kind.zone, kind.spot, min(count, MAX_INSTANCES_PER_REQUEST)
         )
-        response = await self._call("POST", "/hosts", messages.encode_body(body), self._may_change)
-        return _read(response, messages.ProvisionedMachines).machines
+        response = await self._call("POST", "/hosts", messages.encode_body(body), self._mutation_precondition)
+        return _decode(response, messages.ProvisionedMachines).machines
 
     async def delete(self, names: list[str]) -> None:
         """Delete the machines: once this returns, all tasks on them have ended. Raises CloudError."""
         body = messages.encode_body(messages.DeletionBody(names))
-        await self._call("POST", "/hosts/delete", body, self._may_change)
+        await self._call("POST", "/hosts/delete", body, self._mutation_precondition)
 
     async def list_page(self, after: str | None) -> messages.ListPage:
         """Return the page of the list after the machine `after`, or the first page. Raises CloudError."""
         since = "" if after is None else f"&since={after}"
-        return _read(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
+        return _decode(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
     async def _call(
-        self, method: str, path: str, body: Any = None, may_leave: Callable[[], bool] | None = None
+        self, method: str, path: str, body: Any = None, precondition: Callable[[], bool] | None = None
     ) -> ClientResponse:
         try:
-            response = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=may_leave)
+            response = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=precondition)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if response.status == 429:
@@ -86,7 +90,7 @@
         return response
 
 
-def _read(response: ClientResponse, body_type: type[ResponseBody]) -> ResponseBody:
+def _decode(response: ClientResponse, body_type: type[ResponseBody]) -> ResponseBody:
     try:
         return msgspec.convert(response.body, body_type)
     except msgspec.ValidationError as error:
--- a/src/elmthread/machines/deletion.py
+++ b/src/elmthread/machines/deletion.py
@@ -40,7 +40,7 @@
             if machine.state is MachineState.DELETING and machine.name not in self._in_progress
         ][:MAX_DELETIONS_PER_CALL]
 
-    def start(self, names: list[str]) -> None:
+    def mark_in_progress(self, names: list[str]) -> None:
         """Exclude the machines from further batches while the call that deletes them is in progress."""
         self._in_progress.update(names)
 
@@ -60,7 +60,7 @@
                 continue
             machine.transition_to(MachineState.DELETED)
             self._cluster.remove_machine(machine, now)
-            self._provisioner.forget_refusal(machine.kind)
+            self._provisioner.clear_refusal(machine.kind)
             self._inventory.forget(name)
             self._writer.delete(machine_key(name))
         self._events.notify_changed()
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -26,7 +26,7 @@
 FAILURE_CHECK_INTERVAL = seconds(0.5)
 # After the process was suspended for this long, heartbeats that arrived meanwhile are still unread. They are
 # handled for CATCH_UP_TIME before machines are checked for missing heartbeats.
-PROCESS_STALL = seconds(1.5)
+PROCESS_STALL_THRESHOLD = seconds(1.5)
 CATCH_UP_TIME = seconds(1)
 TYPES_REFRESH_INTERVAL = seconds(60)
 # While no machine type is known, as no task can be placed until then.
@@ -81,7 +81,7 @@
         last_pass_at = self._clock()
         while True:
             now = self._clock()
-            if now - last_pass_at > PROCESS_STALL:
+            if now - last_pass_at > PROCESS_STALL_THRESHOLD:
                 log.info("the process was suspended for %.1f s", (now - last_pass_at).total_seconds())
                 self._failures_checked_at = now + CATCH_UP_TIME
             last_pass_at = now
@@ -106,7 +106,7 @@
             self._types_read_at = now
             self._start(self._type_updater.update())
         if deletions and rate_limit.take():
-            self._deleter.start(deletions)
+            self._deleter.mark_in_progress(deletions)
             self._start(self._deleter.delete(deletions))
         # Before instance requests, as these could otherwise use up the rate limit.
         if self._is_due(self._list_read_at, self.inventory.refresh_interval()) and rate_limit.take():
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -38,7 +38,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The pause in requests for a kind of instance that the cloud had no capacity for."""
+    """A refusal for lack of capacity, and the pause that follows it in requests for the same kind of instance."""
 
     paused_until: timedelta
     pause: timedelta
@@ -80,7 +80,7 @@
         refusal = self._refusals.get(kind)
         return refusal is not None and self._clock() < refusal.paused_until
 
-    def forget_refusal(self, kind: InstanceKind) -> None:
+    def clear_refusal(self, kind: InstanceKind) -> None:
         """End the pause for that kind, as a machine of it was deleted or a request fully met."""
         self._refusals.pop(kind, None)
 
@@ -116,7 +116,7 @@
         if len(names) < request.count:
             self._pause(request.kind)
         else:
-            self.forget_refusal(request.kind)
+            self.clear_refusal(request.kind)
 
     def _add_to_unsent(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> int:
         """Add instances to requests that have not been sent yet, to save calls; return how many were added."""
--- a/src/elmthread/machines/tests/test_manager.py
+++ b/src/elmthread/machines/tests/test_manager.py
@@ -29,7 +29,7 @@
 KIND = InstanceKind("small", "east", True)
 
 
-class Store:
+class FakeWriter:
     """A record writer whose writes are durable at once."""
 
     def write(
@@ -47,7 +47,7 @@
         pass
 
 
-class Cloud:
+class FakeCloud:
     def __init__(self) -> None:
         self.calls: list[tuple[float, str, Any]] = []
         self.loop = SimLoop()
@@ -67,11 +67,11 @@
         return ClientResponse(200, {})
 
 
-def machine_manager(rps: float = 2.0) -> tuple[Cloud, ClusterState, MachineManager]:
-    cloud, cluster = Cloud(), ClusterState(100)
+def machine_manager(rps: float = 2.0) -> tuple[FakeCloud, ClusterState, MachineManager]:
+    cloud, cluster = FakeCloud(), ClusterState(100)
     asyncio.set_event_loop(cloud.loop)
     clock = cloud.loop.clock
-    context = term_context(clock, cluster, Store())
+    context = term_context(clock, cluster, FakeWriter())
     catalog = MachineTypeCatalog(cluster, context.events)
     catalog.replace([MachineType("small", 4.0, 0.0, 8.0, 80.0, 0.2, 0.26, 0.1, 50.0, ["east"])])
     bounds = ReachabilityBounds(seconds(2), seconds(3), seconds(17))
@@ -91,13 +91,13 @@
     cloud, cluster, manager = machine_manager()
 
     async def main() -> None:
-        running = asyncio.create_task(manager.run())
+        manager_task = asyncio.create_task(manager.run())
         for number in range(500_000, 500_300):
             manager.delete_machine(add_machine(cluster, number), DeletionReason.NO_HEARTBEATS)
         for _ in range(40):
             manager.request_instances(KIND, 7, for_deferrable_pool=True)
         await asyncio.sleep(12)
-        running.cancel()
+        manager_task.cancel()
 
     play(main(), cloud.loop)
     deleted = [body for _, path, body in cloud.calls if path == "/hosts/delete"]
@@ -107,19 +107,19 @@
     assert sum(body["how_many"] for body in requested) == 280 and len(requested) <= 7
     assert len({body["hire"] for body in requested}) == len(requested)
     for start in range(10):
-        within = [at for at, _, _ in cloud.calls if start <= at < start + 2]
-        assert len(within) <= 2 * 2.0 + 2 * 2.0
+        calls_in_window = [at for at, _, _ in cloud.calls if start <= at < start + 2]
+        assert len(calls_in_window) <= 2 * 2.0 + 2 * 2.0
     assert len(cluster.machines) == 280 and len(cluster.deleted_machines) == 300
 
 
 def test_a_lagging_list_proves_neither_that_a_machine_runs_nor_that_it_is_gone() -> None:
     cloud, cluster, manager = machine_manager()
     up, booting = add_machine(cluster, 1), add_machine(cluster, 2, MachineState.BOOTING)
-    seen = ListedMachine(up.name, "small", "east", True, "running", 10.0)
-    manager.inventory.reconcile([seen])
+    listed = ListedMachine(up.name, "small", "east", True, "running", 10.0)
+    manager.inventory.reconcile([listed])
     # The list may lack new machines at first, and may be older than the previous one.
     manager.inventory.reconcile([])
-    manager.inventory.reconcile([seen])
+    manager.inventory.reconcile([listed])
     for _ in range(MAX_MISSED_LISTS - 1):
         manager.inventory.reconcile([])
     assert up.state is MachineState.UP and booting.state is MachineState.BOOTING
@@ -132,7 +132,7 @@
     assert up.state.name == "DELETING"
     # A stale list that still names a deleted machine does not add it again.
     cluster.remove_machine(up, cloud.loop.clock())
-    manager.inventory.reconcile([seen])
+    manager.inventory.reconcile([listed])
     assert up.name not in cluster.machines
     # Names of deleted machines are kept for a limited time.
     cluster.remove_machine(booting, cloud.loop.clock() + DELETED_MACHINE_RETENTION * 2)
@@ -151,7 +151,7 @@
 
     async def main() -> None:
         send_heartbeats(machines)
-        running = asyncio.create_task(manager.run())
+        manager_task = asyncio.create_task(manager.run())
         await asyncio.sleep(1)
         cloud.loop.now += 27.0
         await asyncio.sleep(0.5)
@@ -159,7 +159,7 @@
         # Heartbeats of half of them arrive, the others stay silent.
         send_heartbeats(machines[:25])
         await asyncio.sleep(3)
-        running.cancel()
+        manager_task.cancel()
 
     play(main(), cloud.loop)
     assert {machine.state for machine in machines[:25]} == {MachineState.UP}
