--- a/src/elmthread/workers/commands.py
+++ b/src/elmthread/workers/commands.py
@@ -37,7 +37,7 @@
 
     def commands_for(self, machine: Machine) -> list[Command]:
         """Return stop and then start commands; release unwanted allocations whose start was never sent."""
-        leads = self._term.holds_lease()
+        has_lease = self._term.holds_lease()
         stops: list[Command] = []
         starts: list[Command] = []
         now = self._clock()
@@ -56,7 +56,7 @@
                 self._release_unsent(allocation, now)
             elif allocation.stop_mode is not None:
                 stops.append(StopCommand(name, allocation.attempt, _grace_s(allocation)))
-            elif state is AllocationState.COMMITTED and leads and not unwanted:
+            elif state is AllocationState.COMMITTED and has_lease and not unwanted:
                 allocation.start_sent = True
                 starts.append(StartCommand(name, allocation.attempt))
         return stops + starts
@@ -81,7 +81,7 @@
         self._events.notify_changed()
 
 
-def removals(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
+def removal_commands(machine: Machine, exited: list[TaskStatus]) -> list[Command]:
     """Return commands to remove the exited tasks, except those whose completions are not durable yet."""
     return [
         RemoveCommand(task.name, task.attempt) for task in exited if task.attempt not in machine.uncommitted_completions
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -13,7 +13,7 @@
 from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body, retry_later
 from elmthread.persistence.assignments import AssignmentRecorder
 from elmthread.workers import messages
-from elmthread.workers.commands import MAX_COMMANDS_PER_RESPONSE, CommandPlanner, removals
+from elmthread.workers.commands import MAX_COMMANDS_PER_RESPONSE, CommandPlanner, removal_commands
 from elmthread.workers.messages import Command, Heartbeat, HeartbeatResponse, StartCommand
 from elmthread.workers.reconciliation import HeartbeatReconciler
 from elmthread.workers.responsiveness import ResponsivenessMonitor
@@ -84,13 +84,13 @@
         machine.last_heartbeat_id = heartbeat_id
         machine.last_heartbeat_at = now
         machine.heartbeat_overdue = False
-        found = self._reconciler.reconcile(machine, heartbeat, now)
-        self._responsiveness.observe_starts(machine, found.start_was_lost, now)
+        result = self._reconciler.reconcile(machine, heartbeat, now)
+        self._responsiveness.observe_starts(machine, result.start_was_lost, now)
         if machine.is_schedulable and self._expects_assignments(machine):
             await self._assignments.wait_for(machine, ASSIGNMENT_WAIT)
             if not self._term.may_answer_workers():
                 return self._redirect()
-        commands = [*found.stops, *removals(machine, found.exited), *self._commands.commands_for(machine)]
+        commands = [*result.stops, *removal_commands(machine, result.exited), *self._commands.commands_for(machine)]
         return self._respond(machine, commands[:MAX_COMMANDS_PER_RESPONSE])
 
     def _respond(self, machine: Machine, commands: list[Command]) -> Response:
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -23,11 +23,11 @@
     TaskState.RUNNING: AllocationState.RUNNING,
     TaskState.CHECKPOINTING: AllocationState.CHECKPOINTING,
 }
-# If a heartbeat does not list the task of an allocation in one of these states, it is not on the machine.
+# A task whose allocation is in one of these states is not on the machine if a heartbeat does not list it.
 MUST_BE_LISTED = OBSERVED_STATES | {AllocationState.UNCONFIRMED}
 
 
-class Reconciliation(msgspec.Struct):
+class ReconciliationResult(msgspec.Struct):
     """The outcome of a reconciliation, as far as the response to the heartbeat depends on it."""
 
     # Exited tasks, which the worker is to remove once their completions are durable.
@@ -48,7 +48,7 @@
         self._completions = completions
         self._run_times = run_times
 
-    def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> Reconciliation:
+    def reconcile(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> ReconciliationResult:
         """Apply a heartbeat, which must be the machine's newest, to the machine and its allocations."""
         self._observe_machine(machine, heartbeat, now)
         exited: list[TaskStatus] = []
@@ -65,7 +65,7 @@
                 self._observe_state(allocation, task, now)
             else:
                 stops += self._observe_unexpected(machine, task, now)
-        return Reconciliation(exited, stops, self._reconcile_missing(machine, heartbeat, now))
+        return ReconciliationResult(exited, stops, self._reconcile_missing(machine, heartbeat, now))
 
     def _observe_machine(self, machine: Machine, heartbeat: Heartbeat, now: timedelta) -> None:
         if machine.state in (MachineState.BOOTING, MachineState.UNCONFIRMED):
@@ -129,7 +129,7 @@
         job = allocation.job if allocation is not None else self._job_of(task_id)
         if allocation is not None:
             log.debug("task %s on machine %s exited: %s", task.name, machine.name, task.exit_reason)
-            self._judge_exit(machine, allocation, task, now)
+            self._update_health(machine, allocation, task, now)
         if task.exit_reason == ExitReason.COMPLETED and job is not None and task_id is not None:
             self._record_completion(machine, allocation, job, task_id.number, task.attempt)
         if allocation is not None:
@@ -147,7 +147,7 @@
         machine.uncommitted_completions.add(attempt)
         self._completions.record(job, number, partial(machine.uncommitted_completions.discard, attempt))
 
-    def _judge_exit(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
+    def _update_health(self, machine: Machine, allocation: Allocation, task: TaskStatus, now: timedelta) -> None:
         """Update the health of the machine and the job, and record the task's run time."""
         job = allocation.job
         completed = task.exit_reason == ExitReason.COMPLETED
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -18,7 +18,7 @@
 # After this many consecutive responses with lost start commands, a machine is taken not to receive responses.
 MAX_LOST_STARTS = 3
 # Added to the lease duration as a tolerance for differences between clocks.
-PROOF_MARGIN = seconds(1)
+RECOVERY_MARGIN = seconds(1)
 
 
 class ResponsivenessMonitor:
@@ -26,7 +26,7 @@
 
     def __init__(self, lease: timedelta) -> None:
         """Create a monitor; `lease` is how long a worker runs its tasks without a response."""
-        self._proof_time = at_least(lease) + PROOF_MARGIN
+        self._recovery_time = at_least(lease) + RECOVERY_MARGIN
 
     def observe_heartbeat(
         self, machine: Machine, heartbeat: Heartbeat, responded_at: timedelta | None, now: timedelta
@@ -35,7 +35,7 @@
 
         `responded_at` is when the last response was sent on the same connection, None if none was.
         """
-        machine.receives_responses = responded_at is not None or _follows_at_once(machine, heartbeat, now)
+        machine.receives_responses = responded_at is not None or _follows_without_timeout(machine, heartbeat, now)
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info(
@@ -61,7 +61,7 @@
 
     def _responses_arrive(self, machine: Machine, responded_at: timedelta | None, now: timedelta) -> bool:
         assert machine.responses_lost_since is not None
-        if now - max(machine.incarnation_since, machine.responses_lost_since) > self._proof_time:
+        if now - max(machine.incarnation_since, machine.responses_lost_since) > self._recovery_time:
             return True
         return (
             machine.undelivered_starts < MAX_LOST_STARTS
@@ -70,7 +70,7 @@
         )
 
 
-def _follows_at_once(machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
+def _follows_without_timeout(machine: Machine, heartbeat: Heartbeat, now: timedelta) -> bool:
     """Return whether this heartbeat follows the last one without a response timeout in between.
 
     A worker that gets no response tries another node first, and returns after the timeout at the earliest.
