--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -15,7 +15,7 @@
 from elmthread.common.clock import Clock
 from elmthread.net.http_messages import MalformedBodyError, Request, Response, decode_body
 from elmthread.peers.messages import LeaderAnnouncement
-from elmthread.workers.messages import Sender, redirect_body
+from elmthread.workers.messages import HeartbeatHeader, redirect_body
 
 # How many machines are named, the last that came.
 MAX_SAMPLE = 16
@@ -147,8 +147,8 @@
         return round(count * sum(map(is_newer, sample)) / len(sample))
 
 
-def _sender_of(request: Request) -> Sender | None:
+def _sender_of(request: Request) -> HeartbeatHeader | None:
     try:
-        return msgspec.convert(decode_body(request.body), Sender)
+        return msgspec.convert(decode_body(request.body), HeartbeatHeader)
     except (MalformedBodyError, msgspec.ValidationError):
         return None
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -117,7 +117,7 @@
     return heartbeat
 
 
-class Sender(
+class HeartbeatHeader(
     msgspec.Struct, rename={"machine": "loom", "incarnation": "shift", "sequence": "tally", "fencing_token": "baton"}
 ):
     """The fields that identify a heartbeat; a node that is not the leader decodes only these."""
