--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -75,10 +75,10 @@
         return _decode(await self._call("GET", f"/hosts?most={MAX_MACHINES_PER_PAGE}{since}"), messages.ListPage)
 
     async def _call(
-        self, method: str, path: str, body: Any = None, precondition: Callable[[], bool] | None = None
+        self, method: str, path: str, body: Any = None, may_send: Callable[[], bool] | None = None
     ) -> ClientResponse:
         try:
-            response = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=precondition)
+            response = await self._caller.call(method, path, body, timeout=CALL_TIMEOUT, precondition=may_send)
         except NoResponseError as error:
             raise CloudError(str(error)) from error
         if response.status == 429:
