--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -18,7 +18,11 @@
     """Serves a bounded number of connections, each with time limits and its requests in order."""
 
     def __init__(
-        self, handler: Handler, max_connections: int, clock: Clock = steady_clock, limit: ConnectionLimit | None = None
+        self,
+        handler: Handler,
+        max_connections: int,
+        clock: Clock = steady_clock,
+        limit: ConnectionLimit | None = None,
     ) -> None:
         """Serve with `handler`; `limit` bounds the connections of one class of clients."""
         self._handler = handler
