--- a/src/elmthread/reachability/tests/test_backoff.py
+++ b/src/elmthread/reachability/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""How long leadership is left to others after a term that a cut ended."""
+"""Tests of the leadership backoff after terms that link failures ended."""
 
 import random
 from bisect import bisect_left
@@ -10,18 +10,18 @@
 from elmthread.common.clock import ZERO, seconds
 from elmthread.reachability.backoff import LeadershipBackoff
 from elmthread.reachability.bounds import BACKOFF_JITTER, HOUR
-from elmthread.reachability.tests.stand_ins import BOUNDS, SAME_EXAMPLES, ManualClock
+from elmthread.reachability.tests.stand_ins import BOUNDS, DETERMINISTIC_SETTINGS, ManualClock
 
 
-def test_backoffs_grow_while_cuts_return_and_are_forgotten_without_cuts() -> None:
+def test_backoff_grows_on_repeated_failures_and_decays_afterwards() -> None:
     clock = ManualClock()
-    backoff = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=False)
+    backoff = LeadershipBackoff(BOUNDS, clock, random.Random(1), single_node=False)
     assert not backoff.is_active and backoff.candidacy_delay(ZERO) == ZERO
     durations = []
     for _ in range(8):
         backoff.begin()
         began = clock.now
-        # A vacancy ends what a backoff leaves to others.
+        # A backoff delays no candidacy once leadership has been vacant for long enough.
         assert backoff.candidacy_delay(BOUNDS.min_backoff) == ZERO
         assert ZERO < backoff.candidacy_delay(ZERO) <= BOUNDS.min_backoff
         while backoff.is_active:
@@ -34,26 +34,26 @@
     clock.advance(10 * BOUNDS.max_backoff.total_seconds())
     backoff.begin()
     assert backoff._until - clock.now == BOUNDS.min_backoff
-    # Nobody is there to leave leadership to.
-    alone = LeadershipBackoff(BOUNDS, clock, random.Random(1), alone=True)
-    alone.begin(longest=True)
-    assert not alone.is_active
+    # A single node never backs off.
+    single_node = LeadershipBackoff(BOUNDS, clock, random.Random(1), single_node=True)
+    single_node.begin(longest=True)
+    assert not single_node.is_active
 
 
-@settings(SAME_EXAMPLES)
+@settings(DETERMINISTIC_SETTINGS)
 @given(st.integers(0, 1000), st.sampled_from([0.1, 0.5, 3.0, 30.0, 100.0]))
-def test_terms_that_cuts_end_are_no_more_than_the_bound_in_any_hour(seed: int, longest_pause: float) -> None:
-    """Three nodes, each of whose terms is ended at once; the next begins as soon as the backoffs allow it."""
+def test_terms_per_hour_stay_within_the_bound(seed: int, longest_pause: float) -> None:
+    """End each term of three nodes immediately, and start the next one as soon as a backoff allows it."""
     clock = ManualClock()
-    nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), alone=False) for n in range(3)]
+    nodes = [LeadershipBackoff(BOUNDS, clock, random.Random(seed + n), single_node=False) for n in range(3)]
     began: list[timedelta] = []
     vacant_since = clock.now
     rng = random.Random(seed)
     for _ in range(2000):
         clock.advance(rng.uniform(0.0, longest_pause))
-        waits = [one.candidacy_delay(clock.now - vacant_since) for one in nodes]
-        if min(waits) == ZERO:
-            nodes[waits.index(ZERO)].begin()
+        delays = [node.candidacy_delay(clock.now - vacant_since) for node in nodes]
+        if min(delays) == ZERO:
+            nodes[delays.index(ZERO)].begin()
             began.append(clock.now)
             vacant_since = clock.now
     for number, first in enumerate(began):
