--- a/src/elmthread/api/__init__.py
+++ b/src/elmthread/api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP API: submission, status and cancellation of jobs, on every node and at the leader."""
+"""The HTTP API: submission, status and cancellation of jobs, on the leader and on the other nodes."""
--- a/src/elmthread/api/cancellation.py
+++ b/src/elmthread/api/cancellation.py
@@ -10,10 +10,10 @@
 
 
 class CancellationHandler:
-    """Cancels jobs that have not ended."""
+    """Cancels jobs that are not finished."""
 
     def __init__(self, context: TermContext, writes: JobWrites, status: StatusReporter) -> None:
-        """Cancel jobs: `writes` makes an end durable before it is confirmed, `status` makes the responses."""
+        """Initialize with `writes`, which persists a final state before it is confirmed; `status` builds responses."""
         self._cluster = context.cluster
         self._term = context.term
         self._events = context.events
@@ -21,7 +21,7 @@
         self._status = status
 
     async def cancel(self, job_id: str) -> Response:
-        """Return the response once the job's end, whichever it is, is durable."""
+        """Cancel the job unless it is finished, and return the response once its final state is durable."""
         job = self._cluster.jobs.get(job_id)
         if job is None:
             return responses.unknown_job()
--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -1,4 +1,4 @@
-"""The users' commands of the command line: submit, status and cancel."""
+"""The command line's subcommands for jobs: submit, status and cancel."""
 
 import argparse
 import asyncio
@@ -22,7 +22,10 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry out the command and print the response. Return 0, 1 if it failed, or 2 if it could not be sent."""
+    """Execute the command, print the response, and return the exit status.
+
+    It is 0 on success, 1 if the request failed, and 2 if it could not be made.
+    """
     try:
         call = _call_for(args)
     except (OSError, ValueError) as error:
@@ -49,9 +52,9 @@
 
 
 def _read_job(path: Path) -> Any:
-    """Return the job that a file, or standard input for `-`, holds as JSON.
+    """Return the job as parsed from a JSON file, or from standard input if the path is `-`.
 
-    Raises OSError, and ValueError that names the file.
+    Raises OSError if the file can't be read, and ValueError with its name if it is not JSON.
     """
     from_stdin = str(path) == "-"
     try:
--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding of users' requests: any node accepts them, and only the leader executes them."""
+"""Forwarding of users' requests: any node accepts them, but only the leader executes them."""
 
 from datetime import timedelta
 from functools import partial
@@ -14,13 +14,13 @@
 from elmthread.peers.connection import PeerUnreachableError
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 
-# Users wait 5 s for a submission and 2 s for a status; the response must be sent before that.
+# Users time out after 5 s for a submission and 2 s for a status; the response must be sent before that.
 FORWARDING_TIMEOUTS: dict[str, timedelta] = {
     RequestVerb.SUBMIT: seconds(4),
     RequestVerb.CANCEL: seconds(4),
     RequestVerb.STATUS: seconds(1.5),
 }
-# The class of each request, by which an overloaded node refuses it.
+# The work class of each request; an overloaded node rejects requests by their class.
 WORK_CLASSES: dict[str, WorkClass] = {
     RequestVerb.SUBMIT: WorkClass.SUBMISSION,
     RequestVerb.CANCEL: WorkClass.STATUS_REQUEST,
@@ -29,10 +29,10 @@
 
 
 class RequestForwarder:
-    """Executes requests on the leader, and forwards them to it from the other nodes."""
+    """Executes requests if this node is the leader, and forwards them to the leader otherwise."""
 
     def __init__(self, node: ApiNode, readiness: Readiness) -> None:
-        """`readiness` says whether users are to retry on this node."""
+        """Initialize with `readiness`, which decides whether users may keep their connection to retry on this node."""
         self._node = node
         self._readiness = readiness
 
@@ -50,7 +50,7 @@
         return await self._forward(leader, request)
 
     async def handle_peer_request(self, request: ForwardedRequest) -> ForwardedResponse:
-        """Return the response to another node's request, which names the term that it is for."""
+        """Return the response to another node's request, which carries the fencing token of its term."""
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
             return _reply(request, Response(200 if confirmed else 503))
@@ -79,11 +79,11 @@
         )
 
     def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
-        """Return whether the reply is in time, and this node knows of no newer leader than the one that sent it."""
+        """Return whether the reply is in time, and this node has seen no newer leader than the one that sent it."""
         return self._node.clock() <= until and reply.fencing_token >= self._node.election.highest_seen_token
 
     async def _carry_out(self, request: ForwardedRequest) -> Response:
-        """Execute the request as the leader, with a complete state and a valid leader lease."""
+        """Execute the request if this node is the leader, its state is loaded and its leader lease is valid."""
         service = self._node.leading_service()
         if service is None or not self._node.election.holds_lease():
             return responses.not_leading()
@@ -93,10 +93,10 @@
         return response
 
     def _unavailable(self, reason: str) -> Response:
-        """Return a response to retry the request later; it closes the connection if this node is not ready.
+        """Return a response that asks for a retry; it closes the connection if this node is not ready.
 
-        The load balancer then sends new connections to other nodes, but keeps open ones for seconds more, on
-        which the user would retry on this node.
+        The load balancer then directs new connections to other nodes, but keeps open connections for some
+        seconds more; on one of these the user's retry would reach this node again.
         """
         response = responses.retry(reason)
         response.close = self._readiness.check().status != 200
--- a/src/elmthread/api/job_service.py
+++ b/src/elmthread/api/job_service.py
@@ -1,4 +1,4 @@
-"""The leader's side of the API: executes users' requests, and confirms only what is durable."""
+"""The leader's side of the API: executes users' requests, and confirms only durable changes."""
 
 from datetime import timedelta
 
@@ -19,14 +19,14 @@
 class RequestLimits(msgspec.Struct, frozen=True):
     """Limits on users' requests."""
 
-    # Submissions and cancellations that may wait for the store at the same time.
+    # Maximum number of submissions and cancellations that wait for the store at the same time.
     max_waiting: int
-    # Within this time after a confirmed cancellation, all tasks of the job must have ended.
+    # All tasks of a job must have ended within this time after its cancellation was confirmed.
     cancellation_time: timedelta
 
 
 class JobService:
-    """Executes the users' requests of one term."""
+    """Executes users' requests during one leadership term."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         leases: WorkerLeases,
         limits: RequestLimits,
     ) -> None:
-        """`leases` says by when a machine that can't be reached has ended its tasks."""
+        """Initialize with `leases`, which bounds when an unreachable machine has ended its tasks."""
         self._term = context.term
         writes = JobWrites(context, limits.max_waiting)
         self._status = StatusReporter(context, leases, limits.cancellation_time)
@@ -49,11 +49,11 @@
         return self._term.fencing_token
 
     def holds_lease(self) -> bool:
-        """Return whether the leader lease is valid; checked right before a response is sent."""
+        """Return whether the leader lease is valid; called right before a response is sent."""
         return self._term.holds_lease()
 
     async def submit(self, job_id: str, spec: JobSpec | None, fault: str | None) -> Response:
-        """Accept a job, or respond with the status of one accepted before; without `spec`, `fault` says why."""
+        """Accept a job, or return the status of one accepted before; without `spec`, `fault` tells what is invalid."""
         return await self._submissions.submit(job_id, spec, fault)
 
     def status(self, job_id: str) -> Response:
@@ -61,5 +61,5 @@
         return self._status.status(job_id)
 
     async def cancel(self, job_id: str) -> Response:
-        """Cancel a job, or respond with the status of one that has ended."""
+        """Cancel a job, or return the status of one that is finished."""
         return await self._cancellations.cancel(job_id)
--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -1,4 +1,4 @@
-"""Writes of jobs to the store, and the requests that wait for them."""
+"""Writes of job records to the store, and the requests that wait for them."""
 
 import asyncio
 import logging
@@ -16,26 +16,26 @@
 
 log = logging.getLogger(__name__)
 
-# Users abandon a request after 5 s; the response must be sent well before.
+# Users time out after 5 s; the response must be sent well before that.
 DURABILITY_TIMEOUT = seconds(3.5)
-# After this time without a transaction accepted by the store, requests are refused instead of waiting.
+# Once the store has accepted no transaction for this long, requests are rejected instead of waiting.
 MAX_STORE_FAILURE_TIME = seconds(1)
 
 
 class JobWrites:
-    """Makes jobs durable whose submission or cancellation a user waits for."""
+    """Writes submitted and cancelled jobs to the store, and lets requests wait until the writes are durable."""
 
     def __init__(self, context: TermContext, max_waiting: int) -> None:
-        """At most `max_waiting` writes may be pending."""
+        """Allow at most `max_waiting` pending writes."""
         self._writer = context.writer
         self._events = context.events
         self._clock = context.clock
         self._max_waiting = max_waiting
-        # Pending writes, by job.
+        # Pending writes by job id.
         self._pending: dict[str, asyncio.Future[None]] = {}
 
     def refuse_more(self) -> Response | None:
-        """Return the response to a request that needs another write, if none can be accepted now."""
+        """Return the rejection of a request that needs a write, or None if a write can be queued now."""
         failing_since = self._writer.failing_since
         if failing_since is not None and self._clock() - failing_since > MAX_STORE_FAILURE_TIME:
             return responses.retry("the state service does not answer", responses.RETRY_AFTER_OVERLOAD)
@@ -52,7 +52,7 @@
         return job_id in self._pending
 
     def write(self, job: Job) -> None:
-        """Queue a write of the job, in the state that it has when the write is sent."""
+        """Queue a write of the job; the record is made from the job's state when the write is sent."""
         written = self._writer.write_and_wait(
             job_key(job.id), WritePriority.USER, partial(job_record_for_write, job), partial(self._mark_durable, job)
         )
@@ -60,7 +60,7 @@
         written.add_done_callback(partial(self._end, job.id))
 
     async def wait_until_durable(self, job_id: str) -> Response | None:
-        """Wait for a pending write of the job; return None, or the response if that takes too long."""
+        """Wait for a pending write of the job; return None, or an error response if it fails or times out."""
         written = self._pending.get(job_id)
         if written is None:
             return None
@@ -79,5 +79,5 @@
         if self._pending.get(job_id) is written:
             del self._pending[job_id]
         if not written.cancelled():
-            # Retrieved, as asyncio logs exceptions that nobody has retrieved.
+            # Retrieves the exception, as asyncio logs exceptions that are never retrieved.
             written.exception()
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -1,4 +1,4 @@
-"""The users' requests and the responses to them, in the words of the wire."""
+"""Users' requests and the responses to them, with the field names used on the wire."""
 
 import math
 import re
@@ -15,10 +15,10 @@
 
 
 class InvalidSubmissionError(ElmthreadError):
-    """The body is no valid submission; the message names the field."""
+    """The body is not a valid submission; the message names the field."""
 
 
-# Fields that must be finite numbers, by the names that error messages use.
+# Fields that must be finite numbers: the name on the wire, which error messages use, and the attribute.
 _AMOUNTS = {
     "cpus": "cpus",
     "cards": "gpus",
@@ -32,9 +32,9 @@
 
 
 def job_id_of(body: Any) -> str:
-    """Return the job's id alone, as the response for a known job does not depend on the rest.
+    """Return the job's id without validating the other fields. Raises InvalidSubmissionError.
 
-    Raises InvalidSubmissionError.
+    The response for a job that is already known does not depend on them.
     """
     if not isinstance(body, dict):
         raise InvalidSubmissionError("not a map")
@@ -45,7 +45,7 @@
 
 
 def read_submission(body: Any) -> JobSpec:
-    """Return the specification in a decoded body. Raises InvalidSubmissionError."""
+    """Return the job specification in a decoded body. Raises InvalidSubmissionError."""
     job_id_of(body)
     try:
         spec = msgspec.convert(body, JobSpec)
@@ -74,7 +74,7 @@
     omit_defaults=True,
     rename={"job_id": "name_id", "state": "status", "done_count": "done", "running_count": "running"},
 ):
-    """A job's state in a response to a user; the counts of tasks are for display."""
+    """A job's state in a response to a user; the task counts are for display only."""
 
     job_id: str
     state: StatusName
@@ -82,6 +82,6 @@
     running_count: int | None = None
 
     def body(self) -> dict[str, Any]:
-        """Return the status in the words of the wire."""
+        """Return the response body, with the field names used on the wire."""
         fields: dict[str, Any] = msgspec.to_builtins(self)
         return fields
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -1,4 +1,4 @@
-"""The parts of a node that the API uses, whether the node leads or not."""
+"""The components of a node that the API uses, on the leader and on the other nodes."""
 
 from collections.abc import Callable
 
@@ -13,14 +13,14 @@
 
 
 class ApiNode(msgspec.Struct, frozen=True):
-    """The node's name and the parts of its process."""
+    """The node's name and the components of its process."""
 
     name: str
     election: Election
     peers: PeerNetwork
-    # Whether this process may serve at all.
+    # Decides whether this process may serve requests.
     gate: CompatibilityGate
     overload_control: OverloadControl
     clock: Clock
-    # The service of the present term, while this node leads with a complete state.
+    # Returns the service of the current term while this node is the leader and its state is loaded, else None.
     leading_service: Callable[[], JobService | None]
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -1,4 +1,4 @@
-"""Readiness: whether the load balancer is to send users to this node."""
+"""The readiness check: whether the load balancer should send users to this node."""
 
 from datetime import timedelta
 
@@ -7,18 +7,18 @@
 from elmthread.common.clock import seconds
 from elmthread.net.http_messages import Response
 
-# A node that can't reach the leader is no longer ready after this time, as other nodes may reach it.
+# A node that can't reach the leader becomes unready after this time, as other nodes may still reach it.
 UNREACHED_LEADER_GRACE = seconds(2.8)
-# Without a leader no node can serve better than another. A node that the load balancer takes out of service
-# would be missing for a while after a leader is elected.
+# Without a leader all nodes are equally unable to serve. A node that the load balancer has taken out of service
+# would stay out for a while after a leader is elected.
 NO_LEADER_GRACE = seconds(60)
 
 
 class Readiness:
-    """Remembers when this node could last serve users."""
+    """Determines readiness from the time at which this node could last serve users."""
 
     def __init__(self, node: ApiNode) -> None:
-        """Start not ready, until a leader has been reached."""
+        """Start as not ready, until a leader is reached."""
         self._node = node
         self._could_serve_at: timedelta | None = None
 
--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -1,4 +1,4 @@
-"""The HTTP paths that every node serves, and the handler of each."""
+"""The HTTP paths that every node serves, and their handlers."""
 
 from collections.abc import Awaitable, Callable
 
@@ -20,13 +20,13 @@
     """Routes requests of users, workers, the load balancer and other nodes."""
 
     def __init__(self, node: ApiNode, heartbeat: HeartbeatRoute) -> None:
-        """`heartbeat` handles the requests of workers."""
+        """Initialize with `heartbeat`, the handler of workers' requests."""
         self._heartbeat = heartbeat
         self._readiness = Readiness(node)
         self._forwarder = RequestForwarder(node, self._readiness)
 
     async def handle(self, request: Request) -> Response:
-        """Return the response to a request over HTTP."""
+        """Return the response to an HTTP request."""
         path, method = request.path, request.method
         if path == HEARTBEAT_PATH:
             return await self._heartbeat(request) if method == "POST" else _wrong_method()
@@ -55,7 +55,7 @@
         try:
             submission.body = msgspec.to_builtins(read_submission(body))
         except InvalidSubmissionError as error:
-            # Left to the leader: for a job that it knows, it responds with the status whatever the body is.
+            # The leader rejects the submission, unless it knows the job: then it returns the job's status.
             submission.fault = str(error)
         return await self._forwarder.handle(submission)
 
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -1,4 +1,4 @@
-"""Responses with the status of jobs: only states that are durable and can't change back."""
+"""Responses with the status of jobs: only states that are durable and can't be reverted."""
 
 import logging
 from datetime import timedelta
@@ -13,16 +13,16 @@
 
 log = logging.getLogger(__name__)
 
-# A worker kills its tasks within this time after its lease has expired.
+# A worker kills its tasks within this time after its worker lease expires.
 MAX_KILL_DELAY = seconds(1)
 MAX_RETRY_AFTER = seconds(30)
 
 
 class StatusReporter:
-    """Makes the responses that state the status of jobs."""
+    """Builds the responses with the status of jobs."""
 
     def __init__(self, context: TermContext, leases: WorkerLeases, cancellation_time: timedelta) -> None:
-        """`cancellation_time`: within it after a confirmed cancellation, all tasks of the job must have ended."""
+        """Initialize with `cancellation_time`, within which all tasks must end once a cancellation is confirmed."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._leases = leases
@@ -34,17 +34,17 @@
         if job is None:
             return responses.unknown_job()
         if job.durable_state is None:
-            # Not durable yet, so it may still be lost.
+            # The submission is not durable yet and may still be lost.
             return responses.not_durable_yet()
         return self.respond(job, 200, describe(job))
 
     def respond(self, job: Job, status: int, body: JobStatus) -> Response:
-        """Return the response with the job's status, or one to retry later while the status can't be sent.
+        """Return the response with the job's status, or one that asks for a retry while the status can't be sent.
 
-        Once a cancellation has been confirmed to a user, all tasks must end within `cancel_s`. A machine that
-        can't be reached is empty once its worker lease has expired, with every renewal by this or an earlier
-        leader. While that may be too late, the cancellation is not confirmed. An older status is not sent
-        either, as an earlier leader may have confirmed the cancellation.
+        Once a cancellation has been confirmed to a user, all tasks must end within `cancel_s`. The tasks on an
+        unreachable machine have ended once its worker lease has expired, including every renewal by this or an
+        earlier leader. While that may be too late, the cancellation is not confirmed. The previous status is not
+        sent either, as an earlier leader may have confirmed the cancellation.
         """
         if job.durable_state is not JobState.CANCELLED:
             return Response(status, body.body())
@@ -59,7 +59,7 @@
 
 
 def describe(job: Job) -> JobStatus:
-    """Return the job's durable state with its counts of tasks."""
+    """Return the job's durable state with its task counts."""
     match job.durable_state:
         case JobState.DONE:
             return JobStatus(job.id, StatusName.DONE, job.task_count, 0)
--- a/src/elmthread/api/submission.py
+++ b/src/elmthread/api/submission.py
@@ -1,4 +1,4 @@
-"""Submission of jobs to the leader, which is idempotent by the job's id."""
+"""Submission of jobs to the leader, which is idempotent per job id."""
 
 import logging
 
@@ -16,7 +16,7 @@
 
 
 class SubmissionHandler:
-    """Accepts jobs, and responds with the status of those accepted before."""
+    """Accepts jobs, and returns the status of jobs accepted before."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         writes: JobWrites,
         status: StatusReporter,
     ) -> None:
-        """Accept jobs: `writes` makes them durable before they are confirmed, `status` makes the responses."""
+        """Initialize with `writes`, which persists jobs before they are confirmed; `status` builds responses."""
         self._cluster = context.cluster
         self._term = context.term
         self._clock = context.clock
@@ -36,7 +36,7 @@
         self._status = status
 
     async def submit(self, job_id: str, spec: JobSpec | None, fault: str | None) -> Response:
-        """Return the response once the job is durable; without `spec`, `fault` says why."""
+        """Return the response once the job is durable; without `spec`, `fault` tells what is invalid."""
         job = self._cluster.jobs.get(job_id)
         if job is None:
             refusal = self._refuse(spec, fault)
--- a/src/elmthread/api/tests/test_command.py
+++ b/src/elmthread/api/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The users' commands of the command line."""
+"""The command line's subcommands for jobs."""
 
 import io
 from pathlib import Path
--- a/src/elmthread/api/tests/test_job_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -1,4 +1,4 @@
-"""Responses to users' requests, with a store that stalls, refuses and recovers."""
+"""Responses to users' requests while the store is slow, fails and recovers."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,7 +22,7 @@
 
 
 class Store:
-    """A writer that makes nothing durable until a test calls `write_all`."""
+    """A store writer that makes nothing durable until a test calls `write_all`."""
 
     def __init__(self) -> None:
         self.waiting: list[tuple[Callable[[], Any], Callable[[], None], asyncio.Future[None]]] = []
@@ -51,7 +51,7 @@
 
 
 class Validator:
-    """Accepts all jobs but those of one team."""
+    """Accepts all jobs except those of one team."""
 
     is_ready = True
 
@@ -80,7 +80,7 @@
     async def main() -> None:
         first = asyncio.create_task(submit(service, 1))
         await asyncio.sleep(0.1)
-        # The job is neither known nor unknown until it is durable.
+        # Until the job is durable, its status is reported neither as known nor as unknown.
         assert service.status("run-000001").status == 503
         assert service.status("run-000002").status == 404
         began = loop.now
@@ -94,14 +94,14 @@
         await asyncio.sleep(0)
         assert (await submit(service, 1)).status == 200
         assert service.status("run-000001").status == 200
-        # A cancellation is confirmed once it is durable; until then the job is not cancelled.
+        # A cancellation is confirmed once it is durable; until then the status does not show it.
         ending = asyncio.create_task(service.cancel("run-000001"))
         await asyncio.sleep(0.1)
         assert service.status("run-000001").body["status"] == "queued"
         store.write_all()
         assert (await ending).body["status"] == "cancelled"
         assert service.status("run-000001").body["status"] == "cancelled"
-        # A leader whose lease may have expired confirms nothing, though it has the state.
+        # A leader whose lease may have expired confirms nothing, although it holds the job's state.
         cast(SureTerm, context.term).sure = False
         assert (await submit(service, 1)).status == 503 and (await service.cancel("run-000001")).status == 503
 
@@ -124,7 +124,7 @@
         refused = await submit(service, 10)
         assert refused.status == 503 and refused.retry_after
         assert (await service.cancel("run-000003")).status == 503
-        # Refused requests have changed nothing.
+        # Rejected requests have changed no state and queued no write.
         assert service.status("run-000003").body["status"] == "queued" and not store.waiting
         spec = read_submission(wire(11, crew="green"))
         assert (await service.submit(spec.id, spec, None)).status == 422
--- a/src/elmthread/api/validation.py
+++ b/src/elmthread/api/validation.py
@@ -1,4 +1,4 @@
-"""Validation of submitted jobs: rejects those that can never run on this platform."""
+"""Validation of submitted jobs: jobs that can never run on this platform are rejected."""
 
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.cluster.job_factory import JobFactory
@@ -13,10 +13,10 @@
 
 
 class JobValidator:
-    """Checks jobs against their teams' quotas, the machine types and the size of a stored value."""
+    """Checks jobs against their teams' quotas, the machine types and the maximum size of a stored record."""
 
     def __init__(self, cluster: ClusterSettings, factory: JobFactory, catalog: MachineTypeCatalog) -> None:
-        """Validate jobs: `factory` makes the one whose record is measured, `catalog` has the machine types."""
+        """Initialize with `factory`, which makes a job to measure its record, and `catalog` of the machine types."""
         self._teams = {team.name: team for team in cluster.teams}
         self._max_record_bytes = page_capacity(cluster.store.strictest().value_kb)
         self._factory = factory
@@ -24,7 +24,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the machine types are known, which validation needs."""
+        """Whether the machine types, which validation needs, are known."""
         return self._catalog.is_known
 
     def rejection_reason(self, spec: JobSpec) -> str | None:
@@ -39,12 +39,12 @@
 
 
 def _task_request(spec: JobSpec) -> TaskRequest:
-    """Return a request for as many of the job's tasks as must run at once."""
+    """Return a request for as many of the job's tasks as must run at the same time."""
     return TaskRequest(
         job_id=spec.id,
         team=spec.team,
         sort_key=SortKey(PlacementClass.ON_TIME),
-        # Tasks of a batch may run one after the other, replicas must run together.
+        # Tasks of a batch job may run one after another; replicas of a service must run at the same time.
         count=spec.tasks if spec.form == SERVICE else 1,
         cpus=spec.cpus,
         gpus=spec.gpus,
