--- a/src/elmthread/api/cancellation.py
+++ b/src/elmthread/api/cancellation.py
@@ -30,21 +30,21 @@
             if failure is not None:
                 return failure
         if job.is_open:
-            refusal = self._writes.refuse_more()
-            if refusal is not None:
-                return refusal
+            rejection = self._writes.check_admission()
+            if rejection is not None:
+                return rejection
             self._cluster.close_job(job, JobState.CANCELLED)
             self._writes.write(job)
             self._events.notify_jobs_changed()
-        failure = await self._make_end_durable(job)
+        failure = await self._persist_final_state(job)
         if failure is not None:
             return failure
         if not self._term.holds_lease():
             return responses.not_leading()
-        end = StatusName.DONE if job.durable_state is JobState.DONE else StatusName.CANCELLED
-        return self._status.respond(job, 200, JobStatus(job.id, end))
+        final_state = StatusName.DONE if job.durable_state is JobState.DONE else StatusName.CANCELLED
+        return self._status.respond(job, 200, JobStatus(job.id, final_state))
 
-    async def _make_end_durable(self, job: Job) -> Response | None:
+    async def _persist_final_state(self, job: Job) -> Response | None:
         if job.durable_state is job.state:
             return None
         if not self._writes.is_pending(job.id):
--- a/src/elmthread/api/command.py
+++ b/src/elmthread/api/command.py
@@ -27,7 +27,7 @@
     It is 0 on success, 1 if the request failed, and 2 if it could not be made.
     """
     try:
-        call = _call_for(args)
+        call = _make_call(args)
     except (OSError, ValueError) as error:
         print(f"elmthread: {error}", file=sys.stderr)
         return 2
@@ -43,7 +43,7 @@
     return 1
 
 
-def _call_for(args: argparse.Namespace) -> ApiCall:
+def _make_call(args: argparse.Namespace) -> ApiCall:
     if args.verb == "submit":
         return ApiCall("POST", "/submissions", _read_job(args.job))
     if args.verb == "status":
--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -43,7 +43,7 @@
         if self._node.overload_control.rejects(WORK_CLASSES[request.verb]):
             return responses.overloaded("too much to do")
         if self._node.leading_service() is not None:
-            return await self._carry_out(request)
+            return await self._execute(request)
         leader = self._node.election.leader
         if leader is None or leader == self._node.name:
             return self._unavailable("no leader")
@@ -53,16 +53,16 @@
         """Return the response to another node's request, which carries the fencing token of its term."""
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
-            return _reply(request, Response(200 if confirmed else 503))
+            return _make_reply(request, Response(200 if confirmed else 503))
         if request.verb == RequestVerb.GET_PROCESS:
-            return _reply(request, Response(200, {"process": self._node.gate.process}))
+            return _make_reply(request, Response(200, {"process": self._node.gate.process}))
         service = self._node.leading_service()
         if request.verb in WORK_CLASSES and self._node.overload_control.rejects(WORK_CLASSES[request.verb]):
-            return _reply(request, responses.overloaded("too much to do"))
+            return _make_reply(request, responses.overloaded("too much to do"))
         if service is None or request.fencing_token != service.fencing_token:
-            return _reply(request, responses.not_leading())
-        response = await self._carry_out(request)
-        return _reply(request, response.checked())
+            return _make_reply(request, responses.not_leading())
+        response = await self._execute(request)
+        return _make_reply(request, response.checked())
 
     async def _forward(self, leader: str, request: ForwardedRequest) -> Response:
         sent_at = self._node.clock()
@@ -78,16 +78,16 @@
             reply.status, reply.body, retry_after, precondition=None if reply.status == 503 else still_valid
         )
 
-    def _is_still_valid(self, reply: ForwardedResponse, until: timedelta) -> bool:
+    def _is_still_valid(self, reply: ForwardedResponse, deadline: timedelta) -> bool:
         """Return whether the reply is in time, and this node has seen no newer leader than the one that sent it."""
-        return self._node.clock() <= until and reply.fencing_token >= self._node.election.highest_seen_token
+        return self._node.clock() <= deadline and reply.fencing_token >= self._node.election.highest_seen_token
 
-    async def _carry_out(self, request: ForwardedRequest) -> Response:
+    async def _execute(self, request: ForwardedRequest) -> Response:
         """Execute the request if this node is the leader, its state is loaded and its leader lease is valid."""
         service = self._node.leading_service()
         if service is None or not self._node.election.holds_lease():
             return responses.not_leading()
-        response = await _call(service, request)
+        response = await _dispatch(service, request)
         if response.status != 503:
             response.precondition = service.holds_lease
         return response
@@ -103,7 +103,7 @@
         return response
 
 
-async def _call(service: JobService, request: ForwardedRequest) -> Response:
+async def _dispatch(service: JobService, request: ForwardedRequest) -> Response:
     if request.verb == RequestVerb.SUBMIT:
         return await _submit(service, request)
     if request.verb == RequestVerb.CANCEL:
@@ -123,6 +123,6 @@
     return await service.submit(request.job_id, spec, request.fault)
 
 
-def _reply(request: ForwardedRequest, response: Response) -> ForwardedResponse:
+def _make_reply(request: ForwardedRequest, response: Response) -> ForwardedResponse:
     retry_after_s = None if response.retry_after is None else response.retry_after.total_seconds()
     return ForwardedResponse(request.number, response.status, response.body, retry_after_s, request.fencing_token)
--- a/src/elmthread/api/job_service.py
+++ b/src/elmthread/api/job_service.py
@@ -52,9 +52,9 @@
         """Return whether the leader lease is valid; called right before a response is sent."""
         return self._term.holds_lease()
 
-    async def submit(self, job_id: str, spec: JobSpec | None, fault: str | None) -> Response:
-        """Accept a job, or return the status of one accepted before; without `spec`, `fault` tells what is invalid."""
-        return await self._submissions.submit(job_id, spec, fault)
+    async def submit(self, job_id: str, spec: JobSpec | None, error: str | None) -> Response:
+        """Accept a job, or return the status of one accepted before; without `spec`, `error` tells what is invalid."""
+        return await self._submissions.submit(job_id, spec, error)
 
     def status(self, job_id: str) -> Response:
         """Return the response to a request for a job's status."""
--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -34,7 +34,7 @@
         # Pending writes by job id.
         self._pending: dict[str, asyncio.Future[None]] = {}
 
-    def refuse_more(self) -> Response | None:
+    def check_admission(self) -> Response | None:
         """Return the rejection of a request that needs a write, or None if a write can be queued now."""
         failing_since = self._writer.failing_since
         if failing_since is not None and self._clock() - failing_since > MAX_STORE_FAILURE_TIME:
@@ -53,20 +53,20 @@
 
     def write(self, job: Job) -> None:
         """Queue a write of the job; the record is made from the job's state when the write is sent."""
-        written = self._writer.write_and_wait(
+        pending_write = self._writer.write_and_wait(
             job_key(job.id), WritePriority.USER, partial(job_record_for_write, job), partial(self._mark_durable, job)
         )
-        self._pending[job.id] = written
-        written.add_done_callback(partial(self._end, job.id))
+        self._pending[job.id] = pending_write
+        pending_write.add_done_callback(partial(self._on_write_done, job.id))
 
     async def wait_until_durable(self, job_id: str) -> Response | None:
         """Wait for a pending write of the job; return None, or an error response if it fails or times out."""
-        written = self._pending.get(job_id)
-        if written is None:
+        pending_write = self._pending.get(job_id)
+        if pending_write is None:
             return None
         try:
             async with asyncio.timeout(DURABILITY_TIMEOUT.total_seconds()):
-                await asyncio.shield(written)
+                await asyncio.shield(pending_write)
         except (TimeoutError, WriterStoppedError):
             return responses.not_durable_yet()
         return None
@@ -75,9 +75,9 @@
         job.durable_state = job.state_being_written
         self._events.notify_jobs_changed()
 
-    def _end(self, job_id: str, written: asyncio.Future[None]) -> None:
-        if self._pending.get(job_id) is written:
+    def _on_write_done(self, job_id: str, pending_write: asyncio.Future[None]) -> None:
+        if self._pending.get(job_id) is pending_write:
             del self._pending[job_id]
-        if not written.cancelled():
+        if not pending_write.cancelled():
             # Retrieves the exception, as asyncio logs exceptions that are never retrieved.
-            written.exception()
+            pending_write.exception()
--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -19,7 +19,7 @@
 
 
 # Fields that must be finite numbers: the name on the wire, which error messages use, and the attribute.
-_AMOUNTS = {
+_FINITE_NUMBERS = {
     "cpus": "cpus",
     "cards": "gpus",
     "ram_gb": "ram_gb",
@@ -31,7 +31,7 @@
 }
 
 
-def job_id_of(body: Any) -> str:
+def read_job_id(body: Any) -> str:
     """Return the job's id without validating the other fields. Raises InvalidSubmissionError.
 
     The response for a job that is already known does not depend on them.
@@ -46,12 +46,12 @@
 
 def read_submission(body: Any) -> JobSpec:
     """Return the job specification in a decoded body. Raises InvalidSubmissionError."""
-    job_id_of(body)
+    read_job_id(body)
     try:
         spec = msgspec.convert(body, JobSpec)
     except (msgspec.ValidationError, TypeError, ValueError, OverflowError) as error:
         raise InvalidSubmissionError(str(error)) from error
-    for name, field in _AMOUNTS.items():
+    for name, field in _FINITE_NUMBERS.items():
         value = getattr(spec, field)
         if value is not None and not math.isfinite(value):
             raise InvalidSubmissionError(f"{name}: not a finite number")
@@ -81,7 +81,7 @@
     done_count: int | None = None
     running_count: int | None = None
 
-    def body(self) -> dict[str, Any]:
+    def to_body(self) -> dict[str, Any]:
         """Return the response body, with the field names used on the wire."""
         fields: dict[str, Any] = msgspec.to_builtins(self)
         return fields
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -36,9 +36,9 @@
         if job.durable_state is None:
             # The submission is not durable yet and may still be lost.
             return responses.not_durable_yet()
-        return self.respond(job, 200, describe(job))
+        return self.respond(job, 200, make_job_status(job))
 
-    def respond(self, job: Job, status: int, body: JobStatus) -> Response:
+    def respond(self, job: Job, status: int, job_status: JobStatus) -> Response:
         """Return the response with the job's status, or one that asks for a retry while the status can't be sent.
 
         Once a cancellation has been confirmed to a user, all tasks must end within `cancel_s`. The tasks on an
@@ -47,18 +47,18 @@
         sent either, as an earlier leader may have confirmed the cancellation.
         """
         if job.durable_state is not JobState.CANCELLED:
-            return Response(status, body.body())
+            return Response(status, job_status.to_body())
         machines = (allocation.machine for allocation in job.allocations.values())
         ended_by = max(map(self._leases.expires_by, machines), default=ZERO)
         wait = ended_by - self._clock() - reduce_for_drift(self._cancellation_time) + MAX_KILL_DELAY
         if wait <= ZERO:
-            return Response(status, body.body())
+            return Response(status, job_status.to_body())
         log.info("the cancellation of job %s can't be confirmed to users for %.1f s", job.id, wait.total_seconds())
-        after = min(max(wait, responses.RETRY_AFTER), MAX_RETRY_AFTER)
-        return responses.retry("its tasks may not be gone in time", after)
+        retry_after = min(max(wait, responses.RETRY_AFTER), MAX_RETRY_AFTER)
+        return responses.retry("its tasks may not be gone in time", retry_after)
 
 
-def describe(job: Job) -> JobStatus:
+def make_job_status(job: Job) -> JobStatus:
     """Return the job's durable state with its task counts."""
     match job.durable_state:
         case JobState.DONE:
--- a/src/elmthread/api/submission.py
+++ b/src/elmthread/api/submission.py
@@ -4,7 +4,7 @@
 
 from elmthread.api import responses
 from elmthread.api.job_writes import JobWrites
-from elmthread.api.status import StatusReporter, describe
+from elmthread.api.status import StatusReporter, make_job_status
 from elmthread.api.validation import JobValidator
 from elmthread.cluster.job import Job
 from elmthread.cluster.job_factory import JobFactory
@@ -35,13 +35,13 @@
         self._writes = writes
         self._status = status
 
-    async def submit(self, job_id: str, spec: JobSpec | None, fault: str | None) -> Response:
-        """Return the response once the job is durable; without `spec`, `fault` tells what is invalid."""
+    async def submit(self, job_id: str, spec: JobSpec | None, error: str | None) -> Response:
+        """Return the response once the job is durable; without `spec`, `error` tells what is invalid."""
         job = self._cluster.jobs.get(job_id)
         if job is None:
-            refusal = self._refuse(spec, fault)
-            if refusal is not None:
-                return refusal
+            rejection = self._find_rejection(spec, error)
+            if rejection is not None:
+                return rejection
             assert spec is not None
             job = self._accept(spec)
         is_new = job.durable_state is None
@@ -51,17 +51,17 @@
                 return failure
         if not self._term.holds_lease():
             return responses.not_leading()
-        return self._status.respond(job, 201 if is_new else 200, describe(job))
+        return self._status.respond(job, 201 if is_new else 200, make_job_status(job))
 
-    def _refuse(self, spec: JobSpec | None, fault: str | None) -> Response | None:
-        if fault is not None or spec is None:
-            return responses.rejection(400, fault or "malformed")
+    def _find_rejection(self, spec: JobSpec | None, error: str | None) -> Response | None:
+        if error is not None or spec is None:
+            return responses.rejection(400, error or "malformed")
         if not self._validator.is_ready:
             return responses.retry("machine types not known yet")
         reason = self._validator.rejection_reason(spec)
         if reason is not None:
             return responses.rejection(422, reason)
-        return self._writes.refuse_more()
+        return self._writes.check_admission()
 
     def _accept(self, spec: JobSpec) -> Job:
         job = self._factory.new(spec, self._clock())
--- a/src/elmthread/api/tests/test_command.py
+++ b/src/elmthread/api/tests/test_command.py
@@ -12,11 +12,11 @@
 def test_cancel_and_withdraw_are_the_same_command() -> None:
     for verb in ("cancel", "withdraw"):
         args = cli.make_parser().parse_args([verb, "--server", "127.0.0.1:1", "run-000412"])
-        assert command._call_for(args) == ("POST", "/submissions/run-000412/withdraw", {})
+        assert command._make_call(args) == ("POST", "/submissions/run-000412/withdraw", {})
 
 
 @pytest.mark.parametrize("from_stdin", [False, True])
-def test_a_job_that_is_no_json_is_reported_in_one_line_that_names_the_file(
+def test_invalid_json_is_reported_in_one_line_that_names_the_file(
     from_stdin: bool, tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "job.json"
--- a/src/elmthread/api/tests/test_job_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -17,40 +17,40 @@
 from elmthread.store.job_spec import JobSpec
 from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
-from tests.world.specs import job as wire
+from tests.world.specs import job as submission_body
 from tests.world.term import SureTerm, term_context
 
 
-class Store:
+class FakeWriter:
     """A store writer that makes nothing durable until a test calls `write_all`."""
 
     def __init__(self) -> None:
-        self.waiting: list[tuple[Callable[[], Any], Callable[[], None], asyncio.Future[None]]] = []
+        self.pending: list[tuple[Callable[[], Any], Callable[[], None], asyncio.Future[None]]] = []
         self.failing_since: timedelta | None = None
 
     def write_and_wait(
         self, key: str, priority: WritePriority, make_value: Callable[[], Any], on_durable: Callable[[], None]
     ) -> asyncio.Future[None]:
-        stored = asyncio.get_running_loop().create_future()
-        self.waiting.append((make_value, on_durable, stored))
-        return stored
+        written = asyncio.get_running_loop().create_future()
+        self.pending.append((make_value, on_durable, written))
+        return written
 
     def write_all(self) -> None:
-        for make_value, on_durable, stored in self.waiting:
+        for make_value, on_durable, written in self.pending:
             make_value()
             on_durable()
-            stored.set_result(None)
-        self.waiting.clear()
+            written.set_result(None)
+        self.pending.clear()
 
 
-class Jobs:
+class FakeJobFactory:
     """A job factory whose jobs all have the same policy."""
 
     def new(self, spec: JobSpec, submitted_at: timedelta) -> Job:
         return Job(spec, datetime.now(UTC), submitted_at, JobPolicy(seconds(60), 1.5, False), 64)
 
 
-class Validator:
+class FakeValidator:
     """Accepts all jobs except those of one team."""
 
     is_ready = True
@@ -59,23 +59,23 @@
         return "unknown team" if spec.team == "green" else None
 
 
-def job_service(max_waiting: int = 5) -> tuple[SimLoop, Store, TermContext, JobService]:
-    loop, store, term = SimLoop(), Store(), SureTerm(7)
+def job_service(max_waiting: int = 5) -> tuple[SimLoop, FakeWriter, TermContext, JobService]:
+    loop, writer, term = SimLoop(), FakeWriter(), SureTerm(7)
     asyncio.set_event_loop(loop)
-    context = term_context(loop.clock, ClusterState(100), store, term)
+    context = term_context(loop.clock, ClusterState(100), writer, term)
     leases = WorkerLeases(seconds(17), seconds(0))
     limits = RequestLimits(max_waiting, seconds(30))
-    service = JobService(context, Jobs(), Validator(), leases, limits)  # type: ignore[arg-type]
-    return loop, store, context, service
+    service = JobService(context, FakeJobFactory(), FakeValidator(), leases, limits)  # type: ignore[arg-type]
+    return loop, writer, context, service
 
 
 def submit(service: JobService, number: int) -> Coroutine[Any, Any, Response]:
-    spec = read_submission(wire(number))
+    spec = read_submission(submission_body(number))
     return service.submit(spec.id, spec, None)
 
 
-def test_only_durable_states_are_confirmed_and_none_is_denied() -> None:
-    loop, store, context, service = job_service()
+def test_only_durable_states_are_confirmed_and_pending_jobs_are_not_reported_as_unknown() -> None:
+    loop, writer, context, service = job_service()
 
     async def main() -> None:
         first = asyncio.create_task(submit(service, 1))
@@ -83,23 +83,23 @@
         # Until the job is durable, its status is reported neither as known nor as unknown.
         assert service.status("run-000001").status == 503
         assert service.status("run-000002").status == 404
-        began = loop.now
+        started_at = loop.now
         response = await first
         assert (
             response.status == 503
             and response.retry_after
-            and loop.now - began < DURABILITY_TIMEOUT.total_seconds() + 0.1
+            and loop.now - started_at < DURABILITY_TIMEOUT.total_seconds() + 0.1
         )
-        store.write_all()
+        writer.write_all()
         await asyncio.sleep(0)
         assert (await submit(service, 1)).status == 200
         assert service.status("run-000001").status == 200
         # A cancellation is confirmed once it is durable; until then the status does not show it.
-        ending = asyncio.create_task(service.cancel("run-000001"))
+        cancellation = asyncio.create_task(service.cancel("run-000001"))
         await asyncio.sleep(0.1)
         assert service.status("run-000001").body["status"] == "queued"
-        store.write_all()
-        assert (await ending).body["status"] == "cancelled"
+        writer.write_all()
+        assert (await cancellation).body["status"] == "cancelled"
         assert service.status("run-000001").body["status"] == "cancelled"
         # A leader whose lease may have expired confirms nothing, although it holds the job's state.
         cast(SureTerm, context.term).sure = False
@@ -109,27 +109,27 @@
 
 
 def test_a_request_that_cannot_be_accepted_is_refused_at_once() -> None:
-    loop, store, context, service = job_service(max_waiting=5)
+    loop, writer, context, service = job_service(max_waiting=5)
 
     async def main() -> None:
-        waiting = [asyncio.create_task(submit(service, number)) for number in range(5)]
+        submissions = [asyncio.create_task(submit(service, number)) for number in range(5)]
         await asyncio.sleep(0.01)
-        began = loop.now
-        more = await submit(service, 9)
-        assert more.status == 429 and more.retry_after and service.status("run-000009").status == 404
-        store.write_all()
-        assert {(await task).status for task in waiting} == {201}
+        started_at = loop.now
+        over_limit = await submit(service, 9)
+        assert over_limit.status == 429 and over_limit.retry_after and service.status("run-000009").status == 404
+        writer.write_all()
+        assert {(await task).status for task in submissions} == {201}
         assert service.status("run-000003").body["status"] == "queued"
-        store.failing_since = loop.clock() - seconds(1.5)
-        refused = await submit(service, 10)
-        assert refused.status == 503 and refused.retry_after
+        writer.failing_since = loop.clock() - seconds(1.5)
+        rejected = await submit(service, 10)
+        assert rejected.status == 503 and rejected.retry_after
         assert (await service.cancel("run-000003")).status == 503
         # Rejected requests have changed no state and queued no write.
-        assert service.status("run-000003").body["status"] == "queued" and not store.waiting
-        spec = read_submission(wire(11, crew="green"))
+        assert service.status("run-000003").body["status"] == "queued" and not writer.pending
+        spec = read_submission(submission_body(11, crew="green"))
         assert (await service.submit(spec.id, spec, None)).status == 422
         assert (await service.submit("run-000012", None, "cpus: missing")).status == 400
-        assert loop.now - began < 0.01
+        assert loop.now - started_at < 0.01
         assert context.cluster.jobs["run-000003"].state is JobState.OPEN
 
     play(main(), loop)
