--- a/src/elmthread/net/connections.py
+++ b/src/elmthread/net/connections.py
@@ -1,4 +1,4 @@
-"""Limits on a server's open connections: how many, from whom, and how long they may be idle."""
+"""Limits on a server's open connections: their total, their number per client class, and their idle time."""
 
 import asyncio
 import logging
@@ -9,17 +9,17 @@
 
 log = logging.getLogger(__name__)
 
-# A client that falls silent within a request, or between two, is disconnected.
+# A connection is closed if a request is not received completely, or no next request begins, within these times.
 REQUEST_TIMEOUT = seconds(10)
 IDLE_TIMEOUT = seconds(75)
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimit:
-    """A limit for one class of clients, those that request `path`, so that they leave room for others."""
+    """A limit for the class of clients that request `path`; the remaining connections are left to other clients."""
 
     path: str
-    # Of all connections, at most this many.
+    # Maximum number of this class, out of all connections of the server.
     max_connections: int
     idle_timeout: timedelta
 
@@ -32,9 +32,9 @@
     expires_at: timedelta
     last_active_at: timedelta
     last_response_at: timedelta | None = None
-    # Between two requests.
+    # No request is being received or handled.
     idle: bool = True
-    # Counted against the ConnectionLimit.
+    # Counts against the ConnectionLimit.
     limited: bool = False
 
 
@@ -42,7 +42,7 @@
     """All open connections of a server."""
 
     def __init__(self, max_connections: int, clock: Clock, limit: ConnectionLimit | None) -> None:
-        """Allow `max_connections` in all, and those that `limit` allows for its path."""
+        """Allow `max_connections` in total, and for the path of `limit` as many of them as it allows."""
         self._max_connections = max_connections
         self._clock = clock
         self._limit = limit
@@ -55,7 +55,7 @@
         return len(self._open)
 
     def open(self, writer: asyncio.StreamWriter) -> Connection | None:
-        """Return the new connection, or None if there is no room for it."""
+        """Add a connection and return it, or return None if the limit is reached."""
         now = self._clock()
         if len(self._open) >= self._max_connections and not self._make_room(now):
             self._refuse(self._max_connections)
@@ -65,14 +65,14 @@
         return connection
 
     def remove(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that is closed."""
         self._open.discard(connection)
         self.limited_count -= connection.limited
 
     def admit(self, connection: Connection, path: str) -> bool:
         """Return whether a request for the path may be served on the connection.
 
-        The class of the client is known with its first request.
+        The client's class is known only once it has sent a request, so its limit is checked here.
         """
         if connection.limited or self._limit is None or path != self._limit.path:
             return True
@@ -84,23 +84,23 @@
         return True
 
     def data_received(self, connection: Connection) -> None:
-        """Note that a request is being received; it must be complete within REQUEST_TIMEOUT."""
+        """Record that a request is being received; it must be complete within REQUEST_TIMEOUT."""
         connection.idle = False
         connection.expires_at = min(connection.expires_at, self._clock() + REQUEST_TIMEOUT)
 
     def request_received(self, connection: Connection) -> None:
-        """Note that a request is complete."""
+        """Record that a request has been received completely."""
         connection.expires_at = self._clock() + IDLE_TIMEOUT
 
     def response_sent(self, connection: Connection) -> None:
-        """Note that the connection is idle until the next request."""
+        """Record that the connection is idle until the next request."""
         connection.idle = True
         connection.last_active_at = self._clock()
         idle_timeout = self._limit.idle_timeout if connection.limited and self._limit else IDLE_TIMEOUT
         connection.expires_at = connection.last_active_at + idle_timeout
 
     def close_expired(self) -> None:
-        """Close the connections whose time is over."""
+        """Close the connections that have expired."""
         now = self._clock()
         for connection in [one for one in self._open if one.expires_at < now]:
             connection.writer.transport.abort()
@@ -111,9 +111,9 @@
             connection.writer.transport.abort()
 
     def _make_room(self, now: timedelta) -> bool:
-        """Close the limited connection that has been idle for longest, if for half of its idle timeout.
+        """Close the limited connection that has been idle longest, if for at least half of its idle timeout.
 
-        Clients that were cut off or ended leave their connections behind, and come back on new ones.
+        Clients that lost the network or were restarted leave stale connections behind and open new ones.
         """
         if self._limit is None:
             return False
--- a/src/elmthread/net/http_client.py
+++ b/src/elmthread/net/http_client.py
@@ -13,7 +13,7 @@
 
 
 class NoResponseError(ElmthreadError):
-    """No usable response: the request may or may not have been carried out."""
+    """No usable response; the server may or may not have executed the request."""
 
 
 class NotSentError(NoResponseError):
@@ -22,34 +22,34 @@
 
 @dataclass(slots=True)
 class ClientResponse:
-    """A status and a decoded body."""
+    """The status and decoded body of a response."""
 
     status: int
     body: Any
 
 
 class HttpCaller(Protocol):
-    """What users of an HTTP client need of it; tests put stand-ins here."""
+    """The interface of an HTTP client; tests implement it with fakes."""
 
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
-        """Send one request and return its response; `precondition` is checked right before the bytes leave.
+        """Send one request and return its response; `precondition` is checked right before the bytes are sent.
 
-        Raises NoResponseError, and NotSentError where the precondition does not hold.
+        Raises NoResponseError, or NotSentError if the precondition does not hold.
         """
         ...
 
 
-# What a call can fail with; the server may have carried out the request all the same.
+# Exceptions that a call can fail with; the server may have executed the request nevertheless.
 _CALL_FAILURES = (OSError, TimeoutError, EOFError, h11.ProtocolError, MalformedBodyError)
 
 
 class HttpClient:
-    """Keeps a few connections to one address, each with one request in flight."""
+    """A client for one address with a small pool of connections, each with at most one request in flight."""
 
     def __init__(self, address: str, max_idle: int = 4) -> None:
-        """`address` is HOST:PORT; `max_idle` connections are kept open between requests."""
+        """Send requests to `address` (HOST:PORT), and keep up to `max_idle` connections open between requests."""
         host, _, port = address.rpartition(":")
         self.host, self.port, self.address = host, int(port), address
         self._idle: list[_ClientConnection] = []
@@ -58,9 +58,9 @@
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
-        """Send one request and return its response; `precondition` is checked right before the bytes leave.
+        """Send one request and return its response; `precondition` is checked right before the bytes are sent.
 
-        Raises NoResponseError, and NotSentError where the precondition does not hold.
+        Raises NoResponseError, or NotSentError if the precondition does not hold.
         """
         payload = b"" if body is None else cbor2.dumps(body)
         try:
@@ -90,7 +90,7 @@
                 connection.writer.transport.abort()
 
     def _take_idle(self) -> "_ClientConnection | None":
-        """Return the connection that was used last, unless the server has closed it."""
+        """Remove and return the most recently used connection that the server has not closed, if there is one."""
         while self._idle:
             connection = self._idle.pop()
             if not connection.is_closed():
@@ -114,11 +114,11 @@
         return self.reader.at_eof() or self.writer.is_closing()
 
     def is_reusable(self) -> bool:
-        """Return whether the last exchange has ended and another may follow."""
+        """Return whether the last exchange is complete and another may follow."""
         return self.protocol.our_state is h11.DONE and self.protocol.their_state is h11.DONE
 
     def encode_request(self, method: str, path: str, host: str, payload: bytes) -> bytes:
-        """Return the bytes of a request whose body is `payload`."""
+        """Return the bytes of a request with `payload` as its body."""
         headers = [
             (b"host", host.encode()),
             (b"content-type", b"application/cbor"),
@@ -132,7 +132,7 @@
         return b"".join(part for part in parts if part)
 
     async def receive_response(self) -> ClientResponse:
-        """Raise EOFError where the server closes the connection before the response is complete."""
+        """Return the response. Raises EOFError if the server closes the connection before the response is complete."""
         status = 0
         data = bytearray()
         while True:
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -1,4 +1,4 @@
-"""HTTP requests and responses with CBOR bodies, and the bytes of a response."""
+"""HTTP requests and responses with CBOR bodies, and the encoding of responses."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import dataclass
@@ -12,42 +12,42 @@
 from elmthread.common.clock import seconds
 from elmthread.common.errors import ElmthreadError
 
-# A stream reads, and buffers, at most this many bytes at a time.
+# Maximum number of bytes that a stream reads at once, and the limit of its buffer.
 READ_BYTES = 64 * 1024
 REASONS = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found"}
 
 
-# Whether what is about to be sent may still be sent.
+# Returns whether a message may still be sent; called right before it is sent.
 Precondition = Callable[[], bool]
 
 
 @dataclass(slots=True)
 class Request:
-    """One request, its body undecoded."""
+    """A request with its body still encoded."""
 
     method: str
     path: str
     query: Mapping[str, str]
     body: bytes = b""
-    # When the previous request on the same connection was answered. A client sends the next one
-    # only after it has that response, so that response has arrived.
+    # When the response to the previous request on this connection was sent. A client sends its next
+    # request only after it has received that response, so this request shows that it arrived.
     previous_answered_at: timedelta | None = None
 
 
 @dataclass(slots=True)
 class Response:
-    """One response; the body is encoded as CBOR."""
+    """A response, whose body is sent as CBOR."""
 
     status: int
     body: Any = None
     retry_after: timedelta | None = None
     close: bool = False
-    # Checked right before the bytes leave: the process may have been suspended since the response
-    # was made. Where it no longer holds, PRECONDITION_FAILED is sent instead.
+    # Checked right before the bytes are sent, as the process may have been suspended since the response
+    # was made. If it no longer holds, PRECONDITION_FAILED is sent instead.
     precondition: Precondition | None = None
 
     def checked(self) -> "Response":
-        """Return this response if its precondition holds, else the one that is to be sent instead."""
+        """Return this response if its precondition holds, else PRECONDITION_FAILED."""
         if self.precondition is not None and not self.precondition():
             return PRECONDITION_FAILED
         return self
@@ -57,7 +57,7 @@
 
 
 def retry_later(status: int, after: timedelta, error: str) -> Response:
-    """Return an error response that tells the client when to try again."""
+    """Return an error response that tells the client when to retry."""
     return Response(status, {"error": error}, retry_after=after)
 
 
@@ -69,15 +69,15 @@
 
 
 def decode_body(body: bytes) -> Any:
-    """Return the value of a CBOR body. Raises MalformedBodyError."""
+    """Decode a CBOR body. Raises MalformedBodyError."""
     try:
         return cbor2.loads(body)
-    except Exception as error:  # the decoder raises many kinds on hostile bytes
+    except Exception as error:  # cbor2 raises many types of exceptions on malformed input
         raise MalformedBodyError(str(error)) from error
 
 
 def encode_response(response: Response, close: bool) -> bytes:
-    """Return the bytes to send now; `close` says that the connection ends after them."""
+    """Encode a response that is sent now; `close` tells the client that the connection is closed after it."""
     response = response.checked()
     payload = b"" if response.body is None else cbor2.dumps(response.body)
     after = response.retry_after
@@ -87,7 +87,7 @@
 
 @lru_cache(maxsize=512)
 def _encode_head(status: int, content_length: int, retry_s: int | None, close: bool) -> bytes:
-    """Return the head as h11 writes it; cached, as few distinct heads serve all responses."""
+    """Return the status line and headers as h11 encodes them; cached, as responses have few distinct heads."""
     headers = [(b"content-type", b"application/cbor"), (b"content-length", b"%d" % content_length)]
     if retry_s is not None:
         headers.append((b"retry-after", b"%d" % retry_s))
--- a/src/elmthread/net/http_parser.py
+++ b/src/elmthread/net/http_parser.py
@@ -1,4 +1,4 @@
-"""Incremental parsing of the requests on one connection, with bounds on their size."""
+"""Incremental parsing of the requests on one connection, with limits on their size."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 
 class MalformedRequestError(ElmthreadError):
-    """The bytes are no request, or one that is too large."""
+    """The bytes are not a valid request, or the request is too large."""
 
 
 @dataclass(slots=True)
@@ -27,14 +27,14 @@
 
 
 class RequestParser:
-    """Parses what one connection receives.
+    """Parses the bytes received on one connection.
 
-    The server parses with httptools because h11 costs several times as much per heartbeat. httptools
-    does not bound what it accepts; the bounds are checked here.
+    The server uses httptools because h11 takes several times as much CPU time per heartbeat. httptools does
+    not limit the size of a request; the limits are enforced here.
     """
 
     def __init__(self) -> None:
-        """Begin with the first request of the connection."""
+        """Start with the first request of the connection."""
         self.complete: deque[ParsedRequest] = deque()
         self._parser = httptools.HttpRequestParser(self)
         self._target = b""
@@ -45,7 +45,7 @@
         self._in_body = False
 
     def feed(self, data: bytes) -> None:
-        """Parse more bytes; requests that they complete are appended to `complete`. Raises MalformedRequestError."""
+        """Parse received bytes, and append completed requests to `complete`. Raises MalformedRequestError."""
         self._head_size += len(data)
         try:
             self._parser.feed_data(data)
@@ -61,35 +61,35 @@
     # Callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the state for a new request."""
         self._target = b""
         self._body = []
         self._body_size = 0
         self._in_body = False
 
     def on_url(self, url: bytes) -> None:
-        """Append a part of the request's target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Refuse a body that is announced as too large."""
+        """Reject a request whose Content-Length is above the limit."""
         if len(name) == len(CONTENT_LENGTH) and name.lower() == CONTENT_LENGTH and int(value) > MAX_BODY_BYTES:
             raise MalformedRequestError("body too large")
 
     def on_headers_complete(self) -> None:
-        """Begin the body."""
+        """Switch from the head to the body."""
         self._in_body = True
         self._head_size = 0
 
     def on_body(self, data: bytes) -> None:
-        """Append a part of the body."""
+        """Append a part of the body. Raises MalformedRequestError if the body is too large."""
         self._body_size += len(data)
         if self._body_size > MAX_BODY_BYTES:
             raise MalformedRequestError("body too large")
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Hand over the request."""
+        """Append the request to `complete`."""
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
         parser = self._parser
         method, keep_alive = parser.get_method().decode("ascii"), parser.should_keep_alive()
--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -15,7 +15,7 @@
 
 
 class HttpServer:
-    """Serves a bounded number of connections, each with time limits and its requests in order."""
+    """Serves a limited number of connections with timeouts; requests on one connection are handled in order."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         clock: Clock = steady_clock,
         limit: ConnectionLimit | None = None,
     ) -> None:
-        """Serve with `handler`; `limit` bounds the connections of one class of clients."""
+        """Handle requests with `handler`; `limit` restricts the connections of one class of clients."""
         self._handler = handler
         self._max_connections = max_connections
         self._clock = clock
@@ -32,15 +32,15 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, host: str, port: int) -> int:
-        """Begin to listen and return the port. Raises OSError."""
-        # A whole fleet may connect at once while the loop is busy: as many may wait as may be open.
+        """Start listening and return the port. Raises OSError."""
+        # All workers may connect at once while the event loop is busy, so the backlog is as large as the limit.
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=READ_BYTES, backlog=self._max_connections
         )
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close_expired(self) -> None:
-        """Close expired connections until cancelled; one loop is cheaper than a timer per connection."""
+        """Close expired connections periodically until cancelled, which is cheaper than a timer per connection."""
         while True:
             await asyncio.sleep(CHECK_EXPIRED_INTERVAL.total_seconds())
             self.connections.close_expired()
@@ -77,7 +77,7 @@
             parsed = parser.complete.popleft()
             self.connections.request_received(connection)
             response = await self._respond(connection, parsed)
-            # Not set on the response itself: one object may be sent to many clients.
+            # Not set on the response itself, as the same object may be sent to several clients.
             close = response.close or not parsed.keep_alive
             connection.last_response_at = self._clock()
             writer.write(encode_response(response, close))
@@ -87,7 +87,7 @@
             self.connections.response_sent(connection)
 
     async def _receive(self, connection: Connection, reader: asyncio.StreamReader, parser: RequestParser) -> bool:
-        """Read until a request is complete; return False at the end of the stream. Raises MalformedRequestError."""
+        """Read until a request is complete, or return False at the end of the stream. Raises MalformedRequestError."""
         while not parser.complete:
             data = await reader.read(READ_BYTES)
             if not data:
@@ -108,6 +108,6 @@
         try:
             return await self._handler(request)
         except Exception:
-            # A fault in the handling of one request must not end the connection or the server.
+            # An error while handling one request must not close the connection or stop the server.
             log.exception("unhandled error while answering %s %s", request.method, request.path)
             return retry_later(503, seconds(1), "internal error")
--- a/src/elmthread/net/tests/test_http.py
+++ b/src/elmthread/net/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Real sockets on loopback: the HTTP server and client."""
+"""The HTTP server and client over real sockets on the loopback interface."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -26,7 +26,7 @@
 
 async def echo(request: Request) -> Response:
     if request.path == "/fail":
-        raise RuntimeError("a fault in one handler")
+        raise RuntimeError("handler failed")
     if request.path == "/later":
         return retry_later(503, seconds(2), "later")
     return Response(200, {"path": request.path, "body": cbor2.loads(request.body) if request.body else None})
@@ -60,7 +60,7 @@
         server, port = await serving(echo)
         assert (await raw(port, b"nonsense\r\n\r\n")).startswith(b"HTTP/1.1 400")
         head = b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n"
-        # Refused by its length, before any of it is read.
+        # Rejected by its Content-Length, before any of the body is sent.
         assert (await raw(port, head % 70_000)).startswith(b"HTTP/1.1 400")
         chunked = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
         assert (await raw(port, chunked + b"11170\r\n" + b"x" * 70_000 + b"\r\n")).startswith(b"HTTP/1.1 400")
@@ -86,7 +86,7 @@
             await writer.drain()
             await asyncio.sleep(0)
         assert (await reader.read()).count(b"HTTP/1.1 200") == 2
-        # One of the older kind, and one without an end of its own.
+        # An HTTP/1.0 request without keep-alive, and a chunked request, whose length is not known in advance.
         assert b"connection: close" in await raw(port, b"GET /a HTTP/1.0\r\n\r\n")
         chunked = b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
         parts = b"".join(b"1\r\n%c\r\n" % byte for byte in body)
@@ -127,8 +127,8 @@
             try:
                 assert (await raw(port, data)).startswith(b"HTTP/1.1 400"), data[:60]
             except ConnectionError:
-                pass  # Cut off while it was still sending.
-        # Nor does it trouble who comes next.
+                pass  # The server closed the connection while the client was still sending.
+        # Later connections are served as usual.
         answer = await raw(port, b"GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 200")
         await server.close()
@@ -137,7 +137,7 @@
 
 
 def test_a_report_costs_no_head_and_no_state_machine_of_its_own(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On small controllers h11 took more than half of what a report costs."""
+    """On small controllers h11 took more than half of the cost of handling a heartbeat."""
     made: list[str] = []
     for name in ("next_event", "send"):
         whole = getattr(h11.Connection, name)
@@ -203,14 +203,14 @@
                 await HttpClient(address).call("GET", "/a", timeout=seconds(0.2))
             except NoResponseError:
                 continue
-            raise AssertionError("an answer out of nothing")
+            raise AssertionError("call returned a response although no server sent one")
         await server.close()
 
     run(main())
 
 
 def test_what_is_no_longer_sure_does_not_leave() -> None:
-    """A process may stand still between making an answer, or a request, and sending it."""
+    """A process may be suspended between making a response or a request and sending it, which makes it outdated."""
     served: list[str] = []
 
     async def handle(request: Request) -> Response:
@@ -228,7 +228,7 @@
         served.clear()
         try:
             await client.call("POST", "/rent", {}, timeout=seconds(5), precondition=lambda: False)
-            raise AssertionError("sent all the same")
+            raise AssertionError("request was sent although its precondition does not hold")
         except NotSentError:
             pass
         assert (await client.call("POST", "/rent", {}, timeout=seconds(5), precondition=lambda: True)).status == 200
@@ -249,10 +249,10 @@
             return (await clients[number].call("GET", path, timeout=seconds(5))).status
 
         assert [await ask(number, "/beat") for number in range(4)] == [200] * 4
-        # A fifth is told to come again, and others find room all the same.
+        # A fifth connection for the limited path is rejected; other paths are still served.
         assert await ask(4, "/beat") == 503
         assert [await ask(number, "/a") for number in (5, 6)] == [200] * 2
-        # Two fall silent; the others go on: the silent ones' places go to who comes.
+        # Clients 2 and 3 send nothing more; their connections are closed to make room for client 4.
         now[0] = seconds(4)
         assert [await ask(number, "/beat") for number in (0, 1)] == [200] * 2
         now[0] = seconds(6)
