--- a/src/elmthread/net/connections.py
+++ b/src/elmthread/net/connections.py
@@ -57,8 +57,8 @@
     def open(self, writer: asyncio.StreamWriter) -> Connection | None:
         """Add a connection and return it, or return None if the limit is reached."""
         now = self._clock()
-        if len(self._open) >= self._max_connections and not self._make_room(now):
-            self._refuse(self._max_connections)
+        if len(self._open) >= self._max_connections and not self._evict_stale(now):
+            self._record_refusal(self._max_connections)
             return None
         connection = Connection(writer, now + IDLE_TIMEOUT, now)
         self._open.add(connection)
@@ -76,8 +76,8 @@
         """
         if connection.limited or self._limit is None or path != self._limit.path:
             return True
-        if self.limited_count >= self._limit.max_connections and not self._make_room(self._clock()):
-            self._refuse(self._limit.max_connections)
+        if self.limited_count >= self._limit.max_connections and not self._evict_stale(self._clock()):
+            self._record_refusal(self._limit.max_connections)
             return False
         connection.limited = True
         self.limited_count += 1
@@ -102,7 +102,7 @@
     def close_expired(self) -> None:
         """Close the connections that have expired."""
         now = self._clock()
-        for connection in [one for one in self._open if one.expires_at < now]:
+        for connection in [candidate for candidate in self._open if candidate.expires_at < now]:
             connection.writer.transport.abort()
 
     def close_all(self) -> None:
@@ -110,15 +110,15 @@
         for connection in list(self._open):
             connection.writer.transport.abort()
 
-    def _make_room(self, now: timedelta) -> bool:
+    def _evict_stale(self, now: timedelta) -> bool:
         """Close the limited connection that has been idle longest, if for at least half of its idle timeout.
 
         Clients that lost the network or were restarted leave stale connections behind and open new ones.
         """
         if self._limit is None:
             return False
-        idle = (one for one in self._open if one.limited and one.idle)
-        stale = min(idle, key=lambda one: one.last_active_at, default=None)
+        idle = (candidate for candidate in self._open if candidate.limited and candidate.idle)
+        stale = min(idle, key=lambda candidate: candidate.last_active_at, default=None)
         if stale is None or now - stale.last_active_at < self._limit.idle_timeout / 2:
             return False
         self._open.discard(stale)
@@ -127,6 +127,6 @@
         stale.writer.transport.abort()
         return True
 
-    def _refuse(self, limit: int) -> None:
+    def _record_refusal(self, limit: int) -> None:
         self.refused_count += 1
         log.info("connection refused: %s are open already (%s refused so far)", limit, self.refused_count)
--- a/src/elmthread/net/http_client.py
+++ b/src/elmthread/net/http_client.py
@@ -9,7 +9,7 @@
 import h11
 
 from elmthread.common.errors import ElmthreadError
-from elmthread.net.http_messages import READ_BYTES, MalformedBodyError, Precondition, decode_body
+from elmthread.net.http_messages import MAX_READ_BYTES, MalformedBodyError, Precondition, decode_body
 
 
 class NoResponseError(ElmthreadError):
@@ -99,7 +99,7 @@
         return None
 
     async def _connect(self) -> "_ClientConnection":
-        reader, writer = await asyncio.open_connection(self.host, self.port, limit=READ_BYTES)
+        reader, writer = await asyncio.open_connection(self.host, self.port, limit=MAX_READ_BYTES)
         return _ClientConnection(reader, writer, h11.Connection(h11.CLIENT))
 
 
@@ -138,7 +138,7 @@
         while True:
             event = self.protocol.next_event()
             if event is h11.NEED_DATA:
-                self.protocol.receive_data(await self.reader.read(READ_BYTES))
+                self.protocol.receive_data(await self.reader.read(MAX_READ_BYTES))
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -13,8 +13,8 @@
 from elmthread.common.errors import ElmthreadError
 
 # Maximum number of bytes that a stream reads at once, and the limit of its buffer.
-READ_BYTES = 64 * 1024
-REASONS = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found"}
+MAX_READ_BYTES = 64 * 1024
+REASON_PHRASES = {200: b"OK", 201: b"Created", 400: b"Bad Request", 404: b"Not Found"}
 
 
 # Returns whether a message may still be sent; called right before it is sent.
@@ -81,21 +81,21 @@
     response = response.checked()
     payload = b"" if response.body is None else cbor2.dumps(response.body)
     after = response.retry_after
-    retry_s = None if after is None else max(1, round(after.total_seconds()))
-    return _encode_head(response.status, len(payload), retry_s, close) + payload
+    retry_after_s = None if after is None else max(1, round(after.total_seconds()))
+    return _encode_head(response.status, len(payload), retry_after_s, close) + payload
 
 
 @lru_cache(maxsize=512)
-def _encode_head(status: int, content_length: int, retry_s: int | None, close: bool) -> bytes:
+def _encode_head(status: int, content_length: int, retry_after_s: int | None, close: bool) -> bytes:
     """Return the status line and headers as h11 encodes them; cached, as responses have few distinct heads."""
     headers = [(b"content-type", b"application/cbor"), (b"content-length", b"%d" % content_length)]
-    if retry_s is not None:
-        headers.append((b"retry-after", b"%d" % retry_s))
+    if retry_after_s is not None:
+        headers.append((b"retry-after", b"%d" % retry_after_s))
     if close:
         headers.append((b"connection", b"close"))
-    conn = h11.Connection(h11.SERVER)
-    conn.receive_data(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
-    conn.next_event()
-    head = conn.send(h11.Response(status_code=status, headers=headers, reason=REASONS.get(status, b"")))
+    connection = h11.Connection(h11.SERVER)
+    connection.receive_data(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n")
+    connection.next_event()
+    head = connection.send(h11.Response(status_code=status, headers=headers, reason=REASON_PHRASES.get(status, b"")))
     assert head is not None
     return head
--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -6,12 +6,12 @@
 
 from elmthread.common.clock import Clock, seconds, steady_clock
 from elmthread.net.connections import Connection, ConnectionLimit, ConnectionTable
-from elmthread.net.http_messages import READ_BYTES, Handler, Request, Response, encode_response, retry_later
+from elmthread.net.http_messages import MAX_READ_BYTES, Handler, Request, Response, encode_response, retry_later
 from elmthread.net.http_parser import MalformedRequestError, ParsedRequest, RequestParser
 
 log = logging.getLogger(__name__)
 
-CHECK_EXPIRED_INTERVAL = seconds(2)
+EXPIRY_CHECK_INTERVAL = seconds(2)
 
 
 class HttpServer:
@@ -35,14 +35,14 @@
         """Start listening and return the port. Raises OSError."""
         # All workers may connect at once while the event loop is busy, so the backlog is as large as the limit.
         self._server = await asyncio.start_server(
-            self._serve, host, port, limit=READ_BYTES, backlog=self._max_connections
+            self._serve, host, port, limit=MAX_READ_BYTES, backlog=self._max_connections
         )
         return int(self._server.sockets[0].getsockname()[1])
 
     async def close_expired(self) -> None:
         """Close expired connections periodically until cancelled, which is cheaper than a timer per connection."""
         while True:
-            await asyncio.sleep(CHECK_EXPIRED_INTERVAL.total_seconds())
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL.total_seconds())
             self.connections.close_expired()
 
     async def close(self) -> None:
@@ -89,7 +89,7 @@
     async def _receive(self, connection: Connection, reader: asyncio.StreamReader, parser: RequestParser) -> bool:
         """Read until a request is complete, or return False at the end of the stream. Raises MalformedRequestError."""
         while not parser.complete:
-            data = await reader.read(READ_BYTES)
+            data = await reader.read(MAX_READ_BYTES)
             if not data:
                 return False
             self.connections.data_received(connection)
