--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -62,7 +62,7 @@
         if service is None or request.fencing_token != service.fencing_token:
             return _make_reply(request, responses.not_leading())
         response = await self._execute(request)
-        return _make_reply(request, response.checked())
+        return _make_reply(request, response.check_precondition())
 
     async def _forward(self, leader: str, request: ForwardedRequest) -> Response:
         sent_at = self._node.clock()
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -46,7 +46,7 @@
     # was made. If it no longer holds, PRECONDITION_FAILED is sent instead.
     precondition: Precondition | None = None
 
-    def checked(self) -> "Response":
+    def check_precondition(self) -> "Response":
         """Return this response if its precondition holds, else PRECONDITION_FAILED."""
         if self.precondition is not None and not self.precondition():
             return PRECONDITION_FAILED
@@ -78,7 +78,7 @@
 
 def encode_response(response: Response, close: bool) -> bytes:
     """Encode a response that is sent now; `close` tells the client that the connection is closed after it."""
-    response = response.checked()
+    response = response.check_precondition()
     payload = b"" if response.body is None else cbor2.dumps(response.body)
     after = response.retry_after
     retry_after_s = None if after is None else max(1, round(after.total_seconds()))
