--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -31,7 +31,7 @@
     body: bytes = b""
     # When the response to the previous request on this connection was sent. A client sends its next
     # request only after it has received that response, so this request shows that it arrived.
-    previous_answered_at: timedelta | None = None
+    previous_response_at: timedelta | None = None
 
 
 @dataclass(slots=True)
