--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -89,7 +89,7 @@
         """Make a controller of the version, with ports to the store and the cloud."""
         return Controller(
             platform.parse(settings),
-            operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
+            operators.OperatorSettings(operators.OperatorsFile(rollout=levels.rollout)),
             ControllerEnvironment(clock, ports.store, ports.cloud, peers, levels.supported),
         )
 
@@ -169,7 +169,7 @@
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
         controller: Controller = self.named("controller", "Controller")(
             self.named("settings.platform", "parse")(settings),
-            self.named("settings.operators", "Operators")(operators_file),
+            self.named("settings.operators", "OperatorSettings")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
