--- a/src/elmthread/store/bitmaps.py
+++ b/src/elmthread/store/bitmaps.py
@@ -1,4 +1,4 @@
-"""Compressed bitmaps as text: sparse ones as the numbers of their bits, dense ones bit by bit.
+"""Compressed bitmaps as Base64 text: sparse ones as the indexes of their set bits, dense ones bit by bit.
 
 Tasks of a job complete roughly in order, so a chunk is mostly empty at first and mostly full later. The rarer
 of the two bit values is stored, so a full chunk is as small as an empty one.
@@ -14,7 +14,7 @@
 
 
 def compress(marks: bytes, count: int) -> DoneBitmapRecord:
-    """Return the first `count` bits of `marks`, the lowest of each byte first."""
+    """Compress the first `count` bits of `marks`, the least significant bit of each byte first."""
     bits = bitarray(endian="little")
     bits.frombytes(marks)
     del bits[count:]
@@ -25,14 +25,14 @@
 
 
 def expand(record: DoneBitmapRecord, max_bits: int) -> Iterator[int]:
-    """Return the numbers of the set bits. Raises ValueError for what is no bitmap of at most `max_bits` bits."""
+    """Return the indexes of the set bits. Raises ValueError for an invalid bitmap, or over `max_bits` bits."""
     raw = base64.b64decode(record.bits, validate=True)
     try:
         bits = sc_decode(raw)
     except StopIteration as error:
-        raise ValueError("a compressed bitmap that ends too soon") from error
+        raise ValueError("compressed bitmap is truncated") from error
     if sc_encode(bits) != raw:
-        raise ValueError("a compressed bitmap with something behind it")
+        raise ValueError("compressed bitmap is followed by other data, or is not in canonical form")
     if len(bits) > max_bits:
-        raise ValueError(f"a bitmap of {len(bits)} bits where at most {max_bits} may be")
+        raise ValueError(f"bitmap has {len(bits)} bits; at most {max_bits} are allowed")
     return bits.search(0 if record.inverted else 1)
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -27,11 +27,11 @@
 
 
 class StoreUnavailableError(StoreError):
-    """The request was not executed: status 503 or 429, or beyond the rate that this client keeps to."""
+    """The request was not executed: status 503 or 429, or over this client's own rate limit."""
 
 
 class RateLimitedError(StoreUnavailableError):
-    """The store refused the request as beyond its rate of requests or changes."""
+    """The store refused the request as over its rate limit for requests or changes."""
 
 
 class RejectedTransactionError(StoreError):
@@ -39,11 +39,11 @@
 
 
 class UnknownOutcomeError(StoreError):
-    """The request may have been executed, or may still be."""
+    """The request may have been executed, or may still be executed later."""
 
 
 class ExpiredError(StoreError):
-    """The lease has ended, or a watch asked for changes that are no longer kept."""
+    """The lease has ended, or a watch requested changes that the store no longer retains."""
 
 
 @dataclass
@@ -55,7 +55,7 @@
 
 
 class RequestObserver(Protocol):
-    """Observes the link to the store: which requests were executed, and when they were sent."""
+    """Observes the connection to the store: which requests were executed, and when they were sent."""
 
     def begin(self) -> timedelta:
         """Return the time at which a request is sent."""
@@ -64,12 +64,12 @@
         """Note that a request sent at that time was executed."""
 
 
-# Reads one page of a prefix: the prefix, the key to start after, and the most items.
+# Reads one page of keys, given the prefix, the key to start after, and the maximum number of items.
 PageReader = Callable[[str, str | None, int], Awaitable[messages.RangePage]]
 
 
 class PrefixRecords(msgspec.Struct, frozen=True):
-    """All records under a prefix; a watch from `revision` sees whatever changed while they were read."""
+    """All records under a prefix; a watch from `revision` also sees changes made while they were read."""
 
     items: list[messages.KeyValue]
     revision: int
@@ -88,26 +88,26 @@
 
 
 class KeyValueStore:
-    """A client of the key-value store that keeps to a rate of requests.
+    """A client of the key-value store that limits its rate of requests.
 
     Each method raises StoreUnavailableError or UnknownOutcomeError if the request fails.
     """
 
     def __init__(self, caller: HttpCaller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
-        """Send requests by `caller` within the rate of `requests`; `observer` is notified of executed ones."""
+        """Send requests through `caller` within `requests`; `observer` is notified of those that were executed."""
         self._observer = observer
         self._caller = caller
         self._requests = requests
 
     async def get(self, key: str) -> messages.KeyValue | None:
-        """Return the key with its value, None if it does not exist."""
+        """Return the key with its value, or None if it does not exist."""
         response = await self._call("GET", f"/store/{key}")
         if response.status == 404:
             return None
         return _decode(response, messages.KeyValue)
 
     async def read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
-        """Return the first keys under a prefix, or those that follow `after`."""
+        """Return the first keys under a prefix, or the first ones after the key `after`."""
         since = "" if after is None else f"&since={quote(after, safe='/')}"
         response = await self._call("GET", f"/store?starts={quote(prefix, safe='/')}{since}&most={page_size}")
         return _decode(response, messages.RangePage)
@@ -131,28 +131,28 @@
         return _decode(response, messages.Revision).revision
 
     async def grant_lease(self, ttl: timedelta) -> int:
-        """Return the number of a new lease that ends `ttl` after its last renewal."""
+        """Return the id of a new lease that ends `ttl` after its last renewal."""
         response = await self._call("POST", "/grants", {"ttl_ms": round(ttl.total_seconds() * 1000)})
         return _decode(response, messages.LeaseGrant).lease_id
 
     async def renew_lease(self, lease_id: int, timeout: timedelta) -> None:
         """Renew a lease. Raises ExpiredError if it has ended."""
-        # Renewals are exempt from the rate: all other requests leave room for them.
+        # Renewals bypass the rate limit: the limit on all other requests leaves room for them.
         response = await self._send("POST", f"/grants/{lease_id}/extend", {}, timeout)
         if response.status == 404:
             raise ExpiredError(f"lease {lease_id}")
         _require_status(response, 200)
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease, with all keys that expire with it; one that has ended already is no error."""
+        """Revoke a lease, with all keys that expire with it; one that has already ended is no error."""
         response = await self._send("DELETE", f"/grants/{lease_id}", None, REQUEST_TIMEOUT)
         if response.status != 404:
             _require_status(response, 200)
 
     async def watch(self, prefix: str, since: int, block: timedelta) -> messages.WatchEvents:
-        """Return what changed under a prefix after revision `since`; wait up to `block` for a first change.
+        """Return the changes under a prefix after revision `since`; wait up to `block` for the first one.
 
-        Raises ExpiredError if changes since then are no longer kept.
+        Raises ExpiredError if the store no longer retains the changes since then.
         """
         ms = round(block.total_seconds() * 1000)
         path = f"/watch?starts={prefix}&since={since}&block_ms={ms}"
--- a/src/elmthread/store/job_spec.py
+++ b/src/elmthread/store/job_spec.py
@@ -1,4 +1,4 @@
-"""The specification of a job: the form of a submission, and part of the job's stored record."""
+"""The specification of a job: the body of a submission, and part of the job's stored record."""
 
 from typing import Annotated, Literal
 
@@ -35,15 +35,15 @@
         "deadline_s": "due_s",
     },
 ):
-    """What a user submits: the tasks of a job, what each needs, and where and by when they are to run.
+    """A job as submitted: its tasks, the resources of each, and where and by when they are to run.
 
-    Resources are those of one task; `_gb` are gigabytes and `_s` seconds.
+    Resources are per task; the suffix `_gb` stands for gigabytes and `_s` for seconds.
     """
 
     id: Name
     job_class: Name
     team: Name
-    # The tasks of a batch run to completion; those of a daemon (a service) are replicas that run until cancelled.
+    # The tasks of a batch job run to completion; those of a daemon (a service) are replicas that run until cancelled.
     form: Literal["batch", "daemon"]
     priority: Literal["production", "high", "normal", "best_effort"]
     tasks: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_JOB)]
@@ -52,16 +52,16 @@
     ram_gb: Amount
     image: Name
     image_gb: Amount
-    # Whether all tasks are to run in one zone, or at most half of them in each.
+    # Whether all tasks must run in one zone, and whether at most half of them may run in each zone.
     one_zone: bool
     spread: bool
     # Whether tasks may run on spot instances.
     spot: bool
     expected_run_time_s: Amount
-    # 0 if the tasks make no checkpoints.
+    # 0 if the tasks write no checkpoints.
     checkpoint_interval_s: Amount
     checkpoint_duration_s: Amount
-    # Where tasks may run; anywhere if None.
+    # The machine types and the zone in which tasks may run; any if None.
     machine_types: list[Name] | None = None
     zone: Name | None = None
     deadline_s: Amount | None = None
--- a/src/elmthread/store/machine_type.py
+++ b/src/elmthread/store/machine_type.py
@@ -1,4 +1,4 @@
-"""A machine type, in the form in which the cloud lists it and the store keeps it."""
+"""A machine type, as the cloud lists it and the store keeps it."""
 
 import msgspec
 
@@ -9,8 +9,8 @@
 ):
     """A machine type as the cloud describes it.
 
-    Prices are for an hour, `boot_s` is the time in seconds until a new machine sends heartbeats, and
-    `cache_gb` is the room for images on its disk.
+    Prices are per hour, `boot_s` is the time in seconds until a new machine sends heartbeats, and
+    `cache_gb` is the disk space for cached images.
     """
 
     name: str
--- a/src/elmthread/store/messages.py
+++ b/src/elmthread/store/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the key-value store, with its words on the wire."""
+"""Messages of the key-value store's protocol; `rename` maps fields to their names on the wire."""
 
 from typing import Any
 
@@ -15,7 +15,7 @@
 
 
 class RangePage(msgspec.Struct, rename={"items": "pairs", "more": "has_next", "revision": "ledger_rev"}):
-    """Some of the keys under a prefix, in order, as of `revision`; `more` of them follow."""
+    """A page of the keys under a prefix, in order, as of `revision`; `more` tells whether others follow."""
 
     items: list[KeyValue]
     revision: int
@@ -42,21 +42,21 @@
 
 
 class WatchEvents(msgspec.Struct, rename={"revision": "ledger_rev", "events": "news"}):
-    """What changed under a prefix up to `revision`; no events if nothing did in time."""
+    """The changes under a prefix up to `revision`; no events if the watch timed out."""
 
     revision: int
     events: list[dict[str, Any]] = []
 
 
 class Comparison(msgspec.Struct, frozen=True, rename={"key": "k", "mod_revision": "stamp"}):
-    """A condition of a transaction: the key was last changed at that revision; 0 if it must not exist."""
+    """A condition of a transaction: the key was last changed at `mod_revision`, or does not exist if that is 0."""
 
     key: str
     mod_revision: int
 
 
 class Put(msgspec.Struct, frozen=True, omit_defaults=True, rename={"key": "put", "lease_id": "hold"}):
-    """Set the key, which expires with the lease if one is named."""
+    """An operation of a transaction: sets the key, which expires with the lease if there is one."""
 
     key: str
     value: Any
@@ -71,10 +71,10 @@
 
 
 def compare(key: str, mod_revision: int) -> Comparison:
-    """Return the condition that the key was last changed at that revision; 0 if it must not exist."""
+    """Return the condition that the key was last changed at `mod_revision`, or does not exist if that is 0."""
     return Comparison(key, mod_revision)
 
 
 def put(key: str, value: Any, lease_id: int | None = None) -> Put:
-    """Return the operation that sets the key, which expires with the lease if one is named."""
+    """Return the operation that sets the key, which expires with the lease if one is given."""
     return Put(key, value, lease_id)
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -1,4 +1,4 @@
-"""Packs waiting writes into the pages of one transaction."""
+"""Packs pending writes into the pages of one transaction."""
 
 import logging
 
@@ -12,22 +12,22 @@
 log = logging.getLogger(__name__)
 
 MAX_TRANSACTION_BYTES = 60 * 1024
-# How long records are written one by one after a transaction was rejected, and pages one by one
-# after a transaction was beyond the rate of changes.
+# How long each transaction writes one record after a transaction was rejected, or one page after a
+# transaction exceeded the store's rate limit.
 ISOLATION_TIME = seconds(30)
 
 
 class WriteLimits(msgspec.Struct, frozen=True):
-    """What the store accepts from one leader."""
+    """Limits on the writes of one leader."""
 
-    # Puts and deletes a second.
+    # Puts and deletes per second.
     changes: TokenBucket
-    # Puts and deletes in a transaction.
+    # Maximum number of puts and deletes per transaction.
     max_operations: int
 
 
 class PageWrite(msgspec.Struct, eq=False):
-    """A page that a transaction writes, with the records that go into it as JSON."""
+    """A page that a transaction writes, and its records as JSON by key."""
 
     page: RecordPage
     number: int
@@ -36,18 +36,18 @@
 
 
 class PageBatch(msgspec.Struct, eq=False):
-    """The pages of one transaction, and the writes that they carry."""
+    """The pages of one transaction, and the writes that they contain."""
 
     pages: list[PageWrite] = msgspec.field(default_factory=list)
     writes: list[PendingWrite] = msgspec.field(default_factory=list)
 
     @property
     def page_sizes(self) -> str:
-        """The bytes of records in each page, for the log."""
+        """The bytes of records in each page, for log messages."""
         return ", ".join(str(page.size) for page in self.pages)
 
     def has_room(self, size: int, capacity: int) -> bool:
-        """Return whether `size` bytes more go into the last page."""
+        """Return whether `size` more bytes fit into the last page."""
         return bool(self.pages) and self.pages[-1].size + size <= capacity
 
     def add(self, write: PendingWrite, text: str, size: int) -> None:
@@ -59,7 +59,7 @@
 
 
 class BatchPacker:
-    """Chooses the writes for the next transaction, within the rate and the limits of the store."""
+    """Selects the writes of the next transaction, within the rate limit and the size limits of the store."""
 
     def __init__(self, queue: WriteQueue, pages: RecordPages, limits: WriteLimits, clock: Clock) -> None:
         """Take writes from `queue` and pages that may be overwritten from `pages`."""
@@ -72,19 +72,19 @@
 
     @property
     def isolates_records(self) -> bool:
-        """Whether each record goes into a transaction of its own now."""
+        """Whether each record is written in a transaction of its own for now."""
         return self._clock() < self._isolate_records_until
 
     def isolate_records(self) -> None:
-        """Put one record into each transaction for a while, so that one that can't be stored is found."""
+        """Write one record per transaction for ISOLATION_TIME, to find the one that can't be stored."""
         self._isolate_records_until = self._clock() + ISOLATION_TIME
 
     def isolate_pages(self) -> None:
-        """Put one page into each transaction for a while, as more are beyond the rate of changes."""
+        """Write one page per transaction for ISOLATION_TIME, as several exceed the store's rate limit."""
         self._isolate_pages_until = self._clock() + ISOLATION_TIME
 
     def pack(self) -> PageBatch:
-        """Return the writes that wait, by priority, in as many pages as the rate and the limits allow."""
+        """Pack pending writes, by priority, into as many pages as the rate limit and the size limits allow."""
         max_pages = self._max_pages()
         isolates_records = self.isolates_records
         capacity = self._pages.capacity
@@ -95,7 +95,7 @@
                 continue
             size = record_bytes(write.key, text)
             if size > capacity:
-                # Never confirmed as durable, so what depends on it is not done; all other work continues.
+                # Never confirmed as durable, so actions that depend on it are not taken; all other work continues.
                 log.error("record %s takes %s bytes, more than a page can hold; it is not written", write.key, size)
                 self._queue.remove(write)
                 continue
@@ -121,10 +121,10 @@
         return min(self._limits.max_operations, affordable, fitting)
 
     def _value_text(self, write: PendingWrite) -> str | None:
-        """Return the record as JSON, None if it is deleted and was never written or is deleted already."""
+        """Return the record as JSON, or None if a record is to be deleted that does not exist."""
         value = write.make_value()
         if value is None and write.key not in self._pages:
-            # There is nothing to delete, which needs no transaction to be durable.
+            # There is nothing to delete, so the write is durable without a transaction.
             self._queue.remove(write)
             write.notify_durable()
             return None
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -1,12 +1,12 @@
-"""Pages of packed records: writing many small records costs the store one change for each page.
+"""Pages of packed records: writing many small records costs the store one change per page.
 
 A page is a key `s/NNNN` whose value holds a sequence number and the text of many records. Each
 transaction fills pages that hold no current record, so the newest version of a record is the one
 in the page with the highest number. Pages are overwritten and never deleted: the modification
-revision of a page only grows, so a transaction that compares it is carried out at most once.
+revision of a page only grows, so a transaction that compares it is executed at most once.
 
-A deleted record is kept as a null for as long as any page holds an older version of it: a reader
-must not find that version again.
+A deleted record is kept as a null (a tombstone) for as long as any page holds an older version of it:
+otherwise a reader would take that version for the newest one.
 """
 
 from collections.abc import Iterable
@@ -19,32 +19,32 @@
 from elmthread.common.errors import ElmthreadError
 
 PAGE_PREFIX = "s/"
-# Room in a page's value for the fields around the text, and for what its quoting adds.
+# Bytes of a page's value that are reserved for the fields around the text and for quoting the text.
 PAGE_OVERHEAD_BYTES = 64
-# A deleted record, as JSON.
+# The tombstone of a deleted record, as JSON.
 DELETED = "null"
-# Pages that may be in use beyond twice what the current records need, before pages are compacted.
+# Number of pages in use, beyond twice what the current records need, above which pages are compacted.
 SPARE_PAGES = 24
 
 
 class PageRecord(msgspec.Struct):
-    """The value of a page: its place in the order of writing, and its records as a JSON object."""
+    """The value of a page: its sequence number, and its records as a JSON object."""
 
     number: int
     text: str
 
 
 class UnreadableRecordError(ElmthreadError):
-    """A stored page or record can't be read; it is named, and never treated as empty."""
+    """A stored page or record can't be read; the message names it, and it is never treated as empty."""
 
 
 def pack_records(records: dict[str, str]) -> str:
-    """Return the text of a page; `records` maps keys to values that are JSON already."""
+    """Return the text of a page; `records` maps keys to values that are already encoded as JSON."""
     return "{" + ",".join(f"{json_text(key)}:{text}" for key, text in records.items()) + "}"
 
 
 def page_capacity(value_kb: float) -> int:
-    """Return how many bytes the records of one page may take, where a value may take `value_kb` KiB."""
+    """Return how many bytes the records of one page may take if a value is limited to `value_kb` KiB."""
     return int(value_kb * 1024) - PAGE_OVERHEAD_BYTES
 
 
@@ -54,9 +54,9 @@
 
 
 def record_bytes(key: str, text: str) -> int:
-    r"""Return the bytes that a record takes at most in a page's value, where its quotes are escaped once more.
+    r"""Return the maximum bytes that a record takes in a page's value, where its quotes are escaped again.
 
-    Characters beyond ASCII count as written out (`\u03b1`), as the store may count them.
+    Non-ASCII characters count as escape sequences (`\u03b1`), as the store may count them so.
     """
     whole = key + text
     size = len(whole) if whole.isascii() else 3 * len(whole.encode("utf-16-le"))
@@ -70,13 +70,13 @@
     mod_revision: int = 0
     # The keys of all records in it, current or not.
     keys: frozenset[str] = frozenset()
-    # The keys of records of which no newer version is durable, and the bytes that these records take.
+    # The keys of the records that have no newer durable version, and the total size of these records.
     current: set[str] = msgspec.field(default_factory=set)
     current_bytes: int = 0
 
 
 class RecordPages:
-    """Where the newest durable version of each record is stored, and which pages may be overwritten."""
+    """Tracks where the newest durable version of each record is stored, and which pages may be overwritten."""
 
     def __init__(self, capacity: int) -> None:
         """Start without pages; each holds up to `capacity` bytes of records (`page_capacity`)."""
@@ -87,7 +87,7 @@
         self._allocated: set[str] = set()
         self._page_of: dict[str, RecordPage] = {}
         self._texts: dict[str, str] = {}
-        # Bytes of all current records, and the keys of pages written when values were allowed to be larger.
+        # Bytes of all current records, and the keys of pages that were written under a larger limit on values.
         self._current_bytes = 0
         self._oversized: set[str] = set()
         # The number of pages that hold a version of each record.
@@ -123,11 +123,11 @@
         return page
 
     def _create(self) -> RecordPage:
-        """Return a page under the first key that none has.
+        """Create a page under the first unused key.
 
-        There may be gaps: of two concurrent transactions, the one for the earlier page can be lost with its
-        leader. Numbering by the count of pages would then choose an existing page, and the comparison with
-        its revision would fail for every leader.
+        Keys may have gaps: of two concurrent transactions, the one for the earlier page can be lost when its
+        leader fails. Numbering by the count of pages would then select an existing page, and the comparison
+        of its revision would fail for every leader.
         """
         keys = (f"{PAGE_PREFIX}{number:04d}" for number in count())
         key = next(key for key in keys if key not in self._pages)
@@ -140,7 +140,7 @@
         self._free.append(page)
 
     def commit(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
-        """Note that an allocated page is durable with these records."""
+        """Record that an allocated page is durable with these records."""
         self._allocated.discard(page.key)
         self._record_content(page, mod_revision, texts)
 
@@ -172,7 +172,7 @@
             self._free.append(page)
 
     def _supersede(self, page: RecordPage, key: str) -> None:
-        """Note that the page's version of the record is no longer current."""
+        """Mark the page's version of the record as no longer current."""
         size = record_bytes(key, self._texts[key])
         page.current.discard(key)
         page.current_bytes -= size
@@ -189,7 +189,7 @@
             return
         self._supersede(page, key)
         del self._page_of[key], self._texts[key]
-        # The null that stays in the page means the same as no record.
+        # The null that stays in the page is equivalent to no record.
         page.keys -= {key}
         del self._copies[key]
 
@@ -202,8 +202,8 @@
     def oversized_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
         """Return as many current records of a page larger than `capacity` as fit into `room` bytes.
 
-        A page from the time of larger values is emptied a few records at a time, as the whole never fits. A
-        record that is itself too large stays, readable, until a newer version of it is written.
+        A page written under a larger limit on values is emptied a few records at a time, as it never fits as a
+        whole. A record that is itself too large stays readable in place until a newer version is written.
         """
         moved: dict[str, str] = {}
         for name in self._oversized:
@@ -218,7 +218,7 @@
         return moved
 
     def smallest_page_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
-        """Return the current records of the page that has the fewest bytes of them, if these fit into `room` bytes."""
+        """Return the current records of the page with the fewest bytes of them, if they fit into `room` bytes."""
         smallest: RecordPage | None = None
         for page in self._pages.values():
             if (
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -23,11 +23,11 @@
 INSTANCE_REQUEST_PREFIX = "r/"
 MACHINE_TYPE_PREFIX = "t/"
 MACHINE_TYPES_KEY = "t/types"
-# Parts of the machine types, where one value can't hold them all. Earlier versions ignore the parts and
+# Parts of the machine types, used if one value can't hold them all. Earlier versions ignore the parts and
 # read the types from the cloud.
 MACHINE_TYPE_PARTS_PREFIX = "y/"
 # The records of a staged rollout, which are not packed, and the packed record that keeps versions without
-# compatibility levels from leading: they read its key and reject its form.
+# compatibility levels from leading: they read its key and reject its format.
 ROLLOUT_PREFIX = "rollout/"
 COMPATIBILITY_FENCE_KEY = "t/compatibility"
 
@@ -53,14 +53,14 @@
 
 
 def types_records(types: list[MachineType], max_bytes: int) -> dict[str, list[MachineType]]:
-    """Return the machine types as one record, or as one for each if that is more than `max_bytes`."""
+    """Return the machine types as one record, or as one record per type if it would exceed `max_bytes`."""
     if record_bytes(MACHINE_TYPES_KEY, json_text(types)) <= max_bytes:
         return {MACHINE_TYPES_KEY: types}
     return {f"{MACHINE_TYPE_PARTS_PREFIX}{number:04d}": [machine_type] for number, machine_type in enumerate(types)}
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
-    """A job; of one that is done only its end is kept.
+    """A job; once it is done, only its state and its number of tasks are kept.
 
     `state` is the value of a `cluster.job.JobState`, `at` the time of submission in seconds since the
     epoch, `chunk` the number of tasks in each of its records of done tasks.
@@ -79,7 +79,7 @@
 
 
 class InstanceRequestRecord(msgspec.Struct, rename={"machine_type": "build"}):
-    """An instance request that the cloud may have carried out."""
+    """An instance request that the cloud may have executed."""
 
     machine_type: str
     zone: str
@@ -88,7 +88,7 @@
 
 
 class DoneRecord(msgspec.Struct):
-    """Done tasks of a chunk: a bit for each, as hexadecimal digits."""
+    """Done tasks of a chunk: one bit per task, as hexadecimal digits."""
 
     marks: str
 
--- a/src/elmthread/store/tests/test_bitmaps.py
+++ b/src/elmthread/store/tests/test_bitmaps.py
@@ -1,4 +1,4 @@
-"""Compressed bitmaps of done tasks, against the plain bits."""
+"""Compressed bitmaps of done tasks: round trips, invalid bitmaps and sizes."""
 
 import base64
 import random
@@ -22,7 +22,7 @@
         marks[task >> 3] |= 1 << (task & 7)
     bitmap = compress(bytes(marks), count)
     assert set(expand(bitmap, MAX_TASKS_PER_CHUNK)) == done
-    # Never much larger than the bits themselves; empty and full ones are small.
+    # Never much larger than the uncompressed bits; empty and full bitmaps are small.
     assert len(bitmap.bits) <= (count + 7) // 8 * 4 / 3 + 20
     if len(done) in (0, count):
         assert len(bitmap.bits) <= 8
@@ -39,7 +39,7 @@
 
 def test_a_bitmap_of_more_tasks_than_its_chunk_is_rejected() -> None:
     bitmap = compress(bytes(32), 256)
-    with pytest.raises(ValueError, match="256 bits where at most 64"):
+    with pytest.raises(ValueError, match="256 bits; at most 64"):
         list(expand(bitmap, 64))
 
 
@@ -49,5 +49,5 @@
     assert tasks % 8 == 0 and 8 <= tasks <= MAX_TASKS_PER_CHUNK
     largest = compress(bytes([0b01010101] * (tasks // 8)), tasks)
     assert len(largest.bits) <= max(24.0, value_kb * 1024 / 8)
-    # In the form of the first level: a hexadecimal digit for four tasks.
+    # The format of compatibility level 1 has one hexadecimal digit per four tasks.
     assert marks_per_chunk(value_kb) / 4 <= max(2.0, value_kb * 1024 / 32)
--- a/src/elmthread/store/tests/test_pages.py
+++ b/src/elmthread/store/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages of packed records: sizes, unreadable pages, and pages from the time of larger values."""
+"""Pages of packed records: sizes, unreadable pages, and pages written under a larger limit on values."""
 
 import json
 
@@ -29,7 +29,7 @@
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 @given(st.dictionaries(st.text(max_size=8), st.text(max_size=40), max_size=6))
 def test_record_bytes_are_never_less_than_what_a_record_takes(records: dict[str, str]) -> None:
-    """Names in any letters: a value that is too large would be refused for ever."""
+    """If sizes were underestimated (as for non-ASCII names), the store would reject the value on every attempt."""
     texts = {key: json_text(value) for key, value in records.items()}
     taken = len(json.dumps(pack_records(texts)))
     assert sum(record_bytes(key, text) for key, text in texts.items()) + PAGE_OVERHEAD_BYTES >= taken
@@ -41,7 +41,7 @@
 
 
 def test_large_pages_are_emptied_record_by_record() -> None:
-    """What larger values held is moved to pages of the new size, whatever its size."""
+    """After the limit on values was lowered, the records of a larger page move to pages of the new capacity."""
     large = RecordPages(page_capacity(16))
     texts = {f"j/{number}": json_text("x" * 300) for number in range(40)}
     texts["j/long"] = json_text("y" * 3000)
@@ -57,10 +57,10 @@
         assert sum(record_bytes(key, text) for key, text in some.items()) <= small.capacity
         small.commit(small.allocate(), mod_revision, some)
         moved |= some
-    # All but what is itself too large, which stays readable where it is.
+    # Only a record that is itself too large stays in the old page, where it is readable.
     assert set(texts) - set(moved) <= {"j/long"} | {key for key in texts if key not in moved}
     assert "j/long" not in moved and "j/long" in small
     assert len(moved) >= 34
-    # Once a newer, smaller version of it is written, nothing keeps the large page.
+    # Once a newer, smaller version of it is written, the large page can be reused.
     small.commit(small.allocate(), 50, {"j/long": json_text("z")})
     assert not small._oversized
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -75,7 +75,7 @@
         for number in range(1200):
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
-        assert len(bench.pages()) <= 20  # a burst of one second's worth, and a second's
+        assert len(bench.pages()) <= 20  # a burst of one second's tokens, and those of one second
         await asyncio.sleep(6)
         assert len(bench.read()) == 1200
         assert bench.store.revision < 60
@@ -100,7 +100,7 @@
 
 
 def test_delayed_duplicate_of_a_transaction_changes_nothing() -> None:
-    """An old value must not come back over a newer one, whenever the store applies it."""
+    """A delayed duplicate must not overwrite a newer value, whenever the store applies it."""
     bench = Bench()
 
     async def script() -> None:
@@ -111,7 +111,7 @@
             bench.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
         bench.trouble.late_share = 0.0
-        # The last write is durable at the latest now; delayed duplicates go on arriving.
+        # After this write is durable, delayed duplicates of earlier transactions still arrive.
         await bench.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
             await asyncio.sleep(0.5)
@@ -163,7 +163,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 400)), max_size=300), st.floats(0.0, 0.3))
 def test_pages_hold_what_a_plain_map_holds(changes: list[tuple[int, int]], lost: float) -> None:
-    """Records are written, rewritten and deleted; a new leader reads what a map would hold."""
+    """After writes, rewrites and deletions, a new leader reads the same records as a dict would hold."""
     bench = Bench()
     plain: dict[str, Any] = {}
 
@@ -196,7 +196,7 @@
 
     async def script() -> None:
         for number in range(2000):
-            # Some records are written once and stay, most are written again and again.
+            # Cold records soon stay unchanged, hot ones are rewritten all the time.
             bench.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
             bench.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
             await asyncio.sleep(0.05)
@@ -220,7 +220,9 @@
 
 
 def test_a_refused_record_is_found_and_blocks_no_other() -> None:
-    """The store accepts less than the settings say: one record can't be stored, and leadership is kept."""
+    """If the store accepts less than the settings say, only the record that can't be stored is dropped.
+
+    The leader keeps leadership, as the next one would send the same transaction."""
     bench = Bench()
     stored: list[str] = []
 
@@ -255,10 +257,10 @@
 
 
 def test_a_page_lost_with_its_leader_is_written_and_none_is_taken_for_new() -> None:
-    """Of two concurrent transactions, only the one with the later page was executed.
+    """Of two concurrent transactions, only the one with the later page was executed, which leaves a gap.
 
-    A leader that numbers new pages by their count would choose an existing one, and would lose leadership by
-    the comparison of its revision.
+    A leader that numbers new pages by their count would select an existing page, and the failed comparison of
+    its revision would end its leadership.
     """
     bench = Bench()
     writer = bench.writer
@@ -277,7 +279,7 @@
         found = bench.read()
         assert {key: found[key] for key in ("k/0", "k/1", "k/3")} == {"k/0": 0, "k/1": 1, "k/3": 3}
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
-        # The gap is closed, so an earlier version, which counts the pages, finds none either.
+        # The gap is filled, so earlier versions, which number new pages by their count, find none either.
         assert f"{PAGE_PREFIX}0002" in bench.store.items
 
     bench.play(script)
--- a/src/elmthread/store/token_bucket.py
+++ b/src/elmthread/store/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: keeps calls within a rate, with tokens held back for more important calls."""
+"""A token bucket: limits the rate of calls, and can reserve tokens for more important ones."""
 
 from dataclasses import dataclass, field
 from datetime import timedelta
@@ -8,7 +8,7 @@
 
 @dataclass
 class TokenBucket:
-    """Holds at most `burst` tokens, starts full and gains `rate` tokens a second."""
+    """Holds at most `burst` tokens, starts full and gains `rate` tokens per second."""
 
     rate: float
     burst: float
@@ -22,24 +22,24 @@
         self._updated_at = self.clock()
 
     def level(self) -> float:
-        """Return how many tokens there are now; below 0 after taking with a negative `keep`."""
+        """Return the number of tokens now; it can be below 0 after `take` with a negative `keep`."""
         now = self.clock()
         self._tokens = min(self.burst, self._tokens + (now - self._updated_at).total_seconds() * self.rate)
         self._updated_at = now
         return self._tokens
 
     def take(self, count: float = 1.0, keep: float = 0.0) -> bool:
-        """Take `count` tokens and return True, or take none if fewer than `keep` would be left."""
+        """Take `count` tokens and return True, or take none and return False if fewer than `keep` would be left."""
         if self.level() - count < keep:
             return False
         self._tokens -= count
         return True
 
     def time_until(self, count: float = 1.0, keep: float = 0.0) -> timedelta:
-        """Return how long it is until `take(count, keep)` can succeed."""
+        """Return the time until `take(count, keep)` can succeed."""
         return seconds(max(0.0, (count + keep - self.level()) / self.rate))
 
     def drain(self) -> None:
-        """Empty the bucket, as the server has refused a call as beyond its rate."""
+        """Empty the bucket after the server refused a call as over its rate limit."""
         self.level()
         self._tokens = min(self._tokens, 0.0)
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -1,4 +1,4 @@
-"""The queue of records to be written, and the keys of records that a transaction is writing."""
+"""The queue of records to be written, and the keys of records in flight in a transaction."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 
 
 class WritePriority(IntEnum):
-    """The order in which records are written, and (see MAX_GATHERING_TIME) how long they may wait for others."""
+    """The order in which records are written, and (see MAX_GATHERING_TIME) how long they may wait to be batched."""
 
     USER = 0
     ASSIGNMENT = 1
@@ -20,7 +20,7 @@
     MAINTENANCE = 3
 
 
-# A record that has waited for this long starts a transaction, which takes other waiting records along.
+# A record that has waited for this long starts a transaction, which includes other pending records.
 MAX_GATHERING_TIME = {
     WritePriority.USER: ZERO,
     WritePriority.ASSIGNMENT: seconds(0.1),
@@ -49,10 +49,10 @@
 
 
 class WriteQueue:
-    """At most one waiting write for each key; a key in flight is not written again until it is finished."""
+    """Holds at most one pending write per key; a key in flight is not written again until it is finished."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start empty; `clock` says since when a write waits."""
+        """Start empty; `clock` tells the time at which writes are added."""
         self._clock = clock
         self.pending: dict[str, PendingWrite] = {}
         self._in_flight: set[str] = set()
@@ -60,13 +60,13 @@
         self.changed = asyncio.Event()
 
     def __contains__(self, key: str) -> bool:
-        """Return whether the record waits or is in flight."""
+        """Return whether a write of the record is pending or in flight."""
         return key in self.pending or key in self._in_flight
 
     def add(
         self, key: str, priority: WritePriority, make_value: MakeValue, on_durable: Callable[[], None] | None
     ) -> None:
-        """Queue a write of the record; one that is queued already takes the newer value and the higher priority."""
+        """Queue a write of the record; one that is already queued gets the newer value and the higher priority."""
         write = self.pending.get(key)
         if write is None:
             write = self.pending[key] = PendingWrite(key, priority, make_value, self._clock())
@@ -89,14 +89,14 @@
             newer.waiting_since = write.waiting_since
 
     def ready(self) -> list[PendingWrite]:
-        """Return the writes whose keys are not in flight, by priority and then by waiting time."""
+        """Return the pending writes whose keys are not in flight, by priority and then by waiting time."""
         return sorted(
             (write for write in self.pending.values() if write.key not in self._in_flight),
             key=lambda write: (write.priority, write.waiting_since),
         )
 
     def next_due(self) -> timedelta | None:
-        """Return when the first write has gathered for long enough, None if all that waits is in flight."""
+        """Return when the first pending write is due, or None if there is none whose key is not in flight."""
         return min(
             (
                 write.waiting_since + MAX_GATHERING_TIME[write.priority]
@@ -107,16 +107,16 @@
         )
 
     def remove(self, write: PendingWrite) -> None:
-        """Remove a waiting write that needs no transaction, or can't have one."""
+        """Remove a pending write that needs no transaction, or can't be stored."""
         del self.pending[write.key]
 
     def start(self, write: PendingWrite) -> None:
-        """Note that a waiting write is now in flight."""
+        """Mark a pending write as in flight."""
         del self.pending[write.key]
         self._in_flight.add(write.key)
 
     def hold(self, keys: Iterable[str]) -> None:
-        """Keep these keys from being written, as a transaction moves their records."""
+        """Mark keys as in flight while a transaction moves their records, so that they are not written."""
         self._in_flight.update(keys)
 
     def finish(self, *keys: Iterable[str]) -> None:
@@ -125,5 +125,5 @@
         self.changed.set()
 
     def keys(self) -> set[str]:
-        """Return all keys that wait or are in flight."""
+        """Return all keys that are pending or in flight."""
         return self._in_flight | self.pending.keys()
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -1,4 +1,4 @@
-"""Group commit: records that changed are packed into few pages and written within the settings' rates.
+"""Group commit: changed records are packed into few pages and written within the configured rate limits.
 
 Every transaction compares the revision of the leader key and of each page that it writes. The first
 comparison keeps a former leader from writing. The second keeps a transaction that is applied late or twice
@@ -41,7 +41,7 @@
 
 
 class WriterStoppedError(ElmthreadError):
-    """The writer of a term has stopped before the record was confirmed as durable."""
+    """The writer of a term stopped before the record was confirmed as durable."""
 
 
 class WriterTerm(Protocol):
@@ -52,7 +52,7 @@
         """The revision of the leader key, which each transaction compares."""
 
     def end_after_conflict(self) -> None:
-        """End the term, if it is still the present one: a transaction found another leader."""
+        """End the term, if it is still the current one, as a transaction has detected another leader."""
 
 
 class RecordWriter:
@@ -61,7 +61,7 @@
     def __init__(
         self, client: KeyValueStore, pages: RecordPages, term: WriterTerm, limits: WriteLimits, clock: Clock
     ) -> None:
-        """Write to `client` under the fencing token of `term`; `pages` knows where each record is stored."""
+        """Write to `client` under the fencing token of `term`; `pages` tracks where each record is stored."""
         self._client = client
         self.pages = pages
         self._term = term
@@ -71,7 +71,7 @@
         self._packer = BatchPacker(self.queue, pages, limits, clock)
         self._futures: set[asyncio.Future[None]] = set()
         self._stopped = False
-        # Since when the store has accepted no transaction, None while it does; users' requests are refused meanwhile.
+        # Since when the store has accepted no transaction, or None; users' requests are refused if this lasts.
         self.failing_since: timedelta | None = None
 
     @property
@@ -135,7 +135,7 @@
                 self.queue.finish(*(page.texts for page in batch.pages))
 
     async def _wait_until_due(self) -> None:
-        """Wait until a record has been queued for its gathering time and the rate allows a change."""
+        """Wait until a pending write is due and the rate limit allows a change."""
         while True:
             now = self._clock()
             due = self.queue.next_due()
@@ -209,8 +209,8 @@
     def _requeue_rejected(self, batch: PageBatch) -> None:
         """Queue the rejected writes again, each record for a transaction of its own.
 
-        A record that is rejected alone is dropped, like one that is too large: what depends on it is not
-        done, and all other work continues. Stepping down would not help, as the next leader would send the
+        A record that is rejected alone is dropped, like one that is too large: actions that depend on it
+        are not taken, and all other work continues. Stepping down would not help, as the next leader would send the
         same transaction.
         """
         if len(batch.writes) == 1 and self._packer.isolates_records:
