--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -12,7 +12,7 @@
 
 
 class WritePriority(IntEnum):
-    """The order in which records are written, and (see MAX_GATHERING_TIME) how long they may wait to be batched."""
+    """The order in which records are written, and (see MAX_BATCHING_DELAY) how long they may wait to be batched."""
 
     USER = 0
     ASSIGNMENT = 1
@@ -21,7 +21,7 @@
 
 
 # A record that has waited for this long starts a transaction, which includes other pending records.
-MAX_GATHERING_TIME = {
+MAX_BATCHING_DELAY = {
     WritePriority.USER: ZERO,
     WritePriority.ASSIGNMENT: seconds(0.1),
     WritePriority.COMPLETION: seconds(0.4),
@@ -99,7 +99,7 @@
         """Return when the first pending write is due, or None if there is none whose key is not in flight."""
         return min(
             (
-                write.waiting_since + MAX_GATHERING_TIME[write.priority]
+                write.waiting_since + MAX_BATCHING_DELAY[write.priority]
                 for write in self.pending.values()
                 if write.key not in self._in_flight
             ),
@@ -115,7 +115,7 @@
         del self.pending[write.key]
         self._in_flight.add(write.key)
 
-    def hold(self, keys: Iterable[str]) -> None:
+    def mark_in_flight(self, keys: Iterable[str]) -> None:
         """Mark keys as in flight while a transaction moves their records, so that they are not written."""
         self._in_flight.update(keys)
 
