--- a/src/elmthread/settings/expressions.py
+++ b/src/elmthread/settings/expressions.py
@@ -1,7 +1,7 @@
-"""Operators' expressions: a small language over a job's fields, checked before start.
+"""Expressions in the operators' settings: a small language over a job's fields, checked at startup.
 
-simpleeval evaluates them. The checks here walk the same syntax tree first, so that a wrong name, a
-wrong type or a costly construct is an error at start and never while the controller runs.
+simpleeval evaluates them. The checks here walk the same syntax tree beforehand, so that an unknown name, a
+type error or a costly construct is an error at startup and never while the controller runs.
 """
 
 import ast
@@ -26,10 +26,10 @@
 
 
 class Expression:
-    """A checked expression of a known type: "number", "text" or "truth"."""
+    """A checked expression of type "number", "text" or "truth"."""
 
     def __init__(self, source: str, names: Mapping[str, str], wanted: str) -> None:
-        """Check the source: it may use `names`, by type, and must have the type `wanted`. Raises ExpressionError."""
+        """Check the source, which may use `names` (name to type) and has type `wanted`. Raises ExpressionError."""
         self.source = source
         if len(source) > MAX_LENGTH:
             raise ExpressionError(f"longer than {MAX_LENGTH} characters")
@@ -47,7 +47,7 @@
         self.names = frozenset(node.id for node in ast.walk(tree) if isinstance(node, ast.Name)) - FUNCTIONS.keys()
 
     def __call__(self, values: Mapping[str, Any]) -> Any:
-        """Return the expression's value for these names. Raises ZeroDivisionError and OverflowError."""
+        """Evaluate with these values of the names. Raises ZeroDivisionError and OverflowError."""
         self._eval.names = dict(values)
         return self._eval.eval(self.source, previously_parsed=self._tree)
 
@@ -105,7 +105,7 @@
 
 
 def _require_all(nodes: list[ast.expr], wanted: str, names: Mapping[str, str]) -> str:
-    """Return the type that all nodes were found to have. Raises ExpressionError."""
+    """Return `wanted`, the type of all nodes. Raises ExpressionError if a node has another type."""
     for node in nodes:
         _require(node, wanted, names)
     return wanted
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -13,10 +13,10 @@
 from elmthread.settings.platform import SettingsError
 from elmthread.settings.rollout import RolloutSettings
 
-# Deadlines after submission, where the expression has no value, and the bounds of its value.
+# Deadlines after submission: the default if the expression has no finite value, and the bounds of its value.
 DEFAULT_DEADLINE_S = 3600.0
 MIN_DEADLINE_S, MAX_DEADLINE_S = 1.0, 30 * 86400.0
-# What an expression may name: fields of the job, and the objective of its class (0: none).
+# Names that an expression may use, with their types: the job's fields and its class's objective (0: none).
 JOB_NAMES = {
     "job_class": "text",
     "team": "text",
@@ -35,7 +35,7 @@
 
 
 class OperatorsFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The operators' file as it is written, not checked yet."""
+    """The contents of the operators' settings file, before validation."""
 
     urgent: str = "form == 'daemon' or priority in ('production', 'high')"
     deadline_s: str = "due_s if due_s > 0 else objective_s if objective_s > 0 else 3600"
@@ -46,10 +46,10 @@
 
 
 class Operators:
-    """The checked settings; the defaults suit a deployment that sets none."""
+    """The validated settings of the operators; the defaults suit a deployment without a file."""
 
     def __init__(self, file: OperatorsFile) -> None:
-        """Check all fields. Raises SettingsError."""
+        """Validate all fields. Raises SettingsError."""
         self._urgent = _expression("urgent", file.urgent, "truth")
         self._deadline = _expression("deadline_s", file.deadline_s, "number")
         self.target_urgent_share = _number("theta", file.theta, 0.05, 1.0)
@@ -65,12 +65,12 @@
         return bool(self._urgent(job))
 
     def deadline(self, job: dict[str, Any]) -> timedelta:
-        """Return how long after its submission a job is to be done, from 1 s to 30 days."""
+        """Return a job's deadline as the time after its submission, from 1 s to 30 days."""
         try:
             value = float(self._deadline(job))
         except (ZeroDivisionError, OverflowError):
             value = DEFAULT_DEADLINE_S
-        # An expression may give any number; a deadline must be one that a clock can hold.
+        # An expression may yield any number; a deadline must fit into a timedelta.
         if not math.isfinite(value):
             value = DEFAULT_DEADLINE_S
         return seconds(min(max(value, MIN_DEADLINE_S), MAX_DEADLINE_S))
@@ -90,7 +90,7 @@
 
 
 def parse(text: str) -> Operators:
-    """Return the settings in a file's text. Raises SettingsError."""
+    """Parse the text of a settings file. Raises SettingsError."""
     try:
         return Operators(msgspec.convert(tomllib.loads(text), OperatorsFile))
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
@@ -98,7 +98,7 @@
 
 
 def load(path: Path | None) -> Operators:
-    """Return the settings in a file, or the defaults without one. Raises SettingsError, naming the file."""
+    """Load a settings file, or return the defaults without one. Raises SettingsError, which names the file."""
     if path is None:
         return Operators(OperatorsFile())
     try:
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -1,6 +1,6 @@
-"""The platform's settings file, checked; unknown fields are ignored.
+"""The platform's settings file and its validation; unknown fields are ignored.
 
-The fields keep the file's names on the outside; `rename` maps them to the terms of the code.
+`rename` maps the names in the file to those in the code.
 """
 
 import math
@@ -16,11 +16,11 @@
 
 
 class SettingsError(ElmthreadError):
-    """A settings file cannot be used; the message is one line that names the field."""
+    """A settings file is unreadable or invalid; the message is one line that names the field."""
 
 
 class PeerController(msgspec.Struct, rename={"node": "node_name", "zone": "site"}):
-    """Another controller, and where it listens for its peers."""
+    """Another controller, and the address at which it listens for peers."""
 
     node: str
     zone: str
@@ -35,7 +35,7 @@
 
 
 class Team(msgspec.Struct):
-    """A team's guarantee and limit, in cores and in GPUs; 0 means that there is none."""
+    """A team's guarantee and limit, in cores and in GPUs; 0 means no guarantee or no limit."""
 
     name: str
     cpus: float = 0.0
@@ -45,12 +45,12 @@
 
     @property
     def cpu_quota(self) -> float:
-        """Cores that the team may use at most."""
+        """Maximum number of cores that the team may use."""
         return self.cpus_max or math.inf
 
     @property
     def gpu_quota(self) -> float:
-        """GPUs that the team may use at most."""
+        """Maximum number of GPUs that the team may use."""
         return self.gpus_max or math.inf
 
 
@@ -66,7 +66,7 @@
 
 
 class WorkerTimes(msgspec.Struct, rename={"heartbeat_interval_s": "report_s", "cancellation_time_s": "cancel_s"}):
-    """Times that workers keep."""
+    """Timing of workers."""
 
     heartbeat_interval_s: float
     lease_s: float
@@ -79,17 +79,17 @@
 
     @property
     def lease(self) -> timedelta:
-        """How long a worker goes on without a response."""
+        """How long a worker continues without a response to its heartbeats."""
         return seconds(self.lease_s)
 
     @property
     def cancellation_time(self) -> timedelta:
-        """How soon all tasks must be gone after a user has read that their job is cancelled."""
+        """The maximum time until all tasks are gone after a user has read that their job is cancelled."""
         return seconds(self.cancellation_time_s)
 
 
 class NextStoreLimits(msgspec.Struct):
-    """Limits that the key-value store will have from some moment on; what is absent does not change."""
+    """Limits that the key-value store will have at some time in the future; absent ones do not change."""
 
     rps: float | None = None
     write_rps: float | None = None
@@ -107,10 +107,10 @@
     next: NextStoreLimits | None = None
 
     def strictest(self) -> "StoreLimits":
-        """Return the stricter of each limit now and next.
+        """Return, for each limit, the stricter of its present and next values.
 
-        The moment of the change is not announced. A controller that keeps both limits from its start need
-        not notice it, and no transaction in flight is refused.
+        The time of the change is not announced. A controller that observes both limits from its start need
+        not detect the change, and no transaction in flight is refused.
         """
         if self.next is None:
             return self
@@ -123,14 +123,14 @@
 
 
 class CloudLimits(msgspec.Struct):
-    """Requests per second that the cloud takes, and how late its list is."""
+    """Limits of the cloud: requests per second, and the lag of its machine list."""
 
     rps: float
     list_lag_s: float
 
     @property
     def list_lag(self) -> timedelta:
-        """How far the cloud's list may lag behind."""
+        """How far the cloud's machine list may lag behind."""
         return seconds(self.list_lag_s)
 
 
@@ -172,11 +172,11 @@
 
     @property
     def members(self) -> frozenset[str]:
-        """The nodes of all controllers, this one included."""
+        """The nodes of all controllers, including this one."""
         return frozenset({self.node, *(peer.node for peer in self.peers)})
 
     def team(self, name: str) -> Team | None:
-        """Return the team of that name, if there is one."""
+        """Return the team with that name, or None."""
         return next((team for team in self.cluster.teams if team.name == name), None)
 
 
@@ -188,7 +188,7 @@
 
 
 def parse_address(address: str) -> Address:
-    """Return the parts of HOST:PORT. Raises ValueError."""
+    """Parse HOST:PORT. Raises ValueError."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(address)
@@ -196,7 +196,7 @@
 
 
 def parse(text: str) -> Platform:
-    """Return the settings in a file's text. Raises SettingsError."""
+    """Parse the text of a settings file. Raises SettingsError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -210,7 +210,7 @@
 
 
 def load(path: Path) -> Platform:
-    """Return the settings in a file. Raises SettingsError, naming the file."""
+    """Load a settings file. Raises SettingsError, which names the file."""
     try:
         return parse(path.read_text())
     except (OSError, UnicodeDecodeError, SettingsError) as error:
--- a/src/elmthread/settings/rollout.py
+++ b/src/elmthread/settings/rollout.py
@@ -1,4 +1,4 @@
-"""The operators' settings of the rollout."""
+"""The operators' settings of staged rollouts."""
 
 import math
 from datetime import timedelta
@@ -12,21 +12,21 @@
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The table `[rollout]`; without it no level is announced or raised."""
+    """The `[rollout]` table; without it, no level is announced or activated."""
 
     enabled: bool = False
-    # How long all announcements must have stood before the level is raised.
+    # How long all announcements must have been in place before the level is raised.
     soak_s: float = 600.0
-    # No level above this one is activated while any node says so.
+    # No level above this one is activated while any node has this setting.
     hold_at: int | None = None
 
     @property
     def soak(self) -> timedelta:
-        """The soak time."""
+        """`soak_s` as a timedelta."""
         return seconds(self.soak_s)
 
     def problem(self) -> str | None:
-        """Return what is wrong with a value, in one line, or None if all values are valid."""
+        """Return a one-line description of an invalid value, or None if all values are valid."""
         if not (math.isfinite(self.soak_s) and 0 <= self.soak_s <= LONGEST_SOAK_S):
             return f"rollout.soak_s: must be from 0 to {LONGEST_SOAK_S:.0f}, is {self.soak_s}"
         if self.hold_at is not None and not FIRST_LEVEL <= self.hold_at <= LAST_LEVEL:
--- a/src/elmthread/settings/tests/test_settings.py
+++ b/src/elmthread/settings/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files and operators' expressions: good ones, and one clear line for each bad one."""
+"""Settings files and operators' expressions: valid ones, and the one-line error for each invalid one."""
 
 from pathlib import Path
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     "text",
     [
-        'urgent = "tasks"',  # a number where a truth is wanted
+        'urgent = "tasks"',  # a number instead of a truth value
         "urgent = \"team == 'a' or colour\"",
         "urgent = \"tasks > 'a'\"",
         "urgent = \"__import__('os')\"",
