--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -36,7 +36,7 @@
 from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.rollout.term import RolloutContext, TermRollout
 from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Platform
+from elmthread.settings.platform import PlatformSettings
 from elmthread.store.client import KeyValueStore
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import RecordPages, page_capacity
@@ -65,7 +65,7 @@
 class NodeServices(msgspec.Struct, frozen=True):
     """What a process has, whoever leads, and its leader uses."""
 
-    platform: Platform
+    platform: PlatformSettings
     operators: Operators
     election: Election
     store: KeyValueStore
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -5,7 +5,7 @@
 from elmthread.common.clock import at_least, at_most, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.settings.platform import Platform
+from elmthread.settings.platform import PlatformSettings
 
 # The duration of the leader's lease.
 LEADER_LEASE = seconds(2)
@@ -27,28 +27,28 @@
 COMPARISONS_PER_OPERATION = 4
 
 
-def max_server_connections(platform: Platform) -> int:
+def max_server_connections(platform: PlatformSettings) -> int:
     """Return how many connections the HTTP server accepts."""
     return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * SERVER_CONNECTION_SHARE))
 
 
-def max_worker_connections(platform: Platform) -> int:
+def max_worker_connections(platform: PlatformSettings) -> int:
     """Return how many of the server's connections workers may use."""
     return max(MIN_WORKER_CONNECTIONS, int(max_server_connections(platform) * WORKER_CONNECTION_SHARE))
 
 
-def max_waiting_requests(platform: Platform) -> int:
+def max_waiting_requests(platform: PlatformSettings) -> int:
     """Return how many requests of users may wait here: about as many as their connections."""
     share = SERVER_CONNECTION_SHARE * (1 - WORKER_CONNECTION_SHARE)
     return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * share))
 
 
-def max_comparisons(platform: Platform) -> int:
+def max_comparisons(platform: PlatformSettings) -> int:
     """Return how many keys one transaction may compare."""
     return COMPARISONS_PER_OPERATION * platform.cluster.store.strictest().txn_ops
 
 
-def grace_period(platform: Platform) -> timedelta:
+def grace_period(platform: PlatformSettings) -> timedelta:
     """Return how long workers may be answered on a lease that is no longer certain."""
     workers = platform.cluster.workers
     return max(
@@ -56,12 +56,12 @@
     )
 
 
-def reachability_bounds(platform: Platform) -> ReachabilityBounds:
+def reachability_bounds(platform: PlatformSettings) -> ReachabilityBounds:
     """Return the times by which links are judged."""
     workers = platform.cluster.workers
     return ReachabilityBounds(LEADER_LEASE, workers.heartbeat_interval, workers.lease)
 
 
-def misdirected_window(platform: Platform) -> timedelta:
+def misdirected_window(platform: PlatformSettings) -> timedelta:
     """Return how long a machine counts that came to a follower because it did not reach the leader."""
     return platform.cluster.workers.lease * HEARTBEAT_OVERDUE_LEASES
