--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -101,7 +101,7 @@
     return _serve(platform_settings, operator_settings)
 
 
-def _serve(platform_settings: platform.PlatformSettings, operator_settings: operators.Operators) -> int:
+def _serve(platform_settings: platform.PlatformSettings, operator_settings: operators.OperatorSettings) -> int:
     from elmthread.controller import Controller
 
     # The modules loaded by now stay, and a leader's state is hardly ever garbage: examining all of it
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -37,7 +37,7 @@
 from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError
 from elmthread.rollout.membership import Membership
 from elmthread.rollout.term import RolloutContext
-from elmthread.settings.operators import Operators
+from elmthread.settings.operators import OperatorSettings
 from elmthread.settings.platform import PlatformSettings, parse_address
 from elmthread.store.client import KeyValueStore
 from elmthread.store.token_bucket import TokenBucket
@@ -60,7 +60,7 @@
     """All parts of one process; to the other controllers, a `peers.handler.PeerMessageHandler`."""
 
     def __init__(
-        self, platform: PlatformSettings, operators: Operators, environment: ControllerEnvironment | None = None
+        self, platform: PlatformSettings, operators: OperatorSettings, environment: ControllerEnvironment | None = None
     ) -> None:
         """Make all parts; `run` starts them."""
         environment = environment or ControllerEnvironment()
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -35,7 +35,7 @@
 from elmthread.reachability.zone_counts import ZoneCounts
 from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.rollout.term import RolloutContext, TermRollout
-from elmthread.settings.operators import Operators
+from elmthread.settings.operators import OperatorSettings
 from elmthread.settings.platform import PlatformSettings
 from elmthread.store.client import KeyValueStore
 from elmthread.store.page_batch import WriteLimits
@@ -66,7 +66,7 @@
     """What a process has, whoever leads, and its leader uses."""
 
     platform: PlatformSettings
-    operators: Operators
+    operators: OperatorSettings
     election: Election
     store: KeyValueStore
     cloud: HttpCaller
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -45,7 +45,7 @@
     rollout: RolloutSettings = RolloutSettings()
 
 
-class Operators:
+class OperatorSettings:
     """The validated settings of the operators; the defaults suit a deployment without a file."""
 
     def __init__(self, file: OperatorsFile) -> None:
@@ -89,18 +89,18 @@
     return value
 
 
-def parse(text: str) -> Operators:
+def parse(text: str) -> OperatorSettings:
     """Parse the text of a settings file. Raises SettingsError."""
     try:
-        return Operators(msgspec.convert(tomllib.loads(text), OperatorsFile))
+        return OperatorSettings(msgspec.convert(tomllib.loads(text), OperatorsFile))
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise SettingsError(str(error)) from error
 
 
-def load(path: Path | None) -> Operators:
+def load(path: Path | None) -> OperatorSettings:
     """Load a settings file, or return the defaults without one. Raises SettingsError, which names the file."""
     if path is None:
-        return Operators(OperatorsFile())
+        return OperatorSettings(OperatorsFile())
     try:
         return parse(path.read_text())
     except (OSError, UnicodeDecodeError, SettingsError) as error:
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -42,6 +42,7 @@
     ("net.http_client", "NotSentError"): ("Withheld",),
     ("peers.connection", "PeerUnreachableError"): ("NotReached",),
     ("peers.network", "PeerNetwork"): ("Peers",),
+    ("settings.operators", "OperatorSettings"): ("Operators",),
     ("settings.operators", "OperatorsFile"): ("Raw",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
@@ -89,7 +90,7 @@
         """Make a controller of the version, with ports to the store and the cloud."""
         return Controller(
             platform.parse(settings),
-            operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
+            operators.OperatorSettings(operators.OperatorsFile(rollout=levels.rollout)),
             ControllerEnvironment(clock, ports.store, ports.cloud, peers, levels.supported),
         )
 
@@ -169,7 +170,7 @@
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
         controller: Controller = self.named("controller", "Controller")(
             self.named("settings.platform", "parse")(settings),
-            self.named("settings.operators", "Operators")(operators_file),
+            self.named("settings.operators", "OperatorSettings")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
