--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -40,7 +40,7 @@
         """Return the response to a request that a user sent to this node."""
         if not self._node.gate.admitted:
             return self._unavailable("not admitted")
-        if self._node.load.rejects(WORK_CLASSES[request.verb]):
+        if self._node.overload_control.rejects(WORK_CLASSES[request.verb]):
             return responses.overloaded("too much to do")
         if self._node.leading_service() is not None:
             return await self._carry_out(request)
@@ -54,10 +54,10 @@
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
             return _reply(request, Response(200 if confirmed else 503))
-        if request.verb == RequestVerb.WHICH_PROCESS:
+        if request.verb == RequestVerb.GET_PROCESS:
             return _reply(request, Response(200, {"process": self._node.gate.process}))
         service = self._node.leading_service()
-        if request.verb in WORK_CLASSES and self._node.load.rejects(WORK_CLASSES[request.verb]):
+        if request.verb in WORK_CLASSES and self._node.overload_control.rejects(WORK_CLASSES[request.verb]):
             return _reply(request, responses.overloaded("too much to do"))
         if service is None or request.fencing_token != service.fencing_token:
             return _reply(request, responses.not_leading())
--- a/src/elmthread/api/job_writes.py
+++ b/src/elmthread/api/job_writes.py
@@ -9,7 +9,7 @@
 from elmthread.common.clock import seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http_messages import Response
-from elmthread.persistence.completions import make_job_record
+from elmthread.persistence.completions import job_record_for_write
 from elmthread.store.records import job_key
 from elmthread.store.write_queue import WritePriority
 from elmthread.store.writer import WriterStoppedError
@@ -54,7 +54,7 @@
     def write(self, job: Job) -> None:
         """Queue a write of the job, in the state that it has when the write is sent."""
         written = self._writer.write_and_wait(
-            job_key(job.id), WritePriority.USER, partial(make_job_record, job), partial(self._mark_durable, job)
+            job_key(job.id), WritePriority.USER, partial(job_record_for_write, job), partial(self._mark_durable, job)
         )
         self._pending[job.id] = written
         written.add_done_callback(partial(self._end, job.id))
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -20,7 +20,7 @@
     peers: PeerNetwork
     # Whether this process may serve at all.
     gate: CompatibilityGate
-    load: OverloadControl
+    overload_control: OverloadControl
     clock: Clock
     # The service of the present term, while this node leads with a complete state.
     leading_service: Callable[[], JobService | None]
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -7,7 +7,7 @@
 from elmthread.api.messages import JobStatus, StatusName
 from elmthread.cluster.job import Job, JobState
 from elmthread.cluster.leases import WorkerLeases
-from elmthread.common.clock import ZERO, at_most, seconds
+from elmthread.common.clock import ZERO, reduce_for_drift, seconds
 from elmthread.leadership.context import TermContext
 from elmthread.net.http_messages import Response
 
@@ -50,7 +50,7 @@
             return Response(status, body.body())
         machines = (allocation.machine for allocation in job.allocations.values())
         ended_by = max(map(self._leases.expires_by, machines), default=ZERO)
-        wait = ended_by - self._clock() - at_most(self._cancellation_time) + MAX_KILL_DELAY
+        wait = ended_by - self._clock() - reduce_for_drift(self._cancellation_time) + MAX_KILL_DELAY
         if wait <= ZERO:
             return Response(status, body.body())
         log.info("the cancellation of job %s can't be confirmed to users for %.1f s", job.id, wait.total_seconds())
--- a/src/elmthread/api/tests/test_command.py
+++ b/src/elmthread/api/tests/test_command.py
@@ -11,7 +11,7 @@
 
 def test_cancel_and_withdraw_are_the_same_command() -> None:
     for verb in ("cancel", "withdraw"):
-        args = cli.parser().parse_args([verb, "--server", "127.0.0.1:1", "run-000412"])
+        args = cli.make_parser().parse_args([verb, "--server", "127.0.0.1:1", "run-000412"])
         assert command._call_for(args) == ("POST", "/submissions/run-000412/withdraw", {})
 
 
--- a/src/elmthread/autoscaling/running_work.py
+++ b/src/elmthread/autoscaling/running_work.py
@@ -36,7 +36,7 @@
         """Return how long a task of the job is expected to run."""
         task_time_s = self._task_time_s.get(job.id)
         if task_time_s is None:
-            task_time_s = self._task_time_s[job.id] = self._run_times.expected(job).total_seconds()
+            task_time_s = self._task_time_s[job.id] = self._run_times.expected_run_time(job).total_seconds()
         return task_time_s
 
     def on_machines(self, names: Iterable[str]) -> HeldWork:
--- a/src/elmthread/autoscaling/tests/test_round.py
+++ b/src/elmthread/autoscaling/tests/test_round.py
@@ -39,14 +39,14 @@
         leader = await filled(world)
         autoscaler, cluster, now = leader.autoscaler, leader.cluster, leader.context.clock()
         asked: list[str] = []
-        expected = leader.run_times.expected
+        expected_run_time = leader.run_times.expected_run_time
 
         class Counted:
             """Run times that record each job that the autoscaler asks for."""
 
-            def expected(self, one: Job) -> timedelta:
+            def expected_run_time(self, one: Job) -> timedelta:
                 asked.append(one.id)
-                return expected(one)
+                return expected_run_time(one)
 
         monkeypatch.setattr(autoscaler._deferrable, "_run_times", Counted())
         checked = 0
@@ -80,7 +80,7 @@
             assert cores == pytest.approx(sum(allocation.job.spec.cpus for allocation in held))
             plain = 0.0
             for allocation in held:
-                whole = expected(allocation.job).total_seconds()
+                whole = expected_run_time(allocation.job).total_seconds()
                 ran = 0.0 if allocation.started_at is None else (now - allocation.started_at).total_seconds()
                 plain += allocation.job.spec.cpus * (
                     whole if allocation.started_at is None else max(whole - ran, whole * 0.2)
--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -19,7 +19,7 @@
 COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
-def parser() -> argparse.ArgumentParser:
+def make_parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
     top = argparse.ArgumentParser(prog="elmthread", description="A cluster scheduler.")
     top.add_argument("--version", action="version", version=f"elmthread {__version__}")
@@ -70,7 +70,7 @@
 
 def main(argv: list[str] | None = None) -> int:
     """Run one command and return its exit code: 0 done, 1 not answered or refused, 2 bad usage or settings."""
-    args = parser().parse_args(argv)
+    args = make_parser().parse_args(argv)
     logs.configure()
     if args.verb in ("serve", "check", "rollout", "links"):
         return _run_controller_command(args)
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from elmthread.cluster.machine import Machine, MachineState
-from elmthread.common.clock import at_least, seconds
+from elmthread.common.clock import extend_for_drift, seconds
 
 # Allowed for a worker to end its tasks once its lease has expired.
 STOP_TIME = seconds(0.5)
@@ -25,7 +25,7 @@
         """
         if machine.last_response_at is None:
             return self._unconfirmed_until
-        until = machine.last_response_at + at_least(self.duration) + STOP_TIME
+        until = machine.last_response_at + extend_for_drift(self.duration) + STOP_TIME
         return max(until, self._unconfirmed_until) if machine.state is MachineState.UNCONFIRMED else until
 
     def time_since_heartbeat(self, machine: Machine, now: timedelta) -> timedelta:
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -47,13 +47,13 @@
         self._classes.setdefault(job_class, _LogRatioMean()).add(value)
         self._all.add(value)
 
-    def correction(self, job_class: str) -> float:
+    def correction_factor(self, job_class: str) -> float:
         """Return the factor by which the class's tasks run longer than their owners expect."""
         mean = self._classes.get(job_class)
         if mean is None or mean.count < MIN_TASKS:
             mean = self._all
         return math.exp(mean.mean) if mean.count >= MIN_TASKS else 1.0
 
-    def expected(self, job: Job) -> timedelta:
+    def expected_run_time(self, job: Job) -> timedelta:
         """Return how long a task of the job is expected to run: its owner's estimate, corrected."""
-        return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction(job.spec.job_class))
+        return seconds(max(job.spec.expected_run_time_s, MIN_RUN_TIME_S) * self.correction_factor(job.spec.job_class))
--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -11,7 +11,7 @@
 DRIFT = 0.001
 
 
-def steady() -> timedelta:
+def steady_clock() -> timedelta:
     """Return the time since an arbitrary moment, by this machine's monotonic clock."""
     return timedelta(seconds=time.monotonic())
 
@@ -21,11 +21,11 @@
     return timedelta(seconds=value)
 
 
-def at_most(span: timedelta) -> timedelta:
+def reduce_for_drift(span: timedelta) -> timedelta:
     """Return the span that, measured here, surely ends before `span` has passed on another clock."""
     return span * (1 - DRIFT)
 
 
-def at_least(span: timedelta) -> timedelta:
+def extend_for_drift(span: timedelta) -> timedelta:
     """Return how long to wait here until the span has surely passed on another clock."""
     return span * (1 + DRIFT)
--- a/src/elmthread/common/features.py
+++ b/src/elmthread/common/features.py
@@ -16,7 +16,7 @@
 # The level of the versions without compatibility levels.
 FIRST_LEVEL = 1
 # A larger number is not a level but a fault.
-LAST_LEVEL = 1_000_000
+MAX_VALID_LEVEL = 1_000_000
 
 
 class Feature(Enum):
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -6,7 +6,7 @@
 
 from elmthread.api.node import ApiNode
 from elmthread.api.routes import RequestRouter
-from elmthread.common.clock import Clock, steady
+from elmthread.common.clock import Clock, steady_clock
 from elmthread.common.features import SUPPORTED, ActiveFeatures, Feature, SupportedLevels
 from elmthread.common.overload import OverloadControl
 from elmthread.leader import Leader, NodeServices
@@ -47,7 +47,7 @@
 class ControllerEnvironment(msgspec.Struct, frozen=True):
     """What a controller runs on; tests replace parts of it."""
 
-    clock: Clock = steady
+    clock: Clock = steady_clock
     # None: the endpoints of the platform.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
@@ -80,7 +80,7 @@
             environment.store or HttpClient(platform.endpoints.store), store_requests, self.reachability.store
         )
         self.rollout = self._make_rollout()
-        self.load = OverloadControl(self.clock)
+        self.overload_control = OverloadControl(self.clock)
         self.election = self._make_election()
         self.leader_runner = LeaderRunner(self._make_node_services(), store_requests, self.peers)
         self.election.add_listener(self.leader_runner)
@@ -127,7 +127,7 @@
             store=self.store,
             cloud=self._environment.cloud or HttpClient(self._platform.endpoints.cloud),
             clock=self.clock,
-            load=self.load,
+            overload_control=self.overload_control,
             reachability=self.reachability,
             rollout=self.rollout,
         )
@@ -138,7 +138,7 @@
             election=self.election,
             peers=self.peers,
             gate=self.rollout.gate,
-            load=self.load,
+            overload_control=self.overload_control,
             clock=self.clock,
             leading_service=self.leader_runner.leading_service,
         )
@@ -218,7 +218,7 @@
         host, port = parse_address(platform.listen)
         await self.server.start(host, port)
         async with asyncio.TaskGroup() as group:
-            group.create_task(self.load.run())
+            group.create_task(self.overload_control.run())
             group.create_task(self.server.close_expired())
             group.create_task(self.peers.run(*parse_address(platform.peer_listen)))
             group.create_task(self.coordinate())
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -76,7 +76,7 @@
             election, reachability = self.services.election, self.services.reachability
             other = None if election.leader == self.services.platform.node else election.leader
             redirection = reachability.redirect(request, other, election.highest_seen_token)
-            if redirection.leader is not None or not await reachability.wait_to_lead():
+            if redirection.leader is not None or not await reachability.wait_until_leading():
                 return redirection.response()
             leader = self.leader
             if leader is None:
--- a/src/elmthread/leadership/candidacy.py
+++ b/src/elmthread/leadership/candidacy.py
@@ -18,7 +18,7 @@
     def on_term_ended(self) -> None:
         """Note that a term of this node has ended before its process did."""
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return how long a follower waits for news of the leader before it asks the key-value store again."""
 
 
@@ -35,6 +35,6 @@
     def on_term_ended(self) -> None:
         """Do nothing."""
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return the usual time."""
-        return usual
+        return default
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -15,12 +15,12 @@
 
 import msgspec
 
-from elmthread.common.clock import ZERO, Clock, at_least, at_most, seconds
+from elmthread.common.clock import ZERO, Clock, extend_for_drift, reduce_for_drift, seconds
 from elmthread.common.states import transition
 from elmthread.leadership.candidacy import CandidacyPolicy, UnrestrictedCandidacy
 from elmthread.leadership.leader_record import LeaderRecord, read_leader_record
 from elmthread.leadership.listener import LeadershipListener
-from elmthread.leadership.role import ROLE_STEPS, Role
+from elmthread.leadership.role import ROLE_TRANSITIONS, Role
 from elmthread.leadership.step_down import StepDownReason
 from elmthread.store import messages
 from elmthread.store.client import (
@@ -94,7 +94,7 @@
         self._listeners.append(listener)
 
     def _set_role(self, role: Role) -> None:
-        self.role = transition(self._node, ROLE_STEPS, self.role, role)
+        self.role = transition(self._node, ROLE_TRANSITIONS, self.role, role)
 
     def holds_lease(self) -> bool:
         """Return whether the lease certainly holds now: this node may write, start tasks and answer users."""
@@ -107,7 +107,7 @@
         if self.holds_lease():
             return True
         since = max(self._lease_certain_until, self._no_later_term_at)
-        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + at_most(self.settings.grace_period):
+        if self.role is Role.LEASE_UNCERTAIN and self._clock() >= since + reduce_for_drift(self.settings.grace_period):
             self.step_down(StepDownReason.GRACE_PERIOD_OVER)
         return self.role is Role.LEASE_UNCERTAIN
 
@@ -133,7 +133,7 @@
 
     def failover_delay(self, worker_lease: timedelta) -> timedelta:
         """Return how long after an election a silent machine may still keep what an earlier leader gave it."""
-        return at_least(self.settings.grace_period + worker_lease) + seconds(1)
+        return extend_for_drift(self.settings.grace_period + worker_lease) + seconds(1)
 
     def observe_term(self, fencing_token: int, leader: str | None) -> None:
         """Note a term that another controller or a worker knows of; a newer one ends this node's own."""
@@ -250,7 +250,7 @@
 
     def _extend_lease(self, sent_at: timedelta) -> None:
         """Count the lease from when the request that was answered was sent."""
-        until = sent_at + at_most(self.settings.ttl) - RESPONSE_MARGIN
+        until = sent_at + reduce_for_drift(self.settings.ttl) - RESPONSE_MARGIN
         self._lease_certain_until = max(self._lease_certain_until, until)
 
     async def _keep_lease(self, lease_id: int) -> None:
--- a/src/elmthread/leadership/role.py
+++ b/src/elmthread/leadership/role.py
@@ -12,7 +12,7 @@
     LEASE_UNCERTAIN = auto()
 
 
-ROLE_STEPS = {
+ROLE_TRANSITIONS = {
     Role.FOLLOWER: frozenset({Role.LEADING}),
     Role.LEADING: frozenset({Role.LEASE_UNCERTAIN, Role.FOLLOWER}),
     Role.LEASE_UNCERTAIN: frozenset({Role.LEADING, Role.FOLLOWER}),
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from elmthread.common.clock import at_least, at_most, seconds
+from elmthread.common.clock import extend_for_drift, reduce_for_drift, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
 from elmthread.settings.platform import PlatformSettings
@@ -52,7 +52,11 @@
     """Return how long workers may be answered on a lease that is no longer certain."""
     workers = platform.cluster.workers
     return max(
-        seconds(0), min(at_most(workers.cancellation_time) - at_least(workers.lease) - CANCEL_SLACK, MAX_GRACE_PERIOD)
+        seconds(0),
+        min(
+            reduce_for_drift(workers.cancellation_time) - extend_for_drift(workers.lease) - CANCEL_SLACK,
+            MAX_GRACE_PERIOD,
+        ),
     )
 
 
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -58,7 +58,7 @@
     def check(self) -> None:
         """Mark overdue machines, release allocations of expired leases, and request deletion of failed machines."""
         now = self._clock()
-        if self._zones.find_unreachable():
+        if self._zones.update_unreachable_zones():
             self._events.notify_changed()
         unreachable_zones, overdue_after = self._zones.unreachable, self._overdue_after
         for machine in list(self._cluster.machines.values()):
@@ -80,7 +80,7 @@
         if machine.state is MachineState.DELETING:
             self._release_expired(machine, now)
             return
-        zone_in_doubt = machine.zone_unreachable or self._zones.is_in_doubt(machine.zone)
+        zone_in_doubt = machine.zone_unreachable or self._zones.is_own_link_suspect(machine.zone)
         allowance = ZONE_OUTAGE_ALLOWANCE if zone_in_doubt else ZERO
         if machine.state is MachineState.BOOTING:
             if now - machine.first_seen_at > self._boot_timeout(machine) + allowance:
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -75,7 +75,7 @@
 
     def is_unavailable(self, kind: InstanceKind) -> bool:
         """Return whether requests for that kind are suspended: its zone is unreachable, or capacity was lacking."""
-        if kind.zone in self._zones.unreachable or self._zones.is_in_doubt(kind.zone):
+        if kind.zone in self._zones.unreachable or self._zones.is_own_link_suspect(kind.zone):
             return True
         refusal = self._refusals.get(kind)
         return refusal is not None and self._clock() < refusal.paused_until
--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -4,7 +4,7 @@
 import logging
 from urllib.parse import parse_qsl, urlsplit
 
-from elmthread.common.clock import Clock, seconds, steady
+from elmthread.common.clock import Clock, seconds, steady_clock
 from elmthread.net.connections import Connection, ConnectionLimit, ConnectionTable
 from elmthread.net.http_messages import READ_BYTES, Handler, Request, Response, encode_response, retry_later
 from elmthread.net.http_parser import MalformedRequestError, ParsedRequest, RequestParser
@@ -18,7 +18,7 @@
     """Serves a bounded number of connections, each with time limits and its requests in order."""
 
     def __init__(
-        self, handler: Handler, max_connections: int, clock: Clock = steady, limit: ConnectionLimit | None = None
+        self, handler: Handler, max_connections: int, clock: Clock = steady_clock, limit: ConnectionLimit | None = None
     ) -> None:
         """Serve with `handler`; `limit` bounds the connections of one class of clients."""
         self._handler = handler
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -16,7 +16,7 @@
     # Whether no process of that node has won a later term than that of the token. An earlier version confirms nothing.
     CONFIRM_NO_LATER_TERM = "vouch"
     # Which process of its node this is. An earlier version refuses the request.
-    WHICH_PROCESS = "process"
+    GET_PROCESS = "process"
 
 
 class LeaderAnnouncement(
--- a/src/elmthread/peers/requests.py
+++ b/src/elmthread/peers/requests.py
@@ -20,9 +20,7 @@
 
         Raises PeerUnreachableError.
         """
-        response = await self._network.request(
-            node, ForwardedRequest(0, RequestVerb.WHICH_PROCESS, ""), RESPONSE_TIMEOUT
-        )
+        response = await self._network.request(node, ForwardedRequest(0, RequestVerb.GET_PROCESS, ""), RESPONSE_TIMEOUT)
         return (response.body or {}).get("process") if response.status == 200 else None
 
     async def confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -22,7 +22,7 @@
         # Set once assignments are durable for which a heartbeat waits, by machine.
         self._waiting: dict[str, asyncio.Event] = {}
 
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         """Make the machine's new allocations durable; after that, their starts may be sent."""
         planned = [
             allocation for allocation in machine.allocations.values() if allocation.state is AllocationState.PLANNED
@@ -34,7 +34,7 @@
             partial(self._mark_committed, machine, planned),
         )
 
-    async def wait_for(self, machine: Machine, timeout: timedelta) -> None:
+    async def wait_until_durable(self, machine: Machine, timeout: timedelta) -> None:
         """Wait until assignments of the machine have become durable, or until `timeout` has passed."""
         event = self._waiting.setdefault(machine.name, asyncio.Event())
         try:
--- a/src/elmthread/persistence/completions.py
+++ b/src/elmthread/persistence/completions.py
@@ -11,7 +11,7 @@
 from elmthread.store.write_queue import WritePriority
 
 
-def make_job_record(job: Job) -> Any:
+def job_record_for_write(job: Job) -> Any:
     """Return the job's record for a write that starts now, and keep which state it holds."""
     job.state_being_written = job.state
     return job_record(job)
@@ -45,7 +45,7 @@
         self._writer.write(
             job_key(job.id),
             WritePriority.COMPLETION,
-            partial(make_job_record, job),
+            partial(job_record_for_write, job),
             partial(self._mark_durable, job, on_durable),
         )
 
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -70,4 +70,4 @@
     def _ends_within(self, allocation: Allocation, time_left: timedelta, now: timedelta) -> bool:
         if allocation.started_at is None or allocation.job.is_service:
             return False
-        return self._run_times.expected(allocation.job) - (now - allocation.started_at) < time_left
+        return self._run_times.expected_run_time(allocation.job) - (now - allocation.started_at) < time_left
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -137,7 +137,7 @@
                 cpus = job.task_count * job.spec.cpus
                 backlog.service_cpus[team.name] = backlog.service_cpus.get(team.name, 0.0) + cpus
                 continue
-            run_time_s = self._run_times.expected(job).total_seconds()
+            run_time_s = self._run_times.expected_run_time(job).total_seconds()
             # Running tasks have about half of their work left.
             core_seconds = (len(job.pending_tasks) + len(job.allocations) / 2) * job.spec.cpus * run_time_s
             min_duration_s = max(run_time_s, core_seconds / team.cpu_quota) if job.pending_tasks else 0.0
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -25,7 +25,7 @@
 class AssignmentSink(Protocol):
     """Makes the assignments of a machine durable."""
 
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         """Write the machine's new allocations; their tasks are started once the write is durable."""
 
 
@@ -92,7 +92,7 @@
             if tasks_left <= 0:
                 break
         for machine in assigned.values():
-            self._assignments.assign(machine)
+            self._assignments.record_assignments(machine)
         return tasks_left <= 0
 
     def requests(self, now: timedelta) -> list[TaskRequest]:
--- a/src/elmthread/placement/tests/test_job_order.py
+++ b/src/elmthread/placement/tests/test_job_order.py
@@ -24,12 +24,12 @@
 
 
 class NoAssignments:
-    def assign(self, machine: Machine) -> None:
+    def record_assignments(self, machine: Machine) -> None:
         pass
 
 
 class SameRunTime(RunTimeModel):
-    def expected(self, job: Job) -> timedelta:
+    def expected_run_time(self, job: Job) -> timedelta:
         return RUN
 
 
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -52,6 +52,6 @@
         """Begin a backoff: a term of this node has ended before its process did."""
         self._reachability.backoff.begin()
 
-    def watch_timeout(self, usual: timedelta) -> timedelta:
+    def watch_timeout(self, default: timedelta) -> timedelta:
         """Return how long a follower waits for news of the leader before it asks the key-value store again."""
-        return min(usual, self._reachability.bounds.follower_watch) if self._reachability.views_active else usual
+        return min(default, self._reachability.bounds.follower_watch) if self._reachability.views_active else default
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -102,7 +102,7 @@
             self.peers.announce()
         return redirection
 
-    async def wait_to_lead(self) -> bool:
+    async def wait_until_leading(self) -> bool:
         """Hold a heartbeat for a moment where this node may lead soon; return whether it does by then.
 
         Without links to other controllers nobody can send the worker to the right one: on its own it would try the
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -32,7 +32,7 @@
         self.unreachable: frozenset[str] = frozenset()
         self.silence_is_rare = True
 
-    def find_unreachable(self) -> bool:
+    def update_unreachable_zones(self) -> bool:
         """Judge which zones seem to be unreachable; return whether that has changed."""
         total = self.counts.total()
         self.silence_is_rare = total.silent <= max(1, RARE_SILENCE_SHARE * total.expected)
@@ -47,7 +47,7 @@
         self.unreachable = unreachable
         return True
 
-    def is_in_doubt(self, zone: str) -> bool:
+    def is_own_link_suspect(self, zone: str) -> bool:
         """Return whether the silence of a zone's machines may be a fault of this node's own link to them."""
         count = self.counts.by_zone().get(zone)
         if count is None or count.expected < MIN_MACHINES_TO_JUDGE or count.silent * 2 <= count.expected:
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -4,7 +4,7 @@
 import sys
 import time
 
-from elmthread.common.clock import steady
+from elmthread.common.clock import steady_clock
 from elmthread.common.features import REGISTRY, SUPPORTED, SupportedLevels
 from elmthread.net.http_client import HttpClient
 from elmthread.rollout.activation import Activate, plan_activation
@@ -21,7 +21,9 @@
 
 def run(platform: PlatformSettings, settings: RolloutSettings) -> int:
     """Print the state of the rollout; return 1 where it can't be read."""
-    client = KeyValueStore(HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady))
+    client = KeyValueStore(
+        HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady_clock)
+    )
     try:
         view = read_view(asyncio.run(read_records(client)).items)
     except (StoreError, UnreadableLevelError) as error:
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -41,7 +41,7 @@
     REFUSED = auto()
 
 
-GATE_STEPS = {
+GATE_TRANSITIONS = {
     GateState.ANNOUNCING: frozenset({GateState.ADMITTED, GateState.REFUSED}),
     GateState.ADMITTED: frozenset({GateState.REFUSED}),
     GateState.REFUSED: frozenset({GateState.ANNOUNCING}),
@@ -81,7 +81,7 @@
             self._admission.set()
 
     def _set_state(self, state: GateState) -> None:
-        self.state = transition(f"gate of {self._membership.node}", GATE_STEPS, self.state, state)
+        self.state = transition(f"gate of {self._membership.node}", GATE_TRANSITIONS, self.state, state)
 
     @property
     def admitted(self) -> bool:
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from elmthread.common.errors import ElmthreadError
-from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL, SupportedLevels
+from elmthread.common.features import FIRST_LEVEL, MAX_VALID_LEVEL, SupportedLevels
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
 from elmthread.store.client import KeyValueStore, PrefixRecords, read_prefix
 from elmthread.store.messages import KeyValue
@@ -24,7 +24,7 @@
 FENCE_KEY = COMPATIBILITY_FENCE_KEY
 PAGE_SIZE = 200
 
-Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=LAST_LEVEL)]
+Level = Annotated[int, msgspec.Meta(ge=FIRST_LEVEL, le=MAX_VALID_LEVEL)]
 
 
 class AnnouncementRecord(msgspec.Struct, omit_defaults=True):
--- a/src/elmthread/settings/rollout.py
+++ b/src/elmthread/settings/rollout.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from elmthread.common.clock import seconds
-from elmthread.common.features import FIRST_LEVEL, LAST_LEVEL
+from elmthread.common.features import FIRST_LEVEL, MAX_VALID_LEVEL
 
 MAX_SOAK_S = 30 * 86400.0
 
@@ -29,6 +29,6 @@
         """Return a one-line description of an invalid value, or None if all values are valid."""
         if not (math.isfinite(self.soak_s) and 0 <= self.soak_s <= MAX_SOAK_S):
             return f"rollout.soak_s: must be from 0 to {MAX_SOAK_S:.0f}, is {self.soak_s}"
-        if self.hold_at is not None and not FIRST_LEVEL <= self.hold_at <= LAST_LEVEL:
-            return f"rollout.hold_at: must be from {FIRST_LEVEL} to {LAST_LEVEL}, is {self.hold_at}"
+        if self.hold_at is not None and not FIRST_LEVEL <= self.hold_at <= MAX_VALID_LEVEL:
+            return f"rollout.hold_at: must be from {FIRST_LEVEL} to {MAX_VALID_LEVEL}, is {self.hold_at}"
         return None
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -87,7 +87,7 @@
         result = self._reconciler.reconcile(machine, heartbeat, now)
         self._responsiveness.observe_starts(machine, result.start_was_lost, now)
         if machine.is_schedulable and self._expects_assignments(machine):
-            await self._assignments.wait_for(machine, ASSIGNMENT_WAIT)
+            await self._assignments.wait_until_durable(machine, ASSIGNMENT_WAIT)
             if not self._term.may_answer_workers():
                 return self._redirect()
         commands = [*result.stops, *removal_commands(machine, result.exited), *self._commands.commands_for(machine)]
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 
 from elmthread.cluster.machine import Machine
-from elmthread.common.clock import at_least, seconds
+from elmthread.common.clock import extend_for_drift, seconds
 from elmthread.workers.messages import HEARTBEAT_RESPONSE_TIMEOUT, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -26,7 +26,7 @@
 
     def __init__(self, lease: timedelta) -> None:
         """Create a monitor; `lease` is how long a worker runs its tasks without a response."""
-        self._recovery_time = at_least(lease) + RECOVERY_MARGIN
+        self._recovery_time = extend_for_drift(lease) + RECOVERY_MARGIN
 
     def observe_heartbeat(
         self, machine: Machine, heartbeat: Heartbeat, responded_at: timedelta | None, now: timedelta
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -130,7 +130,7 @@
 
         def behind(node: str, late: float) -> None:
             for _ in range(10):
-                world.controllers[node].load.record_delay(seconds(late))
+                world.controllers[node].overload_control.record_delay(seconds(late))
 
         async def answers(node: str) -> list[int]:
             submitted = await world.ask("POST", "/submissions", job(1), node=node)
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -146,7 +146,7 @@
         await asyncio.sleep(150)
         assert world.leader is not None and world.leader.leader is not None
         work = world.leader.leader.run_times
-        assert work.correction("gateway") == 1.0 and work.correction("nightly") == 1.0
+        assert work.correction_factor("gateway") == 1.0 and work.correction_factor("nightly") == 1.0
 
     day(script, machines=0)
 
