--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -1,7 +1,7 @@
 """The autoscaling round, which scales the machines by two pressures (see docs/design.md).
 
 The urgent pressure is the share of urgent cores, which is kept in a band. The deferrable pressure is the
-number of groups of tasks that would miss their deadline, which is brought to 0 by the fewest machines.
+number of groups of tasks that would miss their deadline, which is reduced to 0 with the fewest machines.
 """
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
@@ -29,7 +29,7 @@
         run_times: RunTimeModel,
         operators: OperatorSettings,
     ) -> None:
-        """`machines` executes the decisions; `scheduler` has the waiting requests and the quotas."""
+        """Execute decisions through `machines`, and take the waiting requests and the quotas from `scheduler`."""
         self._cluster = context.cluster
         self._clock = context.clock
         self._catalog = machines.catalog
@@ -50,13 +50,13 @@
         self._deferrable_pool.scale_in(view)
         self._deferrable.run(view)
         urgent_cores = self._urgent_band.urgent_cores(view)
-        self._urgent_band.run(view, urgent_cores, self._services.services_run)
+        self._urgent_band.run(view, urgent_cores, self._services.has_services)
         self._draining.run(view, urgent_cores, self._urgent_band.min_share)
 
     def _view(self) -> RoundView:
         now = self._clock()
-        serving: dict[InstanceKind, list[Machine]] = {}
+        machines_by_kind: dict[InstanceKind, list[Machine]] = {}
         for machine in self._cluster.machines.values():
             if machine.provides_capacity(now):
-                serving.setdefault(machine.kind, []).append(machine)
-        return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), serving)
+                machines_by_kind.setdefault(machine.kind, []).append(machine)
+        return RoundView(now, self._scheduler.requests(now), self._scheduler.remaining_quotas(), machines_by_kind)
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -1,4 +1,4 @@
-"""The collaborators that the parts of the autoscaler share, and their common view of one round."""
+"""The dependencies that the parts of the autoscaler share, and their snapshot of the cluster for one round."""
 
 from collections.abc import Iterable, Mapping
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 
 class ScalingContext(msgspec.Struct, frozen=True):
-    """The collaborators of the autoscaler."""
+    """The dependencies of the autoscaler."""
 
     cluster: ClusterState
     machines: MachineControl
@@ -25,14 +25,14 @@
 
 
 class RoundView(msgspec.Struct, frozen=True):
-    """The input of one round, taken at its beginning."""
+    """The input of one round, captured at its start."""
 
     now: timedelta
-    # The waiting requests, in the order in which they are placed, and what each team may still use.
+    # The waiting requests in placement order, and what each team may still use.
     requests: list[TaskRequest]
     remaining_quotas: Mapping[str, RemainingQuota]
     # Machines that accept tasks now or soon, by kind.
-    serving: Mapping[InstanceKind, list[Machine]]
+    machines_by_kind: Mapping[InstanceKind, list[Machine]]
 
     def usable_cores(self, requests: Iterable[TaskRequest]) -> float:
         """Return the cores that the requests could use at once within their teams' quotas."""
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -1,6 +1,6 @@
 """The urgent pressure: keeps the share of urgent cores in a band (Chiron, sections 5.1 and 5.2).
 
-Theta is the centre of the band and delta its half width; both come from the operators' settings.
+Theta is the center of the band and delta half its width; both come from the operators' settings.
 """
 
 from collections import deque
@@ -16,16 +16,16 @@
 from elmthread.cluster.machine_deletion import DeletionReason
 from elmthread.common.clock import seconds
 
-# The window of urgent demand by which theta is adapted, once there is as much history as the second says.
+# Window of urgent demand from which theta is computed, and the minimum history for doing so.
 DEMAND_WINDOW = seconds(300)
 MIN_DEMAND_HISTORY = seconds(60)
 MAX_THETA = 0.9
-# The lowest value of the lower end of the band, however wide the band is.
+# Minimum of the lower end of the band, regardless of its width.
 MIN_URGENT_SHARE = 0.05
 
 
 class BandDecision(Enum):
-    """How to bring the urgent share into its band, or keep it there."""
+    """How to bring the urgent share into the band, or keep it there."""
 
     SCALE_OUT = auto()
     KEEP = auto()
@@ -63,13 +63,13 @@
         return max(self.theta - self._delta, MIN_URGENT_SHARE)
 
     def urgent_cores(self, view: RoundView) -> float:
-        """Return the urgent cores: those booked, and those that waiting tasks could use within their teams' quotas."""
-        booked = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
-        return booked + view.usable_cores(request for request in view.requests if request.urgent)
+        """Return the urgent cores: those allocated, and those that waiting tasks could use within the quotas."""
+        allocated = sum(machine.urgent_cpus for machine in self._cluster.machines.values())
+        return allocated + view.usable_cores(request for request in view.requests if request.urgent)
 
-    def run(self, view: RoundView, urgent_cores: float, services_run: bool) -> None:
-        """Scale out or in, if the urgent share is outside of the band."""
-        self._track_theta(urgent_cores, view.now)
+    def run(self, view: RoundView, urgent_cores: float, has_services: bool) -> None:
+        """Scale out or in if the urgent share is outside the band."""
+        self._update_theta(urgent_cores, view.now)
         machines = [
             m
             for m in self._cluster.machines.values()
@@ -85,13 +85,13 @@
             case BandDecision.SCALE_OUT:
                 self._scale_out(view, urgent_cores, cores)
             case BandDecision.SCALE_IN:
-                unneeded = [m for m in machines if self._is_unneeded(m, view.now, services_run)]
+                unneeded = [m for m in machines if self._is_unneeded(m, view.now, has_services)]
                 self._scale_in(unneeded, urgent_cores, cores)
             case BandDecision.KEEP:
                 pass
 
-    def _track_theta(self, urgent_cores: float, now: timedelta) -> None:
-        """Set theta to the mean-to-peak ratio of the urgent demand in the window."""
+    def _update_theta(self, urgent_cores: float, now: timedelta) -> None:
+        """Update theta to the mean-to-peak ratio of the urgent demand in the window, within its limits."""
         self._demand.append((now, urgent_cores))
         while self._demand[0][0] < now - DEMAND_WINDOW:
             self._demand.popleft()
@@ -113,21 +113,21 @@
         self._offers.request(chosen, for_deferrable_pool=False)
 
     def _scale_in(self, unneeded: Sequence[Machine], urgent_cores: float, cores: float) -> None:
-        """Delete machines, the most expensive first, as far as the share stays in the band."""
+        """Delete machines, the most expensive first, as long as the share stays in the band."""
         max_share = self.theta + self._delta
         for machine in sorted(unneeded, key=lambda m: -m.price_per_core):
             if urgent_cores <= max_share * (cores - machine.cpus):
                 cores -= machine.cpus
                 self._machines.delete_machine(machine, DeletionReason.NOT_NEEDED)
 
-    def _is_unneeded(self, machine: Machine, now: timedelta, services_run: bool) -> bool:
+    def _is_unneeded(self, machine: Machine, now: timedelta, has_services: bool) -> bool:
         """Return whether the machine has been empty for long enough to be deleted.
 
-        While services run, an on-demand machine is kept for as long as another would take to boot, as services
+        While services run, an on-demand machine is kept for as long as another one would take to boot, as services
         may be unable to use any other kind.
         """
         if not machine.is_schedulable or not machine.draining or machine.allocations:
             return False
-        is_kept_longer = services_run and not machine.spot
+        is_kept_longer = has_services and not machine.spot
         max_idle_time = boot_idle_time(machine, self._machines.catalog) if is_kept_longer else MIN_IDLE_TIME
         return now - machine.idle_since > max_idle_time
--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -1,4 +1,4 @@
-"""Frames of the connections between controllers: netstrings, each a message."""
+"""Netstring framing of messages on the connections between controllers."""
 
 import asyncio
 import logging
@@ -14,18 +14,18 @@
 log = logging.getLogger(__name__)
 
 MAX_FRAME_BYTES = 256 * 1024
-READ_BYTES = 64 * 1024
+READ_CHUNK_BYTES = 64 * 1024
 
 
 class RejectedFrames:
-    """Counts frames that can't be read: one is an accident, many are a fault on the other side."""
+    """Counts frames that can't be decoded; a single one may be chance, many indicate a fault of the sender."""
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Start with a count of zero."""
         self.count = 0
 
     def add(self, sender: str, error: Exception) -> None:
-        """Count one more, and log it."""
+        """Count and log a rejected frame."""
         self.count += 1
         log.warning("frame from %s rejected (%s so far): %s", sender, self.count, error)
 
@@ -48,7 +48,7 @@
     idle_timeout_s = None if idle_timeout is None else idle_timeout.total_seconds()
     while True:
         async with asyncio.timeout(idle_timeout_s):
-            data = await reader.read(READ_BYTES)
+            data = await reader.read(READ_CHUNK_BYTES)
         if not data:
             return
         for frame in decoder.feed(data):
@@ -62,9 +62,9 @@
     idle_timeout: timedelta,
     rejected: RejectedFrames,
 ) -> None:
-    """Hand each message to `handle` until the connection ends or what comes is no frame.
+    """Pass each message to `handle` until the connection ends or a frame is malformed.
 
-    A frame that is no message is counted and skipped. Raises TimeoutError and OSError.
+    A frame without a valid message is counted and skipped. Raises TimeoutError and OSError.
     """
     async with aclosing(read_frames(reader, idle_timeout)) as frames:
         try:
--- a/src/elmthread/reachability/tests/stand_ins.py
+++ b/src/elmthread/reachability/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""A clock, bounds and views for the tests of reachability."""
+"""Fixtures for the reachability tests: a manual clock, timeouts and link views."""
 
 from datetime import timedelta
 from typing import Any
@@ -12,13 +12,13 @@
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage, encode_view
 from elmthread.reachability.view_exchange import ViewExchange
 
-# The same examples in every run.
-SAME_EXAMPLES = settings(derandomize=True, database=None, deadline=None)
+# Hypothesis settings with the same examples in every run.
+DETERMINISTIC_SETTINGS = settings(derandomize=True, database=None, deadline=None)
 BOUNDS = ReachabilityBounds(seconds(2), seconds(3), seconds(12))
 
 
 class ManualClock:
-    """A clock that is set by hand."""
+    """A clock that tests advance explicitly."""
 
     def __init__(self) -> None:
         self.now = seconds(100)
@@ -26,12 +26,12 @@
     def __call__(self) -> timedelta:
         return self.now
 
-    def advance(self, span: float) -> None:
-        """Time goes on."""
-        self.now += seconds(span)
+    def advance(self, duration_s: float) -> None:
+        """Advance the clock by that many seconds."""
+        self.now += seconds(duration_s)
 
 
-def announced_by(one: ViewExchange, **changes: Any) -> msgspec.Raw:
-    """The view of a node with a confirmed link to the key-value store."""
-    view = LinkViewMessage(one.next_number(), one.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
+def encode_view_of(exchange: ViewExchange, **changes: Any) -> msgspec.Raw:
+    """Return the encoded view of a node with a confirmed link to the key-value store."""
+    view = LinkViewMessage(exchange.next_number(), exchange.echoes(), LinkStatus(LinkState.CONFIRMED, 0.1), {})
     return msgspec.Raw(encode_view(msgspec.structs.replace(view, **changes)))
