--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -32,7 +32,7 @@
     """Executes requests if this node is the leader, and forwards them to the leader otherwise."""
 
     def __init__(self, node: ApiNode, readiness: Readiness) -> None:
-        """Initialize with `readiness`, which decides whether users may keep their connection to retry on this node."""
+        """Initialize with `readiness`, which decides whether a response that asks for a retry closes the connection."""
         self._node = node
         self._readiness = readiness
 
--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -1,4 +1,4 @@
-"""The deferrable pool: machines requested for late groups, deleted once they are idle."""
+"""The deferrable pool: machines requested for deferrable tasks that would be late, deleted once they are idle."""
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
 from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -119,8 +119,8 @@
         if not offers:
             return
         inexpensive = self._offers.without_expensive(offers)
-        # Expensive instances are requested only for work that would miss its latest deadline without them, or
-        # that no machine can run at all.
+        # Expensive instances are requested only for work that no machine can run at all, or that would otherwise
+        # miss even its `Job.latest_deadline`.
         use_latest_deadline = not inexpensive and bool(machine_set.machines)
         offers = inexpensive or offers
         boot_s = min(offer.boot_s for offer in offers)
@@ -198,7 +198,7 @@
         age_s = (view.now - machine.first_seen_at).total_seconds()
         if age_s >= boot_s * MAX_BOOT_TIME_FACTOR:
             return None
-        # Rounded to whole seconds, so that machines that boot at about the same time are merged.
+        # Rounded to whole seconds, so that the supplies of machines that boot at about the same time are merged.
         return CoreSupply(float(max(1, round(boot_s * BOOT_TIME_FACTOR - age_s))), machine.cpus)
 
     def _job(self, request: TaskRequest) -> Job:
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -25,7 +25,7 @@
 
     groups: Sequence[DeadlineGroup]  # in order of deadline
     core_seconds_ahead: float
-    usable_cores: float  # that tasks could use at once; no more are requested
+    usable_cores: float  # that tasks could use at once beyond the present supplies; no more are requested
 
 
 def fewest_instances(
@@ -37,7 +37,7 @@
     """Return the fewest instances that leave no feasible group late; among those, approximately the cheapest.
 
     A group is feasible if enough instances, requested now, would still let it meet its deadline. If even
-    `max_count` instances leave a feasible group late, return as many as waiting tasks could use.
+    `max_count` instances leave a feasible group late, return as many of these as waiting tasks could use.
     """
     offers = [offer for offer in offers if offer.cores > 0 and offer.max_count > 0]
     if not offers or not backlog.groups:
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -173,7 +173,11 @@
 
 
 def _capacity_for_replicas(machine: Machine) -> FreeCapacity:
-    """Return the capacity left by urgent tasks, whose GPUs and memory are estimated by their share of the used CPUs."""
+    """Return the capacity that the machine would have for more replicas if its deferrable tasks were preempted.
+
+    Urgent tasks, which include replicas, keep their resources; their GPUs and memory are estimated by their share
+    of the used CPUs.
+    """
     urgent_fraction = machine.urgent_cpus / machine.cpus_used if machine.cpus_used else 0.0
     return FreeCapacity(
         machine.name,
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -20,7 +20,7 @@
 DEMAND_WINDOW = seconds(300)
 MIN_DEMAND_HISTORY = seconds(60)
 MAX_THETA = 0.9
-# Minimum of the lower end of the band, regardless of its width.
+# Lower limit of `UrgentBand.min_share`, the lower end of the band of the urgent share, for any theta and delta.
 MIN_URGENT_SHARE = 0.05
 
 
--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -15,7 +15,8 @@
 Subparsers: TypeAlias = "argparse._SubParsersAction[argparse.ArgumentParser]"
 
 OK, BAD_SETTINGS = 0, 2
-# For `gc.set_threshold`: net allocations before a collection, then collections of a generation before one of the next.
+# For `gc.set_threshold`: allocations minus deallocations that trigger a collection of generation 0, then how many
+# collections of generations 0 and 1 each trigger one of the next generation.
 COLLECTION_THRESHOLDS = (20_000, 20, 50)
 
 
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -73,7 +73,8 @@
         return JobPolicy(
             self._operators.deadline(variables),
             self._objectives.latest_deadline_factor(spec),
-            # Services never complete, so no deadline can make them urgent: they always are, whatever the operators say.
+            # Services are urgent regardless of the operators' expression. They never complete, so an expression that
+            # depends on a deadline would not make them urgent.
             spec.form == SERVICE or self._operators.urgent(variables),
         )
 
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -10,7 +10,7 @@
 
 
 class WorkerLeases:
-    """The worker leases of all machines, with every renewal that this or an earlier leader may have sent."""
+    """Computes when worker leases expire, assuming every renewal that this or an earlier leader may have sent."""
 
     def __init__(self, duration: timedelta, unconfirmed_until: timedelta) -> None:
         """Take `unconfirmed_until` as the time until which a machine may run what an earlier leader started."""
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -87,10 +87,10 @@
     cpus_used: float = 0.0
     gpus_used: float = 0.0
     memory_gb_used: float = 0.0
-    # CPUs used by urgent jobs, and CPUs used by replicas of services, for autoscaling.
+    # CPUs used by urgent jobs including services, and CPUs used by services alone, for autoscaling.
     urgent_cpus: float = 0.0
     service_cpus: float = 0.0
-    # Number of allocations by job, and the maximum size of the machine's stored record.
+    # Number of allocations by job, and an upper bound of the present size of the machine's stored record.
     task_counts: dict[str, int] = field(default_factory=dict)
     record_bytes: int = 0
     # Attempts whose completion is not durable yet; the worker is told to remove them once it is.
@@ -109,7 +109,8 @@
     # Its whole zone seems to be unreachable: its capacity is not counted, but the machine is kept for a while.
     zone_unreachable: bool = False
     last_response_at: timedelta | None = None
-    # Whether its last heartbeat came on a connection on which the response to the previous one had arrived.
+    # Whether its last heartbeat indicates that responses arrive: a response had been sent on the same connection,
+    # or the heartbeat followed the previous one sooner than it would after a response timeout.
     receives_responses: bool = False
     # Since when there is evidence that responses to the machine get lost. Heartbeats alone do not prove that
     # commands arrive, so the machine gets no new tasks until its heartbeats show that responses do.
--- a/src/elmthread/cluster/run_times.py
+++ b/src/elmthread/cluster/run_times.py
@@ -1,4 +1,4 @@
-"""Run-time estimates: the owners' expectations, corrected by the run times observed for each class of job.
+"""Run-time estimates: those of the job owners, corrected by the run times observed for each class of job.
 
 The mean logarithm of the ratio of run time to estimate is kept for each class, with more weight on recent
 tasks. A class with too few tasks uses the mean of all classes, as owners often err in the same way. (Chiron,
@@ -15,7 +15,7 @@
 
 # Weight of the newest task in a mean; the first tasks of a class are weighted equally.
 NEWEST_WEIGHT = 0.05
-# Tasks before a mean is used.
+# A mean is used only if at least this many tasks are included in it.
 MIN_TASKS = 5
 MIN_RUN_TIME_S = 0.5
 MIN_RUN_TIME_RATIO, MAX_RUN_TIME_RATIO = 0.02, 50.0
@@ -33,7 +33,7 @@
 
 
 class RunTimeModel:
-    """Corrects the owners' estimates by the run times that were observed in this term."""
+    """Corrects the job owners' estimates by the run times that were observed in this term."""
 
     def __init__(self) -> None:
         """Start without observations, so estimates are not corrected."""
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -16,12 +16,12 @@
 
 
 def job_entry_bytes(job_id: str) -> int:
-    """Return the bytes in a machine's record for a job with tasks there: `"ID":[],`, its quotes escaped."""
+    """Return the size in bytes of a job's entry in a machine's record, without tasks: `"ID":[],`, quotes escaped."""
     return len(job_id) + 8
 
 
 def task_entry_bytes(task: int, attempt: int) -> int:
-    """Return the bytes in a machine's record for a task there: `TASK,ATTEMPT,`."""
+    """Return the size in bytes of a task's entry in a machine's record: `TASK,ATTEMPT,`."""
     return len(str(task)) + len(str(attempt)) + 2
 
 
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -187,7 +187,7 @@
         self._features.raise_level(level)
 
     def make_announcement(self) -> LeaderAnnouncement:
-        """Return an announcement of the leader that this controller knows of and of the state of its links."""
+        """Return an announcement of the known leader, and of the state of this controller's links."""
         fencing_token = self.election.highest_seen_token
         misdirected = self.reachability.misdirected.summarize(fencing_token)
         announcement = LeaderAnnouncement(
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -63,7 +63,7 @@
 
 
 class NodeServices(msgspec.Struct, frozen=True):
-    """Services of the process that exist independently of its terms and that its leader uses."""
+    """Services that exist once per process, and that the `Leader` of each term uses."""
 
     platform: PlatformSettings
     operators: OperatorSettings
--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -39,7 +39,8 @@
 RESPONSE_MARGIN = seconds(0.15)
 RETRY_INTERVAL = seconds(0.3)
 WATCH_TIMEOUT = seconds(10)
-# Spreads the candidacies of nodes, as each of several simultaneous ones uses up a write of the store's rate limit.
+# Maximum random delay of a candidacy. If several nodes become candidates at the same time, each candidacy takes a
+# write from the store's rate limit, although only one can succeed.
 MAX_CANDIDACY_JITTER_S = 0.05
 # Renewals within the duration of a lease.
 RENEWALS_PER_LEASE = 5
@@ -48,7 +49,7 @@
 
 
 class ElectionSettings(msgspec.Struct, frozen=True):
-    """The name of this node and the durations of its terms."""
+    """The name of this node, the duration of the leader's lease, and the grace period after it."""
 
     node: str
     # The duration of the leader's lease.
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -20,7 +20,7 @@
 # service replicas, it is deleted early: they can be restarted once the deletion is confirmed, which is before
 # the lease expires. This is worth the loss of a few machines that only hang.
 PROBABLY_DEAD_LEASES = 0.6
-# A machine that has not received responses for this long is deleted.
+# A machine that has received no responses for this many lease durations is deleted.
 RESPONSES_LOST_LEASES = 3
 # Added to the boot and heartbeat timeouts of machines in a zone that appears unreachable, as they may be
 # reachable again sooner than replacements would boot.
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -43,7 +43,7 @@
         return max(self._cloud.list_lag / 2, seconds(CALLS_PER_LIST_CALL * pages / self._cloud.rate_limit.rate))
 
     async def refresh(self) -> None:
-        """Read all pages of the list and reconcile with it; the caller has taken the token for the first page."""
+        """Read all pages of the list and reconcile with it; the caller has taken its first rate-limit token."""
         machines: list[ListedMachine] = []
         after = None
         try:
@@ -74,7 +74,7 @@
                 self._observe_missing(machine, now)
 
     def forget(self, name: str) -> None:
-        """Drop the missed lists of a deleted machine."""
+        """Drop the count of consecutive lists that a deleted machine was missing from."""
         self._missed_lists.pop(name, None)
 
     def _observe(self, listed: ListedMachine, now: timedelta) -> None:
--- a/src/elmthread/machines/machine_type_updater.py
+++ b/src/elmthread/machines/machine_type_updater.py
@@ -22,7 +22,7 @@
         self._catalog = catalog
 
     async def update(self) -> None:
-        """Read the types into the catalog; if it was empty, store them too."""
+        """Read the types from the cloud into the catalog; if it was empty, also write them to the key-value store."""
         try:
             types = await self._cloud.machine_types()
         except (CloudError, NoCapacityError) as error:
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -87,7 +87,7 @@
 
 @lru_cache(maxsize=512)
 def _encode_head(status: int, content_length: int, retry_after_s: int | None, close: bool) -> bytes:
-    """Return the status line and headers as h11 encodes them; cached, as responses have few distinct heads."""
+    """Encode the status line and headers with h11. The result is cached, as responses have few distinct heads."""
     headers = [(b"content-type", b"application/cbor"), (b"content-length", b"%d" % content_length)]
     if retry_after_s is not None:
         headers.append((b"retry-after", b"%d" % retry_after_s))
--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -19,7 +19,7 @@
         """Record the assignments of the term of `context`."""
         self._writer = context.writer
         self._features = context.features
-        # By machine for which a heartbeat handler waits: set once new assignments are durable.
+        # By name of a machine for which a heartbeat handler waits: the event is set once new assignments are durable.
         self._durable_events: dict[str, asyncio.Event] = {}
 
     def record_assignments(self, machine: Machine) -> None:
--- a/src/elmthread/persistence/layout_migration.py
+++ b/src/elmthread/persistence/layout_migration.py
@@ -10,7 +10,7 @@
 
 
 class LayoutMigration:
-    """Writes records of the earlier layout into pages, and then the layout record."""
+    """Writes records of the earlier layout into pages, then the layout record, which marks the migration as done."""
 
     def __init__(self, writer: RecordWriter) -> None:
         """Write through `writer`, which must have loaded the pages."""
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -54,7 +54,11 @@
         """Whether the records of the level are read; the fence is always read."""
 
     def load(self, items: Iterable[messages.KeyValue], packed_records: Mapping[str, Any], /) -> None:
-        """Read the level and the fence. Raises an error for a level that this process does not support."""
+        """Read the active level from `items` and the compatibility fence from `packed_records`.
+
+        Versions that know no levels can't read the fence, so they do not lead with formats that they would misread.
+        Raises an error for a level that this process does not support.
+        """
 
 
 class StateLoader:
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -97,7 +97,10 @@
         return SortKey(PlacementClass.ON_TIME, 0, due_s)
 
     def _promote_postponed(self, postponed: list[tuple[timedelta, TaskRequest]]) -> list[TaskRequest]:
-        """Split off tasks of the postponed requests within POSTPONED_CORE_SHARE, to be placed with on-time jobs."""
+        """Split off tasks of the postponed requests, oldest job first, to be placed with those of on-time jobs.
+
+        With the tasks that they already run, these jobs get at most POSTPONED_CORE_SHARE of the cores.
+        """
         requests = []
         cores = POSTPONED_CORE_SHARE * sum(
             machine.cpus for machine in self._cluster.up_machines() if machine.is_schedulable
--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -56,7 +56,8 @@
         duration = min(longest, self._bounds.min_backoff * 2**self._recent_count)
         if duration < longest:
             self._recent_count += 1
-        # The first backoff would have no effect if it were shorter than the time for which leadership may be vacant.
+        # Jitter must not shorten a backoff below `min_backoff`: leadership may be vacant for that long, so a shorter
+        # first backoff would have no effect.
         jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
         return max(jittered, self._bounds.min_backoff)
 
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -28,7 +28,7 @@
 class LinkViewMessage(
     msgspec.Struct, omit_defaults=True, rename={"in_backoff": "resting", "successor_fencing_token": "successor_token"}
 ):
-    """A node's view of its links, with the age of each. It confers no leadership."""
+    """A node's view of its links, with the age of each. It never makes a node the leader; only the election does."""
 
     # The sequence number of this message, which the others echo.
     number: Count
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -19,9 +19,10 @@
 
 # The largest number of heartbeats in an announced sample, taken from the latest ones.
 MAX_SAMPLE = 16
-# Workers are redirected to the leader only while no larger share of all machines has sent misdirected heartbeats.
+# Workers are redirected to the leader only while at most this share of all machines sends misdirected heartbeats.
 MAX_REDIRECTED_SHARE = 0.1
-# At this number and this share of all machines, they are announced immediately instead of at the next interval.
+# Once at least this number and this share of all machines send misdirected heartbeats, these are announced
+# immediately instead of at the next interval.
 MIN_URGENT_COUNT = 2
 MIN_URGENT_SHARE = 0.01
 
--- a/src/elmthread/reachability/view_exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -1,8 +1,8 @@
 """Exchange of link views with the other nodes, whose echoes confirm the links to them.
 
 Each node numbers its messages and records when it sent them. A message that echoes one of this node's numbers was
-created after that message was sent. It therefore confirms the link in both directions, and limits the age of its own
-content by this node's clock, however long it was delayed.
+created after that message was sent. It therefore confirms the link in both directions. By this node's clock, its
+content is at most as old as the echoed message, even if it was delayed.
 """
 
 import logging
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -2,8 +2,8 @@
 
 `rollout/nodes/NODE` is a controller's announcement and the only record besides the leader key that a
 follower writes. `rollout/level` is the active level, written by the leader. Versions that know no levels
-read neither prefix. The fence is stored in the record pages under a key that those versions do read, in a format
-that they reject.
+read neither prefix. The fence is a record that keeps those versions from leading with formats that they would misread:
+it is stored in the record pages under a key that they do read, in a format that they reject.
 """
 
 from collections.abc import Iterable
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -48,7 +48,7 @@
 
     @property
     def supported(self) -> SupportedLevels:
-        """The levels whose forms this process reads."""
+        """The levels whose formats this process reads."""
         return self.membership.supported
 
 
@@ -71,7 +71,7 @@
 
     @property
     def supported(self) -> SupportedLevels:
-        """The levels whose forms this process reads."""
+        """The levels whose formats this process reads."""
         return self._rollout.supported
 
     @property
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -8,7 +8,7 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """The levels, members and process that a node has announced last."""
+    """A node's latest announcement: the levels it supports, the cluster members in its settings, and its process."""
 
     levels: SupportedLevels
     members: frozenset[str]
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -16,7 +16,7 @@
 
 
 def marks_per_chunk(value_kb: float) -> int:
-    """Return the number of tasks in an uncompressed chunk, where a hexadecimal digit holds four tasks."""
+    """Return the number of tasks in an uncompressed chunk: a string of hexadecimal digits, with one bit per task."""
     return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_MARKS_VALUE_FRACTION) * 4 // 8 * 8))
 
 
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -235,7 +235,7 @@
         self._committed(batch, revision)
 
     async def _revision_if_written(self, write: PageWrite) -> int | None:
-        """Return the revision of the page if it holds what was sent, None if another leader wrote it."""
+        """Return the revision of the page if it holds what was sent; None if it does not or this writer is stopped."""
         while not self._stopped:
             try:
                 item = await self._client.get(write.page.key)
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -48,7 +48,11 @@
         self._rejected_count = 0
 
     async def handle(self, request: Request) -> Response:
-        """Return the response to a heartbeat, after a short wait if new assignments are expected."""
+        """Return the response to a heartbeat.
+
+        For a schedulable machine, it is delayed by up to ASSIGNMENT_WAIT if assignments are becoming durable, or if
+        the machine has a free CPU and tasks are waiting.
+        """
         try:
             heartbeat = messages.read_heartbeat(decode_body(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
