--- a/src/elmthread/api/tests/test_job_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -18,7 +18,7 @@
 from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.specs import job as submission_body
-from tests.world.term import SureTerm, term_context
+from tests.world.term import StubTerm, term_context
 
 
 class FakeWriter:
@@ -60,7 +60,7 @@
 
 
 def job_service(max_waiting: int = 5) -> tuple[SimLoop, FakeWriter, TermContext, JobService]:
-    loop, writer, term = SimLoop(), FakeWriter(), SureTerm(7)
+    loop, writer, term = SimLoop(), FakeWriter(), StubTerm(7)
     asyncio.set_event_loop(loop)
     context = term_context(loop.clock, ClusterState(100), writer, term)
     leases = WorkerLeases(seconds(17), seconds(0))
@@ -102,7 +102,7 @@
         assert (await cancellation).body["status"] == "cancelled"
         assert service.status("run-000001").body["status"] == "cancelled"
         # A leader whose lease may have expired confirms nothing, although it holds the job's state.
-        cast(SureTerm, context.term).sure = False
+        cast(StubTerm, context.term).lease_valid = False
         assert (await submit(service, 1)).status == 503 and (await service.cancel("run-000001")).status == 503
 
     play(main(), loop)
