--- a/tests/trace/__init__.py
+++ b/tests/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces of seeded days in the simulated world, as wire forms only, to compare two versions of the code."""
+"""Traces of the wire messages of seeded simulated days, to compare two versions of the code."""
--- a/tests/trace/__main__.py
+++ b/tests/trace/__main__.py
@@ -1,6 +1,6 @@
-"""`python -m tests.trace [DIRECTORY]`: plays all days and prints a digest and the number of lines of each.
+"""`python -m tests.trace [DIRECTORY]`: runs all days and prints a digest and the number of lines of each.
 
-With a directory each day's lines go into a file there, so that those of two versions can be compared by diff.
+With a directory, the lines of each day are written to a file there, so that diff can compare two versions.
 """
 
 import hashlib
@@ -16,7 +16,7 @@
 
 
 def trace(day: tuple[str, int]) -> tuple[str, str]:
-    """Plays one day; its name with the seed, and its lines."""
+    """Run one day; return its name with the seed, and its lines."""
     name, seed = day
     try:
         return f"{name}-{seed}", "".join(f"{line}\n" for line in play_day(name, seed))
@@ -25,7 +25,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Plays all days in a pool of processes, each day in a fresh one."""
+    """Run all days in a pool of processes, each day in a new process."""
     if os.environ.get("PYTHONHASHSEED") != "0":
         command = [sys.executable, "-m", "tests.trace", *arguments]
         os.execve(sys.executable, command, os.environ | {"PYTHONHASHSEED": "0"})
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -1,4 +1,4 @@
-"""The days that are traced: a script for each, and what is set before the world begins."""
+"""The simulated days that are traced: a script for each, and the preparation of its world."""
 
 import asyncio
 import random
@@ -13,18 +13,18 @@
 
 Script = Callable[[World, random.Random], Awaitable[None]]
 MACHINES = 16
-# The level from which on controllers exchange views of their links.
+# The level from which controllers exchange views of their links.
 LEVEL = 3
 
 
 async def ordinary(world: World, rng: random.Random) -> None:
-    """Jobs of all forms, questions, cancellations and spot machines that are taken back."""
+    """Submit, query and cancel jobs of all forms, and interrupt spot machines."""
     await asyncio.gather(use(world, rng, 45), take_back(world, rng, 4, 25.0))
     await ask_until_end(world, rng, 200.0)
 
 
 async def outage(world: World, rng: random.Random) -> None:
-    """Slow the store, lose and repeat its responses, take it down, and lower its limit."""
+    """Lose responses, delay and duplicate requests, take the store down, and lower its limit."""
     users = asyncio.ensure_future(use(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
@@ -49,7 +49,7 @@
 
 
 async def cuts(world: World, rng: random.Random) -> None:
-    """Cuts of single links and of a zone, while machines hang, die and fail their tasks."""
+    """Cut single links and a zone, while machines hang, stop and fail their tasks."""
     users = asyncio.ensure_future(use(world, rng, 35))
     await asyncio.sleep(12)
     names = sorted(world.workers)
@@ -95,11 +95,11 @@
 
 
 async def levels(world: World, rng: random.Random) -> None:
-    """Nodes of the version before are replaced one by one, the level rises, and links are cut under it."""
+    """Upgrade nodes of the previous version one by one, wait for the new level, and cut links with it active."""
     users = asyncio.ensure_future(use(world, rng, 40))
     await asyncio.sleep(12)
     for node in world.nodes:
-        # It comes back with all levels that the code has.
+        # It restarts with all levels that this version supports.
         world.kill(node)
         del world.levels[node]
         world.loop.call_later(1.0, start, world, node)
@@ -124,8 +124,8 @@
 
 
 def play_day(name: str, seed: int) -> list[str]:
-    """Plays a day and returns its lines. Raises AssertionError where a rule of the world is broken."""
-    # Only here, as it draws in the tools of the tests.
+    """Run a day and return its lines. Raises AssertionError if a rule is violated."""
+    # Imported here, since it imports the test tools.
     from tests.world.day import day
 
     script, prepare = DAYS[name]
@@ -138,7 +138,7 @@
     async def played(world: World) -> None:
         rent_more(world, 12)
         await script(world, random.Random(seed))
-        # What is called off at the end comes in no certain order.
+        # Work that is cancelled at the end ends in no defined order.
         recorder.closed = True
 
     more: dict[str, Any] = {"machines": MACHINES, "each": 8, "before": before}
--- a/tests/trace/pins.py
+++ b/tests/trace/pins.py
@@ -1,4 +1,4 @@
-"""Pins whatever differs between two runs: random numbers of the system and all clocks."""
+"""Pins what differs between two runs: the system's random numbers and all clocks."""
 
 import datetime as datetimes
 import random
@@ -18,10 +18,10 @@
 
 
 class SimulatedTime:
-    """Wall and steady time that follow a simulated loop, once there is one."""
+    """Wall-clock and monotonic time that follow a simulated loop, once there is one."""
 
     def __init__(self) -> None:
-        """Time stands at the epoch until a loop is set."""
+        """Start at the epoch, where time stays until a loop is set."""
         self.loop: SimLoop | None = None
 
     def steady(self) -> float:
@@ -42,7 +42,7 @@
 
 
 def _datetime(clock: SimulatedTime) -> type[REAL]:
-    """Return a datetime that reads the simulated time; all else is as it was."""
+    """Return a datetime class that reads the simulated time and is otherwise unchanged."""
 
     class SimulatedDatetime(REAL):
         @classmethod
@@ -57,12 +57,12 @@
 
 
 def _no_processor_time() -> int:
-    """Return the processor time, which never passes here: no node is ever overloaded."""
+    """Return a constant CPU time, so that no node ever counts as overloaded."""
     return 0
 
 
 def _replacements(clock: SimulatedTime) -> list[tuple[Any, str, Any]]:
-    """Return module, name and stand-in of all that is pinned."""
+    """Return the module, name and replacement of each pinned function or class."""
     clocks: dict[str, Callable[[], float]] = {
         "time": clock.wall,
         "time_ns": clock.wall_ns,
@@ -79,7 +79,7 @@
 def _patch_imported_names(stack: ExitStack, stand_ins: dict[int, Any]) -> None:
     """Replace what modules of the service have imported by `from time import ...` and the like.
 
-    The names are looked up by what they stand for, so that none of a module or of a variable is needed here.
+    The variables are found by the identity of their values, so that no name of a module or variable is needed here.
     """
     modules = [one for name, one in sys.modules.items() if name == PACKAGE or name.startswith(f"{PACKAGE}.")]
     for module in modules:
@@ -90,10 +90,10 @@
 
 @contextmanager
 def pinned(seed: int, clock: SimulatedTime) -> Iterator[None]:
-    """Pins clocks and random numbers; those of `random` itself are also seeded by each world."""
+    """Pin clocks and random numbers; each world also seeds those of `random` itself."""
     rng = random.Random(seed + 1000)
     with ExitStack() as stack:
-        # All functions of `secrets` draw from this one, however they were imported.
+        # All functions of `secrets` use this generator, however they were imported.
         stack.enter_context(mock.patch.object(secrets, "_sysrand", rng))
         stand_ins: dict[int, Any] = {id(secrets.choice): rng.choice, id(secrets.randbits): rng.getrandbits}
         for name in ("choice", "randbits"):
--- a/tests/trace/recorder.py
+++ b/tests/trace/recorder.py
@@ -1,4 +1,4 @@
-"""Records what crosses the simulated network: one line for each exchange, in the order in which it began."""
+"""Records the exchanges on the simulated network: one line for each, in the order in which they began."""
 
 import asyncio
 import json
@@ -20,12 +20,12 @@
 
 
 def wire(value: Any) -> str:
-    """Return a body as JSON, its fields in the order in which they are sent; what can't be sent is an error."""
+    """Return a body as JSON, with its fields in the order of sending. Raises TypeError if it can't be encoded."""
     return json.dumps(value, separators=(",", ":"))
 
 
 def received(body: bytes) -> str:
-    """Return the body of a request; bytes that are no CBOR as hexadecimal digits."""
+    """Return the body of a request as JSON, or as hexadecimal digits if it is not CBOR."""
     try:
         return wire(cbor2.loads(body)) if body else ""
     except ValueError:
@@ -33,7 +33,7 @@
 
 
 def answered(response: Any) -> str:
-    """Return a response as text, its headers included. The only place that names its fields."""
+    """Return a response as text, including its headers. The only place that names its fields."""
     after = "" if response.retry_after is None else f" retry={response.retry_after.total_seconds():.6f}"
     return f"{response.status}{after}{' close' if response.close else ''} {wire(response.body)}"
 
@@ -42,7 +42,7 @@
     """Collects the lines of one world, until it is closed."""
 
     def __init__(self) -> None:
-        """No world yet."""
+        """Start without a world."""
         self.world: World | None = None
         self.lines: list[str] = []
         self.closed = False
@@ -51,7 +51,7 @@
         return 0.0 if self.world is None else self.world.loop.now
 
     def begin(self, what: str) -> Callable[[str], None]:
-        """Note an exchange; return what notes its response. Without one it stays unanswered."""
+        """Record a request; return a function that records its response. Without one it stays unanswered."""
         if self.closed:
             return lambda answer: None
         index = len(self.lines)
@@ -66,7 +66,7 @@
 
     @contextmanager
     def watching(self) -> Iterator[None]:
-        """Watches the ways to services, the nodes' doors and the messages between controllers."""
+        """Record calls to services, requests to nodes and messages between controllers."""
         with (
             mock.patch.object(SimulatedClient, "call", _watched_call(self)),
             mock.patch.object(World, "serve", _watched_door(self)),
@@ -86,7 +86,7 @@
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            # The stand-in's word for it; the class is the service's own.
+            # The text comes from the simulated client; the class, which is of the code under test, is left out.
             end(f"failed: {error}")
             raise
         end(f"{answer.status} {wire(answer.body)}")
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -37,7 +37,7 @@
 
 
 def drawn(rng: random.Random, number: int) -> dict[str, Any]:
-    """Return a submission of any form, priority and team."""
+    """Return a random submission of any form, priority and team."""
     crew = rng.choice(["red", "blue", "blue"])
     if rng.random() < 0.2:
         ends = rng.choice([{}, {"true_s": 40.0, "ends": rng.choice(["done", "error"])}])
@@ -47,7 +47,7 @@
 
 
 async def use(world: World, rng: random.Random, count: int, pause: float = 2.0, first: int = 0) -> None:
-    """Submit jobs one after another; in between query, repeat, cancel and send what is refused."""
+    """Submit jobs one after another; in between query, resubmit, cancel, and send invalid submissions."""
     ids: list[str] = []
     running: set[asyncio.Future[Any]] = set()
     for number in range(first, first + count):
@@ -66,7 +66,7 @@
 
 
 async def look(world: World, rng: random.Random, ids: list[str]) -> None:
-    """Query a job, now and then one that does not exist, and readiness."""
+    """Query a job, and sometimes one that does not exist and the readiness of a node."""
     await world.poll(rng.choice(ids))
     if rng.random() < 0.2:
         await world.ask("GET", "/submissions/run-999999")
@@ -75,7 +75,7 @@
 
 
 def rent_more(world: World, count: int) -> None:
-    """Machines of all zones, some of them spot machines."""
+    """Rent machines in all zones, some of them spot machines."""
     for index in range(count):
         world.rent("small" if index % 3 else "large", ZONES[:2][index % 2] if index % 3 == 0 else ZONES[index % 3])
     for index in range(count // 2):
@@ -83,7 +83,7 @@
 
 
 async def take_back(world: World, rng: random.Random, count: int, pause: float) -> None:
-    """Spot machines are taken after a notice of 12 s."""
+    """Interrupt spot machines, each after a notice of 12 s."""
     for _ in range(count):
         await asyncio.sleep(pause)
         names = sorted(name for name, worker in world.workers.items() if worker.spot)
@@ -98,7 +98,7 @@
 
 
 async def ask_until_end(world: World, rng: random.Random, end: float) -> None:
-    """Users ask about all their jobs until the day ends."""
+    """Query all jobs at random until the day ends."""
     while world.loop.now < end:
         for job_id in sorted(world.rules.specs):
             if rng.random() < 0.2:
