--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -1,4 +1,4 @@
-"""A stand-in load balancer: probes /ready and picks a healthy node with few open connections."""
+"""A simulated load balancer: probes /ready and picks a healthy node with few open connections."""
 
 import asyncio
 from collections import deque
@@ -9,7 +9,10 @@
 
 
 class Balancer:
-    """Two failed probes take a node out, two good ones bring it back after its pause."""
+    """Takes a node out after two failed probes in a row or three of six; two successful ones add it back.
+
+    A node stays out for its pause at least, which doubles each time up to a minute.
+    """
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -49,7 +52,7 @@
             self.healthy.add(node)
 
     async def ask(self, method: str, path: str, body: object = None) -> Response | None:
-        """None where no healthy node takes the connection; three are tried."""
+        """Send a request to one of up to three healthy nodes; return None if none accepts the connection."""
         for node in sorted(self.healthy, key=lambda node: self.open[node])[:3]:
             if node not in self.world.controllers:
                 continue
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of controllers: they end, stand still or hand over."""
+"""Controller faults: crashes, suspended processes and changes of leader."""
 
 import asyncio
 
@@ -13,14 +13,14 @@
 
 
 async def all_end(stage: Stage) -> None:
-    """For longer than a lease, or one of them back within a second."""
+    """Kill all controllers; each restarts after more than a lease, or the first of them within seconds."""
     rng = stage.world.rng
     for number, node in enumerate(list(stage.world.controllers)):
         stage.kill(node, rng.choice([0.2, 9.0, 16.0]) + number)
 
 
 async def leaders_change(stage: Stage) -> None:
-    """Ten times in two minutes, handed over, handed back, ended, inside an outage too."""
+    """Change the leader ten times in two minutes, by step-downs and kills, also during a store outage."""
     world = stage.world
     for turn in range(10):
         if turn == 4:
--- a/tests/world/counting.py
+++ b/tests/world/counting.py
@@ -10,7 +10,7 @@
 
 
 def observe_calls(patch: pytest.MonkeyPatch, owner: Any, name: str, observe: Callable[[], None]) -> None:
-    """Call `observe` before each call of a function, which stays as it is."""
+    """Call `observe` before each call of a function, whose behaviour does not change."""
     real = getattr(owner, name)
 
     def observed(*arguments: Any, **named: Any) -> Any:
@@ -30,7 +30,7 @@
 
 
 def count_changes(world: World, changes: Counter[int]) -> None:
-    """Count the changes that the store is asked for, by second."""
+    """Count the changes requested of the store, by second."""
     transact = world.store._transact
 
     def counted(body: Any) -> Any:
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -1,7 +1,7 @@
-"""Days with cuts of single links, while the controllers exchange what they reach.
+"""Simulated days on which single links are cut while controllers exchange views of their links.
 
-Judged by the rules of the protocol and by the recorded history (`tests/world/history.py`): nothing is done
-without a sure lease, each job comes to one end, and leadership comes to rest.
+Checked against the protocol's rules and the recorded history (`tests/world/history.py`): nothing is done
+without a valid lease, each job reaches a single final state, and leadership settles.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from tests.world.world import World
 
 Script = Callable[[World, History], Awaitable[None]]
-# What workers need to find a leader again, once there is one: their wait, each node once, two reports.
+# Time in which workers find a new leader: one heartbeat timeout, one attempt per node, two heartbeat intervals.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
 BEFORE = SupportedLevels(1, 2)
 
@@ -29,7 +29,7 @@
 
 
 async def until_led(world: World, patience: float) -> None:
-    """Wait until a leader and most of its machines receive each other's messages."""
+    """Wait until a leader has confirmed the links in both directions to most of its machines."""
     end = world.loop.now + patience
     while world.loop.now < end:
         leader = world.leader
@@ -42,9 +42,9 @@
 
 
 def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
-    """Play a day on which views are exchanged before anything is cut; all jobs must come to an end.
+    """Run a day on which controllers exchange link views before anything is cut; all jobs must finish.
 
-    With other `levels` all nodes begin as a version before.
+    With other `levels`, all nodes begin as a previous version.
     """
     histories: list[History] = []
 
@@ -74,7 +74,7 @@
 
 
 async def submit_and_cancel(world: World, count: int, pause: float, first: int = 0) -> list[str]:
-    """Submit jobs, cancel the first and the last one later, and return the ids of all that were accepted."""
+    """Submit jobs, later cancel the first and the last, and return the ids of all accepted jobs."""
     ids = []
     for number in range(first, first + count):
         spec = job(number, pieces=6, true_s=25.0, expected_s=25.0, crew=["red", "blue"][number % 2])
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -1,4 +1,4 @@
-"""One simulated day: nodes and machines start, a script plays, and no rule may be broken."""
+"""Runs a simulated day: nodes and machines start, a script runs, and no rule may be violated."""
 
 from collections.abc import Awaitable, Callable
 from typing import TypedDict, Unpack
@@ -9,13 +9,13 @@
 
 
 class DayOptions(TypedDict, total=False):
-    """What a day begins with, where it is not the usual."""
+    """Initial conditions of a simulated day that differ from the defaults."""
 
     seed: int
-    # Machines that are there at the start.
+    # Machines running at the start.
     machines: int
     controllers: int
-    # Machines that can be had of each type, zone and kind.
+    # Cloud capacity: the number of machines of each type and zone, for on-demand and for spot.
     each: int
     # Called before any node starts.
     before: Callable[[World], None]
@@ -27,7 +27,7 @@
 
 
 def day(script: Callable[[World], Awaitable[None]], **options: Unpack[DayOptions]) -> World:
-    """Play a script in a world in which nodes and machines have started; no rule may be broken."""
+    """Run a script in a world whose nodes and machines have started; no rule may be violated."""
     chosen = USUAL | options
     world = World(chosen["seed"], chosen["controllers"], chosen["each"], chosen["cancel"])
     chosen["before"](world)
@@ -39,8 +39,8 @@
             world.start(node)
         await script(world)
 
-    # A fault in the leader's work ends its leadership and is healed by the next: it must be
-    # seen here, since the world goes on as if nothing had been.
+    # An exception in the leader's work ends its term, and the next leader recovers from it. Logged errors
+    # are checked here, since the simulation goes on without failing.
     with errors_logged() as faults:
         play(main(), world.loop)
     assert faults == []
--- a/tests/world/earlier_reader.py
+++ b/tests/world/earlier_reader.py
@@ -1,9 +1,9 @@
-"""What the version in production reads from the store and from its peers: a strict, plain model.
+"""A strict reference reader of stored records and peer messages, as the version in production reads them.
 
-Written from that version's records, and shown against samples that it wrote itself
-(`tests/samples/production.json`). It takes a value of a wrong type, a missing field, a field
-that it does not know or a form of job that it does not know for a fault: until every node is
-new, the newer version may write nothing in which the earlier one sees less, or something else.
+Written from that version's record types, and checked against samples that it wrote itself
+(`tests/samples/production.json`). It rejects a value of a wrong type, a missing field, an unknown field and
+an unknown form of job: until every node runs the new version, that version must write nothing that the
+earlier one would read incompletely or with another meaning.
 """
 
 import json
@@ -69,17 +69,17 @@
 
 
 class UnreadableError(Exception):
-    """The earlier version would not read this, or would read it as something else."""
+    """The earlier version would reject this, or read it with another meaning."""
 
 
 @dataclass
 class View:
-    """What an earlier leader would find."""
+    """The state that a leader of the earlier version would load."""
 
     jobs: dict[str, dict[str, Any]] = field(default_factory=dict)
     done: dict[str, set[int]] = field(default_factory=dict)
     machines: dict[str, dict[str, Any]] = field(default_factory=dict)
-    # (machine, job/task) for all that may run.
+    # (machine, job/task) for each assignment of a job that is not done.
     holds: set[tuple[str, str]] = field(default_factory=set)
     types: list[dict[str, Any]] = field(default_factory=list)
 
@@ -117,7 +117,7 @@
 
 
 def read(store: dict[str, Any]) -> View:
-    """Read everything as an earlier leader would. Raises UnreadableError."""
+    """Read the whole store as a leader of the earlier version would. Raises UnreadableError."""
     view = View()
     records = newest(store)
     for key, record in records.items():
--- a/tests/world/error_log.py
+++ b/tests/world/error_log.py
@@ -1,4 +1,4 @@
-"""What the service logs as an error, while something is tried."""
+"""Captures the errors that the service logs."""
 
 import logging
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 @contextmanager
 def errors_logged() -> Iterator[list[str]]:
-    """Collect each error that the service logs, its trace included."""
+    """Collect each error that the service logs, including its traceback."""
     errors: list[str] = []
     handler = logging.Handler(logging.ERROR)
     handler.emit = lambda record: errors.append(logging.Formatter().format(record))  # type: ignore[method-assign]
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts that lack one guard each, and the days on which a check must see it."""
+"""Rollouts with one safeguard removed or one rule changed, and scenarios in which a check must detect it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,14 +23,14 @@
 
 
 async def announce_late(world: World) -> None:
-    """Replace a new process by an old one at once: the new one's announcement arrives after the old one's."""
+    """Replace a new process with an old one at once, so that the new one's announcement arrives last."""
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.1)
     await asyncio.sleep(6)
     for turn in range(6):
         replace(world, NODES[2], SUPPORTED, 0.05)
         await asyncio.sleep(0.052 + 0.004 * turn)
-        # Whatever it has sent by now arrives within six seconds.
+        # Requests that it has sent by now are delivered within six seconds.
         if NODES[2] in world.controllers:
             world.ports[NODES[2]].store.faults.late_share = 1.0
             await asyncio.sleep(0.02)
@@ -45,29 +45,29 @@
 
 
 async def roll_back_unannounced(world: World) -> None:
-    """Leave a node's announcement that names another process than the one that runs."""
+    """Leave an announcement in the store that names another process than the one that the node runs."""
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
     assert world.leader is not None
     back = next(node for node in NODES if node != world.leader.node)
-    # Without the setting it announces nothing, as a version that knows no levels.
+    # With rollout disabled it announces nothing, like a version without levels.
     world.rollout = RolloutSettings()
     replace(world, back, BEFORE, 0.2)
     await asyncio.sleep(0.5)
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     await asyncio.sleep(4 * SOAK_S)
     assert world.store.items[f"rollout/nodes/{back}"][0]["highest"] == SUPPORTED.highest
-    assert stored_level(world) == 1, "active though a node runs a version that announced nothing"
+    assert stored_level(world) == 1, "the level is active although a node runs a version that announced nothing"
     replace(world, back, SUPPORTED, 0.2)
     await until_level(world, SUPPORTED.highest)
 
 
-# Faults: one guard less, or another rule. A day made for each of them shows that a check sees it.
+# Mutations: each removes a safeguard or changes a rule, and has a scenario in which a check must detect it.
 
 
 def by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
-    """Raise the level once most nodes have it."""
+    """Activate the level as soon as a majority of the nodes supports it."""
     able = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
     if view.level < 2 and len(able) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
@@ -76,13 +76,13 @@
 
 
 class GuardsLeftOut:
-    """The store's messages, but keys of a kind are not compared."""
+    """The store's messages, without the comparisons of some keys."""
 
     def __init__(self, left_out: str) -> None:
         self._left_out, self.put = left_out, store.put
 
     def compare(self, key: str, mod_revision: int) -> store.Comparison:
-        """Return the comparison, of a key that never exists where it is left out."""
+        """Return the comparison, or for a key that is left out one with a key that never exists."""
         return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
 
 
@@ -90,19 +90,19 @@
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3)
-    # If the version before leads, one of the others does from now on.
+    # If the node with the previous version leads, one of the others takes over.
     replace(world, NODES[2], BEFORE, 3.0)
     await asyncio.sleep(4 * SOAK_S)
 
 
 def transaction(comparisons: list[store.Comparison], put: store.Put) -> dict[str, Any]:
-    """Return the transaction as it is on the wire."""
+    """Return the transaction as encoded on the wire."""
     body: dict[str, Any] = msgspec.to_builtins(store.Transaction(comparisons, [put]))
     return body
 
 
 def announce_before(world: World, node: str) -> dict[str, Any]:
-    """Return the transaction by which a process of the version before announces itself."""
+    """Return the transaction with which a process of the previous version announces itself."""
     key = f"rollout/nodes/{node}"
     record = world.store.items[key][0] | {"lowest": 1, "highest": 1, "process": "rolled back"}
     comparisons = [store.compare(key, world.store.items[key][1])]
@@ -112,7 +112,7 @@
 
 
 def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
-    """Call once, right before the first transaction that puts the key is carried out."""
+    """Call once, right before the first transaction that puts the key is applied."""
     transact, called = world.store._transact, False
 
     def watched(body: Any) -> Any:
@@ -157,7 +157,7 @@
 
 
 async def mark_tasks_done(world: World) -> None:
-    """Upgraded, with a job of which some tasks are done and stored."""
+    """Upgrade all nodes and run jobs until some tasks are stored as done."""
     await upgrade_all(world)
     await submit_some(world)
     await asyncio.sleep(16)
@@ -171,7 +171,7 @@
 
 
 def learn_at_once(rollout: TermRollout) -> None:
-    """Use new forms without the fence."""
+    """Use new record forms without writing the fence."""
     rollout._rollout.features.raise_level(rollout._level)
 
 
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -1,7 +1,7 @@
-"""A recorded history of what controllers did, and its check.
+"""Records what controllers do and checks it against their leases.
 
-The checker knows nothing of the code's decisions. By each node's own requests it knows until when the state
-service has surely kept its lease, and holds every start, rental, deletion and answer against it.
+The checker does not depend on the code's decisions. From each node's own requests it derives until when the state
+service must have kept the lease, and checks every start, rental, deletion and response against that.
 """
 
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 class RecordingPort(SimulatedClient):
-    """A node's way to a service, on which leases and requests to the cloud are noted."""
+    """A node's client for a service that records leases and checks requests to the cloud."""
 
     def __init__(self, port: SimulatedClient, node: str, history: "History") -> None:
         super().__init__(port._service, port.faults)
@@ -30,7 +30,7 @@
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
-        """As before; a request that is only sent on a sure lease is judged at that moment."""
+        """Call the service; check a request that needs a valid lease at the moment it is sent."""
         sent = self._service.loop.now
         checked = precondition
 
@@ -49,7 +49,7 @@
 
 
 class TermRecorder:
-    """Notes each term that a node begins."""
+    """Records each term that a node begins."""
 
     def __init__(self, history: "History", node: str) -> None:
         self._history, self._node = history, node
@@ -60,11 +60,11 @@
         self._history.renewed(self._node, self._history.granted[self._node])
 
     def on_lost(self) -> None:
-        """Nothing is noted: the lease may stand for longer."""
+        """Record nothing: the lease may be valid for longer."""
 
 
 class History:
-    """Terms, and everything done without a right to it."""
+    """The terms, and all actions taken without a valid lease."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -77,11 +77,11 @@
         world.on_answer.append(self._answered)
 
     def renewed(self, node: str, sent: float) -> None:
-        """Count the lease for its whole length from when the request was sent."""
+        """Count the lease for its full duration from when the request was sent."""
         self._sure_until[node] = max(self._sure_until.get(node, 0.0), sent + TTL)
 
     def act(self, node: str, what: str) -> None:
-        """Check that a node does this under a lease that surely holds."""
+        """Check that the node's lease is certain to be valid as it takes an action."""
         self.acts += 1
         now = self.world.loop.now
         if now > self._sure_until.get(node, 0.0) + 1e-6:
@@ -89,7 +89,7 @@
 
     def _watch(self, node: str, controller: Controller) -> None:
         election = controller.election
-        # What an earlier process had is no right of this one.
+        # The lease of an earlier process does not cover this one.
         self._sure_until.pop(node, None)
         answer = controller.api.handle_peer_request
         state, cloud = self.world.ports[node]
@@ -103,7 +103,7 @@
                 self.act(node, f"{request.verb} of {request.job_id} answered")
             return reply
 
-        # Before the leader acts on it.
+        # Called first, before the leader acts on the election.
         election._listeners.insert(0, TermRecorder(self, node))
         controller.api.handle_peer_request = answered  # type: ignore[method-assign]
 
@@ -121,7 +121,7 @@
             self.act(node, "a start")
             return
         election, now = controller.election, self.world.loop.now
-        # The node's own record of when the others confirmed that they had won nothing later.
+        # The node's own record of when the other controllers confirmed that none had won a later term.
         confirmed = (self.world.loop.clock(self.world.drift[node]) - election._no_later_term_at).total_seconds()
         until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.settings.grace_period.total_seconds()
         if now > until + 1e-6:
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -1,7 +1,7 @@
-"""Faults of single links, by a schedule that can be drawn from a seed, written to a file and played again.
+"""Faults of single links, from schedules that can be drawn from a seed, written to a file and replayed.
 
-A link leads from a source to a target; each direction is a link of its own. The same schedules are played in
-the simulated world and by `tools/cut_links.py`.
+A link leads from a source to a target; each direction is a separate link. The same schedules run in the
+simulated world and in `tools/cut_links.py`.
 """
 
 import asyncio
@@ -27,10 +27,10 @@
         "from": END,
         "to": END,
         "kind": {"enum": list(KINDS)},
-        # Both directions; otherwise only what goes from the one to the other.
+        # Whether both directions are affected, or only traffic from the source to the target.
         "both": {"type": "boolean"},
         "delay_s": SECONDS,
-        # The fault comes and goes until `for_s` is over: so long it lasts, and so long it heals.
+        # An intermittent fault: active for `on_s`, then inactive for `off_s`, repeatedly until `for_s` is over.
         "on_s": SECONDS,
         "off_s": SECONDS,
     },
@@ -42,12 +42,12 @@
     "properties": {"faults": {"type": "array", "items": FAULT}, "jobs": {"type": "integer", "minimum": 0}},
 }
 Fault = dict[str, Any]
-# What happens, to which fault, on which links.
+# Called with "begins" or "ends", the fault, and the affected links.
 Changed = Callable[[str, Fault, list[tuple[str, str]]], None]
 
 
 class BadScheduleError(Exception):
-    """A schedule that can't be played; names the field."""
+    """A schedule is invalid; the message names the field."""
 
 
 def check_schedule(schedule: Any) -> list[Fault]:
@@ -74,7 +74,7 @@
 
 
 def spans(fault: Fault) -> list[tuple[float, float]]:
-    """Return when the fault is active, as pairs of begin and end."""
+    """Return the periods in which the fault is active, as pairs of begin and end."""
     end = fault["at_s"] + fault["for_s"]
     if "on_s" not in fault:
         return [(fault["at_s"], end)]
@@ -86,7 +86,7 @@
 
 
 def draw(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
-    """Draw random faults of these links, all over after `length` seconds."""
+    """Draw random faults of these links that all end within `length` seconds."""
     rng = random.Random(seed)
     links = sorted(ends)
     faults: list[Fault] = []
@@ -102,15 +102,15 @@
 
 
 class LinkFaults:
-    """Which links have which faults now; each direction by itself."""
+    """The faults that each link has now; each direction is a separate link."""
 
     def __init__(self) -> None:
         self._active: list[tuple[str, str, str, float]] = []
-        # Whether there ever was one; where there was none, others decide over the links.
+        # Whether there ever was a fault; until then, tests set the faults of store clients themselves.
         self.used = False
 
     def begin(self, source: str, target: str, fault: Fault) -> list[tuple[str, str, str, float]]:
-        """Begin a fault between two resolved ends; return what ends it."""
+        """Begin a fault between two resolved endpoints; return the argument with which `end` ends it."""
         kind, delay = fault.get("kind", "drop"), fault.get("delay_s", 0.0)
         begun = [(source, target, kind, delay)]
         if fault.get("both", False):
@@ -125,7 +125,7 @@
             self._active.remove(one)
 
     def has(self, kind: str, source: str, target: str) -> bool:
-        """Return whether that link has such a fault."""
+        """Return whether the link has a fault of this kind."""
         return any(
             kind == found and _meets(source, one) and _meets(target, other) for one, other, found, _ in self._active
         )
@@ -139,25 +139,25 @@
         )
 
     def passes(self, source: str, target: str) -> bool:
-        """Return whether the link passes anything."""
+        """Return whether the link delivers anything."""
         return not (self.has("drop", source, target) or self.has("reset", source, target))
 
 
 def _meets(end: str, pattern: str) -> bool:
-    """Return whether an end is the pattern; `workers` stands for those of all zones."""
+    """Return whether an endpoint matches a pattern; `workers` matches those of all zones."""
     return end == pattern or (pattern == WORKERS and end.startswith(f"{WORKERS}/"))
 
 
 class SchedulePlayer:
-    """Plays a schedule on a running loop, whether its time is real or simulated."""
+    """Plays a schedule on a running loop, in real or simulated time."""
 
     def __init__(self, faults: LinkFaults, nodes: list[str], leader: Callable[[], str], changed: Changed) -> None:
-        """`leader` names the node that leads now; `changed` is called after each begin and end of a fault."""
+        """Take a function that returns the leading node, and a callback for each begin and end of a fault."""
         self._faults, self._nodes = faults, nodes
         self._leader, self._changed = leader, changed
 
     async def play(self, schedule: list[Fault]) -> None:
-        """Play all faults, from now to the end of the last."""
+        """Play all faults, starting now; return when the last has ended."""
         await asyncio.gather(*(self._play_one(fault) for fault in schedule))
 
     async def _play_one(self, fault: Fault) -> None:
@@ -174,7 +174,7 @@
             self._changed("ends", fault, pairs)
 
     def _resolve(self, end: str) -> list[str]:
-        """Return the ends that a name of a schedule stands for now."""
+        """Return the endpoints that a name in a schedule refers to now."""
         leader = self._leader()
         others = [node for node in self._nodes if node != leader]
         return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(end, [end])
--- a/tests/world/loop.py
+++ b/tests/world/loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose time jumps to the next timer: minutes pass in milliseconds.
+"""An event loop with simulated time, which jumps to the next timer: minutes pass in milliseconds.
 
-What runs in a node's context (`NODE`) can be made to stand still while the clocks run on, as
-a process does that gets no processor: its callbacks wait and run, in order, when it goes on.
+What runs in a node's context (`NODE`) can be suspended while the clocks run on, like a process that
+gets no CPU time: its callbacks are queued and run in order when it is resumed.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class _Jumping(selectors.SelectSelector):
-    """Never waits; tells the loop how far to jump instead."""
+    """A selector that never waits, but advances the loop's time by the timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,14 +24,14 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         found = super().select(0)
         if not found and timeout is None:
-            raise RuntimeError("the simulated world has come to a standstill")
+            raise RuntimeError("deadlock in the simulation: no callback is ready and no timer is pending")
         if not found and timeout and self.loop is not None:
             self.loop.now += timeout
         return found
 
 
 class _Gate:
-    """A node's callback: runs now, or once the node goes on, unless it was called off by then."""
+    """A node's callback: runs now, or when the node is resumed, unless it was cancelled by then."""
 
     __slots__ = ("args", "callback", "context", "handle", "loop", "node")
 
@@ -51,7 +51,7 @@
 class SimLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self.now = 0.0
-        # Nodes that stand still, and what waits for them to go on.
+        # Suspended nodes, and the callbacks that are queued until each is resumed.
         self.suspended: dict[str, list[_Gate]] = {}
         selector = _Jumping()
         super().__init__(selector)
@@ -96,7 +96,7 @@
 
 
 def play(main: "Coroutine[Any, Any, None]", loop: SimLoop) -> None:
-    """Run `main` to its end in simulated time and end what it left running."""
+    """Run `main` to its end in simulated time, then cancel the tasks that it left running."""
     try:
         loop.run_until_complete(main)
     finally:
@@ -106,6 +106,6 @@
         for task in rest:
             task.cancel()
         if rest:
-            # Work of a node that was killed while it stood still never ends.
+            # Tasks of a node that was killed while suspended never end.
             loop.run_until_complete(asyncio.wait(rest, timeout=5))
         loop.close()
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of machines and of their heartbeats: out of reach, hung, dead, back, late."""
+"""Faults of machines and heartbeats: unreachable, hung, failed, restarted, delayed."""
 
 import asyncio
 from collections.abc import Iterable
@@ -23,7 +23,7 @@
 
 
 async def machines_mute(stage: Stage) -> None:
-    """They reach no controller."""
+    """Cut some workers off from all controllers."""
     cut_off(stage, stage.some(0.4), stage.world.rng.uniform(5, 30))
 
 
@@ -32,7 +32,7 @@
 
 
 async def machines_hang(stage: Stage) -> None:
-    """They go on within their lease, or after it."""
+    """Hang some workers, and resume them within their lease or after it."""
     hang(stage, stage.some(0.4), [3.0, 10.0, 20.0, 35.0])
 
 
@@ -49,7 +49,7 @@
 
 
 async def quick_machines(stage: Stage) -> None:
-    """Up within two seconds, with work at once, while writes lag and the leader ends."""
+    """Boot machines within two seconds and give them work at once, while writes are slow and leaders are killed."""
     world = stage.world
     world.cloud.fast_boot = True
     world.store.latency = 0.5
@@ -63,7 +63,7 @@
 
 
 async def late_reports(stage: Stage) -> None:
-    """Send copies of heartbeats to any node, up to long after a lease."""
+    """Deliver copies of heartbeats to any node, some of them long after a lease has expired."""
     stage.world.duplicate_share = 0.5
     await asyncio.sleep(25)
     stage.world.duplicate_share = 0.0
@@ -77,7 +77,7 @@
 
 
 async def kept_for_the_next(stage: Stage) -> None:
-    """Old reports, and reports that were held back, reach every controller as a new leader begins."""
+    """Deliver old and delayed heartbeats to every controller as a new leader begins."""
     world = stage.world
     kept: list[Request] = []
     world.captured_requests = kept
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -1,4 +1,4 @@
-"""Every trouble by its name, and the watch over what runs and waits meanwhile."""
+"""All faults by name, and a continuous check of running and waiting tasks."""
 
 import asyncio
 from functools import partial
@@ -65,7 +65,7 @@
 
 
 async def watch(world: World) -> None:
-    """Check all the time what runs on machines, and whether work waits beside room."""
+    """Check continuously that no cancelled task runs, and that no job waits while a machine has room."""
     while True:
         await asyncio.sleep(0.25)
         world.rules.check_cancelled()
--- a/tests/world/network_faults.py
+++ b/tests/world/network_faults.py
@@ -1,28 +1,28 @@
-"""Faults of the network between nodes, and between nodes and workers; a test sets them as it goes."""
+"""Network faults between nodes, and between nodes and workers; tests set them as they run."""
 
 from elmthread.net.http_messages import Request
 from tests.world.links import LinkFaults
 
 
 class NetworkFaults:
-    """What does not get through, or late, or twice; nothing at first."""
+    """Messages that are lost, delayed or duplicated; none at first."""
 
     def __init__(self) -> None:
         """Begin without faults."""
         # Faults of single links, by schedule.
         self.link_faults = LinkFaults()
-        # Nodes that reach nothing and are reached by nothing, and links of a worker to a node.
+        # Nodes without any connection, and cut links, as pairs of a worker and a node.
         self.cut_nodes: set[str] = set()
         self.cut_worker_links: set[tuple[str, str]] = set()
-        # Nodes that reach neither the store nor the others, but their workers.
+        # Nodes that reach neither the store nor other nodes, only workers and users.
         self.isolated_nodes: set[str] = set()
-        # Workers whose heartbeats arrive, but which no response reaches; nodes whose responses reach no worker.
+        # Workers that receive no responses though their heartbeats arrive; nodes whose responses reach no worker.
         self.workers_without_responses: set[str] = set()
         self.nodes_without_responses: set[str] = set()
-        # Share of the heartbeats of which a copy comes later, to any node, and how much later.
+        # Share of heartbeats that are delivered again later, to any node, and the range of that delay.
         self.duplicate_share = 0.0
         self.duplicate_delay_s = (1.0, 40.0)
-        # Heartbeats are collected here while it is a list.
+        # Collects copies of heartbeats while it is a list.
         self.captured_requests: list[Request] | None = None
         # Share of heartbeats and responses that are delayed, by up to 6 s each.
         self.delayed_share = 0.0
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -1,4 +1,4 @@
-"""The simulated controllers: started, killed, paused and cut off; what they send each other and answer."""
+"""Simulated controllers: starting, killing, suspending and isolating them, and the messages they exchange."""
 
 import asyncio
 import contextvars
@@ -32,16 +32,16 @@
     """The nodes and the services that they use."""
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
-        """`each` machines can be had of every type, zone and kind; `cancel` is the settings' `cancel_s`."""
+        """Take the capacity `each` of every machine type, zone and kind, and the setting `cancel_s` as `cancel`."""
         super().__init__()
         self.cancel = cancel
-        # The next limits in the settings, and nodes that run a version which knows of none: this
-        # one with other settings, or really an earlier one (`tests/both.py`).
+        # The settings' `facts.state.next`, and nodes that run a version without this setting: this version with
+        # other settings, or an actual earlier one (`tests/both.py`).
         self.limits: dict[str, float] | None = None
         self.earlier_nodes: set[str] = set()
         self.earlier: EarlierVersion | None = None
         self._version = Version()
-        # The rollout's settings of this version, and levels of nodes that stand for another one.
+        # The rollout settings of this version, and the levels of nodes that simulate another version.
         self.rollout = RolloutSettings()
         self.levels: dict[str, SupportedLevels] = {}
         self.nodes = [f"loom-{number}" for number in range(controllers)]
@@ -57,15 +57,15 @@
         self.workers: dict[str, Worker] = {}
         self.controllers: dict[str, Controller] = {}
         self.ports: dict[str, NodePorts] = {}
-        # Called with each controller that starts, and each response that leaves.
+        # Called with each controller that starts, and with each response that is sent.
         self.on_start: list[Callable[[str, Controller], None]] = []
         self.on_answer: list[Callable[[str, Request, Response], None]] = []
-        # Requests that a node is at work on.
+        # Requests that a node is handling.
         self.requests_in_progress: dict[str, set[Coroutine[Any, Any, Any]]] = {}
-        # What runs in a node's context stands still with it.
+        # What runs in a node's context is suspended with the node.
         self.contexts: dict[str, contextvars.Context] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        # Open connections of workers, and when the last answer went out on each.
+        # Open connections of workers, and when the last response was sent on each.
         self.worker_connections: dict[str, tuple[str, timedelta]] = {}
         self.drift = {node: self.rng.uniform(-0.0005, 0.0005) for node in self.nodes}
 
@@ -76,7 +76,7 @@
         return self.earlier if self.earlier is not None and node in self.earlier_nodes else self._version
 
     def carried(self, message: Any, node: str) -> Any:
-        """Return a message between controllers as the version at the other end reads it."""
+        """Return a message between controllers as the receiving node's version decodes it."""
         if self.earlier is None:
             return message
         sender = importlib.import_module(type(message).__module__)
@@ -107,7 +107,7 @@
     # Links
 
     async def play_faults(self, faults: list[Fault]) -> None:
-        """Play a schedule to its end, from now on."""
+        """Play a fault schedule to its end, starting now."""
 
         def leader() -> str:
             return next((node for node, one in self.controllers.items() if one is self.leader), self.nodes[0])
@@ -131,7 +131,7 @@
 
     async def _run(self, controller: Controller) -> None:
         async with asyncio.TaskGroup() as group:
-            # An earlier version has its election alone.
+            # An earlier version has no `coordinate`, only its election.
             group.create_task(getattr(controller, "coordinate", controller.election.run)())
             while True:
                 controller.peers.announce()
@@ -144,7 +144,7 @@
             port.faults.delivered_after_end = self.rng.random() < 0.5
         controller = self.controllers.pop(node)
         if self.loop.suspended.pop(node, None) is not None:
-            # It stood still: what it had not begun by then, it never begins.
+            # The process was suspended: requests that it had not begun to handle never begin.
             for work in self.requests_in_progress.pop(node, set()):
                 if inspect.getcoroutinestate(work) == inspect.CORO_CREATED:
                     work.close()
@@ -153,14 +153,14 @@
             controller.leader_task.cancel()
 
     async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
-        """Run a part of a node's work in the node's context, where it is suspended with the node."""
+        """Run a coroutine in the node's context, so that it is suspended with the node."""
         task = self.loop.create_task(work, context=self.contexts[node])
         at_work = self.requests_in_progress.setdefault(node, set())
         at_work.add(work)
         task.add_done_callback(lambda _: at_work.discard(work))
         try:
-            # Not awaited itself: a node that is killed while it stands still never ends its work,
-            # and who waits for it must not wait for ever.
+            # The task is not awaited itself: the work of a node that is killed while suspended never ends,
+            # and its caller must not wait forever.
             await asyncio.wait({task})
         except asyncio.CancelledError:
             task.cancel()
@@ -183,13 +183,13 @@
         return await self.within(node, served())
 
     async def suspend(self, node: str, seconds: float) -> None:
-        """Suspend the process for a while; its clocks run on."""
+        """Suspend the process for some seconds; its clocks run on."""
         self.loop.suspend(node)
         await asyncio.sleep(seconds)
         self.loop.resume(node)
 
     def passes(self, node: str, other: str) -> bool:
-        """Whether what one controller sends reaches the other."""
+        """Return whether a message from one controller reaches the other."""
         return self.reach(node, other) and self.link_faults.passes(node, other)
 
     def reach(self, one: str, other: str) -> bool:
@@ -198,6 +198,6 @@
 
     @property
     def leader(self) -> Controller | None:
-        """The newest leader: an earlier one may not have noticed yet that it is none."""
+        """Return the leader of the newest term: an earlier one may not have noticed yet that its term is over."""
         leaders = [one for one in self.controllers.values() if one.leader is not None]
         return max(leaders, key=lambda one: one.election.fencing_token) if leaders else None
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of the network: a leader or a zone is cut off from the others."""
+"""Network partitions: a leader or a zone is cut off from the others."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def leader_apart(stage: Stage) -> None:
-    """Cut the leader off from the store and the other nodes, not from workers and users, who cancel jobs."""
+    """Cut the leader off from the store and other nodes, but not from workers and users, who cancel jobs."""
     world, leader = stage.world, stage.leader()
     if leader is None:
         return
@@ -25,7 +25,7 @@
 
 
 async def zone_cut(stage: Stage) -> None:
-    """Cut off a zone with its workers and a controller, which goes on inside, for longer than a lease."""
+    """Cut off a zone with its workers and a controller, which keeps running, for longer than a lease."""
     world = stage.world
     zone, node = world.rng.choice(ZONES), world.rng.choice(world.nodes)
     inside = {name for name, worker in world.workers.items() if worker.zone == zone}
--- a/tests/world/peer_links.py
+++ b/tests/world/peer_links.py
@@ -1,4 +1,4 @@
-"""Links between the simulated controllers, without sockets."""
+"""Peer links between the simulated controllers, without sockets."""
 
 import asyncio
 from datetime import timedelta
@@ -12,7 +12,7 @@
 
 
 def simulated_peers(world: "ControllerNodes", node: str) -> type[PeerNetwork]:
-    """Return the class of the node's links to the others, named as the node's version names them."""
+    """Return the class of the node's peer links, with the method names of the node's version."""
     version = world.version(node)
     base: type[PeerNetwork] = version.named("peers.network", "PeerNetwork")
     unreachable: type[Exception] = version.named("peers.connection", "PeerUnreachableError")
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades and rollbacks beside every trouble."""
+"""Repeated upgrades and rollbacks combined with random faults."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 async def upgrades_and_rollbacks(
     world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
 ) -> None:
-    """Nodes change their version again and again beside every trouble; in the end all are new."""
+    """Change the nodes' versions repeatedly while faults occur; upgrade all of them in the end."""
     world.loop.call_later(falls, fall, world)
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
@@ -52,7 +52,7 @@
 
 
 def day_beside_an_earlier_version(seed: int, earlier: EarlierVersion) -> None:
-    """Upgrades from, and rollbacks to, an earlier version (`tests/both.py`)."""
+    """Run a day of upgrades from, and rollbacks to, an actual earlier version (`tests/both.py`)."""
     rng = random.Random(seed)
     reads_level = earlier.reads_level(SUPPORTED.highest)
 
@@ -80,7 +80,7 @@
 
 
 async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
-    """Move nodes to either version at random, beside troubles."""
+    """Move random nodes to either version while faults occur."""
     for _ in range(12):
         kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
         if kind in ("new", "earlier"):
@@ -94,7 +94,7 @@
 
 
 async def _roll_back(world: World, reads_level: bool) -> None:
-    """Roll all nodes back after the activation: a version leads then if it reads the level, and only then."""
+    """Roll all nodes back after the activation: the earlier version leads if, and only if, it reads the level."""
     world.earlier_nodes.update(NODES)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -1,4 +1,4 @@
-"""Random troubles for generated histories: each is begun by its name, and all are ended together."""
+"""Random faults for generated histories: each is injected by name, and all are cleared together."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -10,8 +10,8 @@
 from tests.world.specs import job
 from tests.world.world import World, start
 
-# How generated histories are played: the same in every run, and a failing one is told as it is,
-# since making it smaller takes minutes.
+# Hypothesis settings of generated histories: the same examples in every run, and a failing example is reported
+# without shrinking, which takes minutes.
 HISTORIES = settings(
     deadline=None,
     database=None,
@@ -22,7 +22,7 @@
 
 
 async def befall(world: World, kind: str, ids: list[str]) -> None:
-    """Begin a trouble of that kind, where there is anything that it can befall."""
+    """Inject a fault of this kind, if there is anything that it can affect."""
     await KINDS[kind](world, ids)
 
 
@@ -78,7 +78,7 @@
 
 
 async def _step_down(world: World, ids: list[str]) -> None:
-    # Often the same node wins again while its responses to workers are still being made.
+    # Often the same node wins again while it is still preparing responses to workers.
     if world.leader is not None:
         world.leader.election.step_down(StepDownReason.FAULT)
 
@@ -127,7 +127,7 @@
         ids.append(spec["name_id"])
 
 
-# By the names, and in the order, from which histories are drawn.
+# Generated histories are drawn from these names in this order.
 KINDS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
     "kill": _kill,
     "kill_all": _kill_all,
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -1,8 +1,8 @@
-"""Staged rollouts in the simulated world: nodes of several versions, and a monitor of what they may do.
+"""Staged rollouts in the simulated world: nodes of several versions, and a monitor that checks invariants.
 
-A node with levels 1 to 1 stands for the version before: it announces these levels and reads no form of a
-higher one. The monitor sees each transaction that the state service carries out, at once, late or twice,
-and each view that a leader has loaded; it knows nothing of the code's decisions.
+A node with levels 1 to 1 simulates the previous version: it announces these levels and reads no record form
+of a higher one. The monitor sees each transaction that the state service applies, at once, late or twice,
+and each state that a leader has loaded; it does not depend on the code's decisions.
 """
 
 import asyncio
@@ -29,7 +29,7 @@
 
 
 def begin_before(world: World) -> None:
-    """All nodes run the version before, with the rollout switched on."""
+    """Make all nodes start as the previous version, with rollout enabled."""
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     world.levels = dict.fromkeys(world.nodes, BEFORE)
 
@@ -55,12 +55,12 @@
 
 
 def stored_level(world: World) -> int:
-    """Return the active level that the store has."""
+    """Return the active level in the store."""
     return int(world.store.items["rollout/level"][0]["level"]) if "rollout/level" in world.store.items else 1
 
 
 def is_new_form(key: str, record: Any) -> bool:
-    """Whether a record is one that only level 2 writes."""
+    """Return whether a record has a form that only level 2 writes."""
     if key == FENCE:
         return True
     return record is not None and (
@@ -69,7 +69,7 @@
 
 
 def done_in_store(world: World) -> dict[str, set[int]]:
-    """Done tasks of open jobs as the store has them, read in the plainest way."""
+    """Return the done tasks of open jobs in the store, decoded independently of the code under test."""
     records = newest(world.store.values())
     found: dict[str, set[int]] = {}
     for key, record in records.items():
@@ -90,7 +90,7 @@
 
 
 def assigned_in_store(world: World) -> set[tuple[str, str, int, int]]:
-    """Machine, job, task and attempt of all that the store says may run, read in the plainest way."""
+    """Return (machine, job, task, attempt) of each assignment in the store, decoded independently of the code."""
     found = set()
     for key, record in newest(world.store.values()).items():
         if not key.startswith("m/"):
@@ -106,10 +106,10 @@
 
 
 class RolloutMonitor:
-    """Collects whatever breaks the promises of a staged rollout."""
+    """Collects violations of the guarantees of a staged rollout."""
 
     def __init__(self, world: World) -> None:
-        """Watches the world's state service from now on."""
+        """Start watching the world's state service."""
         self._world = world
         self.broken: list[str] = []
         self.activations: list[float] = []
@@ -151,13 +151,13 @@
             highest = self._world.store.items[key][0]["highest"] if key in self._world.store.items else 1
             if highest < level:
                 self._break(f"level {level} is active though {node} announces {highest}")
-            # A version that knows no levels has none of this: the fence keeps it from leading.
+            # A version without levels has no `rollout`: the fence prevents it from leading.
             rollout = getattr(self._world.controllers.get(node), "rollout", None)
             if rollout is not None and level not in rollout.supported and rollout.gate.admitted:
                 self._break(f"level {level} is active while {node} serves a version that does not read it")
 
     def loaded(self, loader: StateLoader) -> None:
-        """Check a view that a leader has loaded against the store, whatever the form of its records."""
+        """Check the state that a leader has loaded against the store, whatever the form of its records."""
         self.loads += 1
         stored, finished = done_in_store(self._world), self._world.rules.finished
         for job_id, job in loader._cluster.jobs.items():
@@ -167,7 +167,7 @@
             if marked != {task for task in stored.get(job_id, set()) if task < job.task_count}:
                 self._break(f"{job_id} is misread: {sorted(marked)[:9]} of {sorted(stored.get(job_id, set()))[:9]}")
             if not {f"{job_id}/{task}" for task in marked} <= finished:
-                self._break(f"{job_id} has tasks marked that have not ended")
+                self._break(f"{job_id} has tasks marked as done that have not ended")
         machines, jobs = loader._cluster.machines.values(), loader._cluster.jobs
         held = {
             (one.name, allocation.job.id, allocation.task, allocation.attempt)
@@ -182,12 +182,12 @@
         if held != wanted:
             self._break(f"assignments are misread: {sorted(held ^ wanted)[:5]}")
         if stored_level(self._world) not in loader._supported:
-            self._break(f"a view is loaded by a version without level {stored_level(self._world)}")
+            self._break(f"the state is loaded by a version without level {stored_level(self._world)}")
 
 
 @contextmanager
 def monitored(world: World) -> Iterator[RolloutMonitor]:
-    """Watch a world with a monitor that sees every load of a leader as well."""
+    """Watch a world with a monitor that also checks every load by a leader."""
     monitor = RolloutMonitor(world)
     load = StateLoader.load
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -1,7 +1,7 @@
-"""The slow plain model: the protocol's rules, judged on what really happens on machines.
+"""A reference model that checks the protocol's rules against what actually runs on machines.
 
-It knows nothing of holds, tokens or leases: only who submitted what, what was reported to users,
-and which task is on which machine. Every event is checked the plain way.
+It knows nothing of stored assignments, fencing tokens or leases: only who submitted what, what was reported to
+users, and which task is on which machine. It favours simplicity over speed.
 """
 
 from collections import Counter
@@ -18,13 +18,13 @@
         self.cancel_s = cancel_s
         self.specs: dict[str, dict[str, Any]] = {}
         self.machines_of: dict[str, list[str]] = {}  # task -> machines that it is on now
-        self.used_cores: Counter[str] = Counter()  # cores, by team
+        self.used_cores: Counter[str] = Counter()  # cores in use, by team
         self.zones_of: dict[str, Counter[str]] = {}  # job -> zones of its tasks
         self.zones: dict[str, str] = {}
         self.finished: set[str] = set()
-        # The states of each job that were reported to users, and when, where they changed.
+        # Changes of each job's state as reported to users, with their times.
         self.history: dict[str, list[tuple[float, str]]] = {}
-        # Jobs that must never be accepted, as they can't run or lack a field.
+        # Jobs that must never be accepted, since they can't run or lack a field.
         self.impossible: set[str] = set()
         # Tasks that began after their job was reported as cancelled.
         self.late_starts: list[str] = []
@@ -32,7 +32,7 @@
         self.cancelled_at: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
         self.broken: list[str] = []
-        # Since when a job's questions have gone unanswered, and since when there is no trouble.
+        # Since when requests about a job have not been answered, and since when all faults are cleared.
         self.unanswered: dict[str, float] = {}
         self.calm_since: float | None = None
         self.first_start: dict[str, float] = {}
@@ -80,12 +80,12 @@
             self.zones_of[job][self.zones[machine]] -= 1
 
     def serving(self, job: str) -> int:
-        """How many of a service's replicas are on machines now."""
+        """Return how many replicas of a service are on machines now."""
         return sum(len(machines) for task, machines in self.machines_of.items() if task.rpartition("/")[0] == job)
 
     @property
     def running(self) -> list[tuple[str, str]]:
-        """(machine, task) for all that is on machines now."""
+        """Return (machine, task) for each task on a machine now."""
         return [(machine, task) for task, machines in self.machines_of.items() for machine in machines]
 
     def completed(self, task: str) -> None:
@@ -100,9 +100,9 @@
                         self._break("ran_cancelled", f"{task} on {machine}")
 
     def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
-        """Judge the response to a user's request about a job that was sent at `asked`, by any user to any node.
+        """Check the response to a request about a job that was sent at `asked`, by any user to any node.
 
-        An answer may be as old as its question: what was reported before that, nothing may go back on.
+        A response may be as old as its request, but must not contradict what was reported before that.
         """
         asked = self.loop.now if asked is None else asked
         before = next((reported for at, reported in reversed(self.history.get(job, [])) if at <= asked), None)
@@ -120,19 +120,19 @@
             self._break("went_back", f"{job}: {ends} and {state}")
         if state == "cancelled":
             if job not in self.asked_to_cancel:
-                self._break("went_back", f"{job} cancelled unasked")
+                self._break("went_back", f"{job} cancelled without a request")
             self.cancelled_at.setdefault(job, self.loop.now)
         if not self.history.get(job) or self.history[job][-1][1] != state:
             self.history.setdefault(job, []).append((self.loop.now, state))
 
     def _check_answered(self, job: str, status: int, before: str | None) -> None:
-        """Whether a job is known for as long as it was accepted, and none that was not."""
+        """Check that an accepted job remains known, and that no job is known that was never submitted."""
         if status in (200, 201):
             self.unanswered.pop(job, None)
         elif before is not None and before != "cancelled":
             since = self.unanswered.setdefault(job, self.loop.now)
             if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
-                self._break("forgotten", f"{job}: no question answered since {since:.1f}")
+                self._break("forgotten", f"{job}: no request answered since {since:.1f}")
         if status in (200, 201) and job not in self.specs:
             self._break("invented", job)
         if status in (400, 404, 422) and before is not None:
@@ -148,13 +148,13 @@
 
     @property
     def reported_states(self) -> dict[str, str]:
-        """The state reported last, by job."""
+        """Return the last reported state of each job."""
         return {job: states[-1][1] for job, states in self.history.items()}
 
     def check_waiting(self, room: Callable[[dict[str, Any]], bool]) -> None:
-        """Once all troubles are over, no job waits for 90 s while a machine that fits has room.
+        """Check that no job waits for 90 s while a suitable machine has room, once all faults are cleared.
 
-        `room` says whether some machine that serves has it for a task of that spec.
+        `room` returns whether some available machine has room for a task of a spec.
         """
         for job, spec in self.specs.items():
             state = self.reported_states.get(job)
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -1,4 +1,4 @@
-"""What tests of services share: machines in every zone, and the wait until all replicas serve."""
+"""Helpers of tests of services: renting machines in every zone, waiting until all replicas serve."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def ordinary(world: World, each: int = 2) -> None:
-    """Ordinary machines in every zone, as services that use no spot machine need them."""
+    """Rent on-demand machines in every zone, for services that may not use spot machines."""
     for zone in ZONES:
         for _ in range(each):
             world.rent("small", zone)
--- a/tests/world/service_ports.py
+++ b/tests/world/service_ports.py
@@ -1,4 +1,4 @@
-"""One node's ways to the simulated services, and the faults on them."""
+"""A node's clients for the simulated services, and the faults of their exchanges."""
 
 import asyncio
 import random
@@ -16,42 +16,42 @@
     """Faults of the exchanges between one node and one service."""
 
     cut: bool = False  # requests hang
-    refused: bool = False  # 503 to this node alone
+    refused: bool = False  # 503 to this node only
     process_ended: bool = False  # the node's process has ended
-    delivered_after_end: bool = False  # what the process had sent is carried out all the same
-    duplicate_share: float = 0.0  # share of changes that are carried out a second time, later
-    lost_response_share: float = 0.0  # share of responses lost after the request was carried out
-    late_share: float = 0.0  # share of requests carried out only after the caller's timeout
+    delivered_after_end: bool = False  # requests that the process had sent are applied all the same
+    duplicate_share: float = 0.0  # share of changes that are applied a second time, later
+    lost_response_share: float = 0.0  # share of responses that are lost after the request was applied
+    late_share: float = 0.0  # share of requests that are applied only after the caller's timeout
     reset: bool = False  # connections are reset at once
     request_delay_s: float = 0.0
     response_delay_s: float = 0.0
 
 
 class Service:
-    """A simulated service: subclasses carry out requests in `apply`."""
+    """A simulated service: subclasses handle requests in `apply`."""
 
     def __init__(self, loop: SimLoop, rng: random.Random, latency: float) -> None:
-        """Respond after a random part of `latency` seconds each way."""
+        """Delay requests and responses by a random part of `latency` seconds each."""
         self.loop = loop
         self.rng = rng
         self.latency = latency
         self.down = False
 
     def delay(self) -> float:
-        """Draw the time that one way takes, in seconds."""
+        """Draw a one-way delay in seconds."""
         return self.latency * self.rng.uniform(0.3, 1.0)
 
     async def serve(self, method: str, path: str, body: Any) -> ClientResponse:
-        """Carry out a request whose response may wait for something."""
+        """Handle a request whose response may have to wait."""
         return self.apply(method, path, body)
 
     def apply(self, method: str, path: str, body: Any) -> ClientResponse:
-        """Carry out a request at once."""
+        """Handle a request at once."""
         raise NotImplementedError
 
 
 class _Call(NamedTuple):
-    """A request, and when its caller gives up."""
+    """A request, and the time at which its caller gives up."""
 
     method: str
     path: str
@@ -60,10 +60,10 @@
 
 
 class SimulatedClient:
-    """One node's way to a service, in place of an HttpClient."""
+    """A node's client for a service, in place of an HttpClient."""
 
     def __init__(self, service: Service, faults: ServiceFaults) -> None:
-        """Lead to the service, with these faults."""
+        """Connect to the service, with these faults."""
         self._service = service
         self.faults = faults
 
@@ -100,7 +100,7 @@
             await self._time_out(call, "cut")
 
     async def _carry_out(self, call: _Call) -> ClientResponse:
-        """Return the response where it leaves the service."""
+        """Return the response as the service sends it."""
         faults, service = self.faults, self._service
         rng, loop = service.rng, service.loop
         if rng.random() < faults.late_share:
@@ -133,7 +133,7 @@
 
 
 class NodePorts(NamedTuple):
-    """One node's ways to the services."""
+    """A node's clients for the services."""
 
     store: SimulatedClient
     cloud: SimulatedClient
--- a/tests/world/settings.py
+++ b/tests/world/settings.py
@@ -73,7 +73,7 @@
 ram_mb = 200.0
 max_connections = 500
 """
-# Limits that the state service has from some moment on, where a day has such a moment.
+# Lower limits of the state service, for days on which they change.
 NEXT = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
 
 
--- a/tests/world/simulated_cloud.py
+++ b/tests/world/simulated_cloud.py
@@ -1,4 +1,4 @@
-"""The simulated cloud, written from the protocol."""
+"""The simulated cloud, implemented from the protocol."""
 
 import random
 from dataclasses import dataclass, field
@@ -24,7 +24,7 @@
 
 @dataclass
 class SimulatedCloud(Service):
-    """Provides machines of given types, with a list that lags behind."""
+    """Provides machines of given types; its list of machines lags behind."""
 
     loop: SimLoop
     rng: random.Random
@@ -37,10 +37,10 @@
     requests: dict[str, list[str]] = field(default_factory=dict)
     taken: list[tuple[float, str]] = field(default_factory=list)
     deleted: list[str] = field(default_factory=list)
-    on_running: Any = None  # called with each machine that comes up
-    on_deleted: Any = None  # called with the name of each that is gone
+    on_running: Any = None  # called with each machine that has booted
+    on_deleted: Any = None  # called with the name of each deleted machine
     next_name: int = 1
-    fast_boot: bool = False  # machines are up within two seconds
+    fast_boot: bool = False  # machines boot within two seconds
 
     def add(self, machine_type: str, zone: str, spot: bool, boot: float) -> SimulatedMachine:
         name = f"m-{self.next_name:06d}"
--- a/tests/world/simulated_store.py
+++ b/tests/world/simulated_store.py
@@ -1,4 +1,4 @@
-"""The simulated key-value store, written from the protocol."""
+"""The simulated key-value store, implemented from the protocol."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class SimulatedStore(Service):
-    """Keys with revisions, transactions on comparisons, leases (grants) and watches."""
+    """Keys with revisions, transactions with comparisons, leases (grants) and watches."""
 
     def __init__(
         self, loop: SimLoop, rng: random.Random, max_changes: int, value_bytes: int, write_rps: float = math.inf
@@ -21,7 +21,7 @@
         super().__init__(loop, rng, 0.004)
         self.write_rps = self.write_tokens = write_rps
         self.write_tokens_at = loop.now
-        # Transactions refused as beyond the rate of changes, and the largest number of slots.
+        # Transactions rejected because they exceed the rate of changes.
         self.rate_limited = 0
         self.revision = 1
         self.items: dict[str, tuple[Any, int, int | None]] = {}
@@ -77,7 +77,7 @@
             ]
             if (news and not self.down) or self.loop.now >= end:
                 return ClientResponse(200, {"ledger_rev": self.revision, "news": news})
-            # Grants end by time alone, so a look now and then is needed besides the event.
+            # Grants expire without setting the event, so expiry is polled as well.
             try:
                 async with asyncio.timeout(min(0.1, max(0.001, end - self.loop.now))):
                     await self.changed.wait()
@@ -126,7 +126,7 @@
         return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
 
     def limit(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
-        """Set new limits from now on; what is stored stays as it is."""
+        """Set new limits; values that are stored already stay as they are."""
         self.value_bytes, self.max_changes = int(value_kb * 1024), txn_ops
         self.write_rps, self.write_tokens = write_rps, min(self.write_tokens, write_rps)
 
@@ -167,7 +167,7 @@
         return ClientResponse(200, {"ledger_rev": self.revision})
 
     def _malformed(self, comparisons: list[Any], changes: list[Any]) -> str | None:
-        """Return what is wrong with a transaction; what a controller must never send is noted."""
+        """Return what is wrong with a transaction; record what a controller must never send."""
         if len(changes) > self.max_changes or len(comparisons) > 4 * self.max_changes:
             self.bad_requests.append("too many operations")
             return "too many operations"
--- a/tests/world/specs.py
+++ b/tests/world/specs.py
@@ -1,4 +1,4 @@
-"""Jobs and services as users describe them."""
+"""Specs of jobs and services as users submit them."""
 
 from typing import Any
 
@@ -30,7 +30,7 @@
 
 
 def daemon(number: int, **changes: Any) -> dict[str, Any]:
-    """Return a service: a replica runs for `true_s` before it ends by itself, with `ends`."""
+    """Return a service's spec: a replica runs for `true_s`, then exits by itself with `ends`."""
     return (
         job(
             number,
@@ -49,5 +49,5 @@
 
 
 def sent(spec: dict[str, Any]) -> dict[str, Any]:
-    """Return what a user sends of it: the rest is for the simulated workers only."""
+    """Return the fields of a spec that a user sends; the others are for the simulated workers only."""
     return {name: value for name, value in spec.items() if name not in ("true_s", "each_s", "ends")}
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -1,4 +1,4 @@
-"""A world with users in it: jobs submitted, asked about and cancelled while troubles come."""
+"""Users of a simulated world: they submit, query and cancel jobs while faults are injected."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -12,7 +12,7 @@
 
 
 class Stage:
-    """A world with users in it, and the troubles that befall it."""
+    """A simulated world with its users, into which faults are injected."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -29,7 +29,7 @@
         return task
 
     async def end(self) -> None:
-        """Wait until no user has anything left to do."""
+        """Wait until all work that was begun has ended."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
@@ -45,7 +45,7 @@
         return None
 
     async def work(self) -> None:
-        """Submit the first jobs: teams at their limit, zones, arrays, ends far apart."""
+        """Submit the initial jobs: teams at their limit, zone rules, arrays, tasks that end far apart."""
         await self.submit(crew="red", pieces=14, true_s=25.0, expected_s=25.0)
         await self.submit(crew="red", urgency="high", pieces=4, cpus=2.0, true_s=12.0, expected_s=12.0)
         for _ in range(3):
@@ -63,7 +63,7 @@
         return [one for one in self.ids if states.get(one) not in ("done", "cancelled")]
 
     async def look(self, job_id: str) -> None:
-        """Ask every node repeatedly within milliseconds, and repeat the submission."""
+        """Query every node repeatedly within milliseconds, and repeat the submission."""
         world = self.world
         for _ in range(3):
             asks = [world.poll(job_id, node) for node in world.nodes if node in world.controllers]
@@ -97,6 +97,6 @@
 
 
 def add_for(stage: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
-    """Add to one of the world's sets of what is faulty, and take it out again after so many seconds."""
+    """Add items to one of the world's sets of faulty parts, and remove them after `for_s` seconds."""
     faulty |= added
     stage.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -1,4 +1,4 @@
-"""Days that begin with the version before, watched by the rollout monitor."""
+"""Simulated days that begin with the previous version, watched by the rollout monitor."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 def staged_day(script: Script, before: Callable[[World], None] = begin_before, **more: Any) -> World:
-    """Play a day that begins with the version before; the monitor may see no promise broken."""
+    """Run a day that begins with the previous version; the monitor must see no violation."""
 
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
@@ -26,7 +26,7 @@
 
 
 async def submit_some(world: World, count: int = 4, first: int = 0) -> list[str]:
-    """Jobs of several chunks of done marks and of a single task."""
+    """Submit jobs of a single task up to several chunks of done marks; return the ids of those accepted."""
     ids = []
     for number in range(first, first + count):
         pieces = [1, 40, 300, 7][number % 4]
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of the state service: refusals, outages, lost and late answers."""
+"""Faults of the state service: refusals, outages, lost and late responses."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 async def refused_then_down(stage: Stage) -> None:
-    """Refuse the leader, then everybody for longer than `cancel_s`, while users cancel and ask."""
+    """Refuse the leader, then all nodes for longer than `cancel_s`, while users cancel and query jobs."""
     world, leader = stage.world, stage.leader()
     if leader is None:
         return
@@ -29,7 +29,7 @@
 
 
 async def _fault(stage: Stage, share: str, value: float, for_s: float) -> None:
-    """Set a share of ServiceFaults at every node's way to the store for so long."""
+    """Set a share in the ServiceFaults of every node's store client for `for_s` seconds."""
     for faults in stage.store_faults():
         setattr(faults, share, value)
     await asyncio.sleep(for_s)
@@ -38,12 +38,12 @@
 
 
 async def late_writes(stage: Stage) -> None:
-    """Carry out a share of the requests after newer ones, without a response."""
+    """Apply a share of the requests after newer ones, without a response."""
     await _fault(stage, "late_share", 0.3, 25)
 
 
 async def answers_lost(stage: Stage) -> None:
-    """Carry out requests at once and lose a share of the responses."""
+    """Apply requests at once and lose a share of the responses."""
     await _fault(stage, "lost_response_share", 0.4, 25)
 
 
--- a/tests/world/stored.py
+++ b/tests/world/stored.py
@@ -1,4 +1,4 @@
-"""What a new leader would find in the simulated store."""
+"""Reads what a new leader would load from the simulated store."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def stored_pages(store: SimulatedStore) -> list[tuple[str, Any, int]]:
-    """Key, value and revision of each page."""
+    """Return the key, value and revision of each page."""
     return [(key, value, revision) for key, (value, revision, _) in store.items.items() if key.startswith(PAGE_PREFIX)]
 
 
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -1,4 +1,4 @@
-"""The shared part of a term, with stand-ins where a test names none."""
+"""Term contexts for tests, with stubs for what a test does not pass."""
 
 from typing import Any, cast
 
@@ -11,7 +11,7 @@
 
 
 class SureTerm:
-    """A term whose lease holds for as long as `sure` is set."""
+    """A stub of a term whose lease holds while `sure` is set."""
 
     def __init__(self, fencing_token: int = 1) -> None:
         self.fencing_token = fencing_token
@@ -29,7 +29,7 @@
 
 
 def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
-    """Return what services of one term share; `writer` and `term` may be stand-ins."""
+    """Return the context that services of one term share; `writer` and `term` may be stubs."""
     return TermContext(
         term=term or cast(Any, SureTerm()),
         store=cast(Any, None),
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -1,4 +1,4 @@
-"""Upgrades by kills: nodes of the earlier version come back as this one, and the store's limits fall."""
+"""Upgrades by kills: nodes of the earlier version restart as this one, and the store's limits are lowered."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 async def upgrade(world: World, order: list[str], pause: float, trouble: Any = None) -> None:
-    """Kills a node at a time; it comes back new. One that dies before its turn comes back old."""
+    """Kill one node at a time and restart it as the new version; killed before its turn, it restarts as the old."""
     for node in order:
         if trouble is not None:
             await trouble()
@@ -35,7 +35,7 @@
 
 
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
-    """Play the same with a version that really is an earlier one, drawn by the seed alone."""
+    """Run a rollout from an actual earlier version, drawn from the seed alone."""
     rng = random.Random(seed)
     troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
@@ -53,7 +53,7 @@
     falls: float,
     before: Callable[[World], None],
 ) -> None:
-    """Upgrade in that order beside troubles; the limits fall so many seconds after it."""
+    """Upgrade in this order while faults occur, and lower the limits `falls` seconds after the upgrade."""
 
     async def script(world: World) -> None:
         for zone in ZONES:
@@ -67,7 +67,7 @@
             await asyncio.sleep(pause)
 
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
-        # Nothing new is asked for before all nodes are new; then the limits fall, at any moment.
+        # Features of the new version are used only once all nodes run it; the limits may be lowered any time after.
         world.loop.call_later(falls, fall, world)
         services = await _submit_services(world)
         for kind, pause in waiting:
@@ -79,7 +79,7 @@
         await asyncio.sleep(max(0.0, 41 - falls))
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
-        # What was not withdrawn serves again, all of it.
+        # Services that were not cancelled have all their replicas again.
         for job_id in services:
             if world.rules.reported_states.get(job_id) != "cancelled":
                 await _until_serving(world, job_id)
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that users make: cancellations at any moment, many small jobs, requests that cannot be met."""
+"""Difficult requests of users: cancellations at any moment, many small jobs, requests that can't be satisfied."""
 
 import asyncio
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 async def cancel_now(stage: Stage) -> None:
-    """Cancel some running jobs, first those of the team at its limit, within a fifth of a second."""
+    """Cancel some running jobs within 0.2 s, preferably those of the team at its limit."""
     on = {task.rpartition("/")[0] for _, task in stage.world.rules.running}
     jobs = stage.unfinished()
     stage.world.rng.shuffle(jobs)
@@ -22,7 +22,7 @@
 
 
 async def cancel_and_hang(stage: Stage) -> None:
-    """Cancel jobs while machines of the team at its limit hang or can't be reached."""
+    """Cancel jobs while machines of the team at its limit hang or are unreachable."""
     world = stage.world
     specs = world.rules.specs
     theirs = {name for name, task in world.rules.running if specs[task.rpartition("/")[0]]["crew"] == "red"}
@@ -35,7 +35,7 @@
 
 
 async def cancel_at_end(stage: Stage) -> None:
-    """Cancel, query or resubmit jobs at the moment at which their last task ends."""
+    """Cancel, query or resubmit jobs at about the time at which their last task ends."""
     world = stage.world
 
     async def one() -> None:
@@ -55,7 +55,7 @@
 
 
 async def stream(stage: Stage) -> None:
-    """Submit one-task jobs, four a second, a quarter of them cancelled, some at once."""
+    """Submit four one-task jobs per second, and cancel a quarter of them, some at once."""
     world = stage.world
 
     async def one() -> None:
@@ -70,7 +70,7 @@
 
 
 async def close_looks(stage: Stage) -> None:
-    """Ask all nodes right after a job was accepted; cancel some at once."""
+    """Query all nodes right after a job was accepted; cancel some jobs at once."""
     world = stage.world
 
     async def one() -> None:
@@ -86,7 +86,7 @@
 
 
 async def odd_requests(stage: Stage) -> None:
-    """Send jobs that can't run or lack a field, repetitions, and cancellations of what is done."""
+    """Submit jobs that can't run or lack a field, repeat submissions, and cancel finished jobs."""
     world = stage.world
     odd: list[dict[str, Any]] = [
         {"cpus": 17.0},
@@ -115,7 +115,7 @@
 
 
 async def overload(stage: Stage) -> None:
-    """Submit more work than there is room for, urgent and not, over slow links."""
+    """Submit more work than there is room for, of several priorities, over slow links."""
     stage.begin(held_up(stage))
     for _ in range(10):
         for urgency in ("high", "normal", "best_effort"):
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -1,8 +1,8 @@
-"""A controller of the version before: it announces the first level alone, and reads no form of another.
+"""A controller of the previous version: it announces only the first level, and reads no record form of another.
 
     python -m tests.world.version_before --config FILE [--operators FILE]
 
-For runs with real processes where no checkout of an earlier version is at hand.
+For runs with real processes where no checkout of an earlier version is available.
 """
 
 import argparse
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Run the controller until it is ended."""
+    """Run the controller until it is terminated."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--config", type=Path, required=True)
     parser.add_argument("--operators", type=Path)
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -1,8 +1,8 @@
-"""The version whose controllers a node runs: this one, or an earlier one from its own sources.
+"""Versions whose controllers a node can run: this one, or an earlier one imported from its own sources.
 
-An earlier version has other names for what this one has renamed since. `MODULES`, `CLASSES` and
-`ATTRIBUTES` map the present names that the simulated world uses to the earlier ones; whoever renames
-one of them adds the name that it had. The first earlier name that a version knows is taken.
+An earlier version uses names that have been changed since. `MODULES`, `CLASSES` and `ATTRIBUTES` map
+the present names that the simulated world uses to the earlier ones; whoever renames one of them adds
+the name that it had. The first name that a version has is used.
 """
 
 import importlib
@@ -94,7 +94,7 @@
         )
 
     def request(self, request: Request) -> Any:
-        """Return the request as the version's server makes it."""
+        """Return the request as the version's server creates it."""
         return request
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
@@ -107,7 +107,7 @@
 
 
 class NodeLevels(msgspec.Struct, frozen=True):
-    """A node's rollout settings, and the levels that it stands for."""
+    """A node's rollout settings, and the levels that it supports."""
 
     rollout: RolloutSettings
     supported: SupportedLevels
@@ -117,7 +117,7 @@
     """An earlier version, imported under a package name of its own."""
 
     def __init__(self, package: str) -> None:
-        """Give the package's classes the present names besides their own."""
+        """Add the present names to the package's classes."""
         self.package = package
         for (module, name), names in ATTRIBUTES.items():
             _add_names(self.named(module, name), names)
@@ -147,7 +147,7 @@
         raise LookupError(f"the earlier version has no {module}.{name}: add the name that it had to CLASSES")
 
     def reads_level(self, level: int) -> bool:
-        """Whether the version reads the forms of a compatibility level; one without levels reads the first."""
+        """Return whether the version reads a compatibility level; a version without levels reads the first."""
         try:
             return level in self.named("common.features", "SUPPORTED")
         except LookupError:
@@ -177,7 +177,7 @@
         return controller
 
     def request(self, request: Request) -> Any:
-        """Return the request as the earlier version's server makes it."""
+        """Return the request as the earlier version's server creates it."""
         made = self.named("net.http_messages", "Request")
         return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
 
@@ -195,7 +195,7 @@
 
 
 class EarlierPort:
-    """A port that answers and fails with the earlier version's own types."""
+    """A port that returns responses and raises errors of the earlier version's types."""
 
     def __init__(self, port: SimulatedClient, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
@@ -207,7 +207,7 @@
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
     ) -> Any:
-        """Call the service as the port does, with the name that the precondition had."""
+        """Call the service through the port, taking the precondition under its earlier name."""
         try:
             answer: ClientResponse = await self._port.call(method, path, body, timeout=timeout, precondition=sure)
         except NotSentError as error:
@@ -218,7 +218,7 @@
 
 
 def _add_names(owner: type, names: dict[str, tuple[str, ...]]) -> None:
-    """Let instances answer to present names: asked only for attributes that the class does not have."""
+    """Let instances resolve present names; `__getattr__` is called only for attributes that the class lacks."""
 
     def find(instance: Any, present: str) -> Any:
         for earlier in names.get(present, ()):
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: reports, obeys, fetches, runs, and kills its tasks when its lease ends."""
+"""A simulated worker: sends heartbeats, executes commands, and kills its tasks when its lease expires."""
 
 import asyncio
 import random
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class WorkerSurroundings:
-    """What all workers share: the loop, the controllers that they report to, and times in seconds."""
+    """What all workers share: the loop, the controllers that they report to, and the heartbeat interval."""
 
     loop: SimLoop
     rng: random.Random
@@ -45,7 +45,7 @@
     def __init__(
         self, surroundings: WorkerSurroundings, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
-        """Begin to report; the lease lasts as long as the worker's own clock says."""
+        """Start sending heartbeats; the lease is measured by the worker's own clock."""
         self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
         self.nodes, self.send = surroundings.nodes, surroundings.send
         self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
@@ -82,11 +82,11 @@
         self.tasks.clear()
 
     async def _work(self) -> None:
-        """Step the tasks along, and the lease."""
+        """Advance the tasks, and kill them when the lease expires."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.now
-            # A machine that hangs may go on within its lease; past that its tasks are dead.
+            # Tasks on a hung machine survive until its lease expires.
             if now - self.lease_renewed_at > self.lease_s:
                 self._drop_tasks()
                 self.incarnation += 1
@@ -100,7 +100,7 @@
                     self.state_changed.set()
 
     def _step(self, task: WorkerTask) -> None:
-        """Take a task to its next state: it runs once its image is there, and ends after its time."""
+        """Move a task to its next state: it runs once its image is fetched, and exits after its duration."""
         spec = self.rules.specs[task.name.rpartition("/")[0]]
         if task.state == "fetching":
             self.images.add(spec["kit"])
@@ -162,7 +162,7 @@
                 continue
             if status == 200 and self.loop.now - sent < 4:
                 self._handle_response(body, sent, session)
-                # Not more often than each half second, and after report_s at the latest.
+                # Heartbeats are at least 0.5 s apart, and sent after about `report_s` at the latest.
                 await asyncio.sleep(0.5)
                 try:
                     async with asyncio.timeout(self.heartbeat_interval_s * self.rng.uniform(0.75, 1.25) - 0.5):
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -14,12 +14,12 @@
 from tests.world.specs import sent
 from tests.world.workers import Worker, WorkerSurroundings
 
-# Of workers, as in the settings.
+# Times of workers, as in the settings.
 HEARTBEAT_INTERVAL_S, LEASE_S = 3.0, 12.0
 
 
 class World(ControllerNodes):
-    """The nodes together with the workers that report to them and the users that ask them."""
+    """The nodes together with the workers that report to them and the users that send them requests."""
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
@@ -38,13 +38,13 @@
         self.workers[machine.name] = Worker(self._surroundings, machine, machine_type, lease_s)
 
     def machine_gone(self, name: str) -> None:
-        """End the worker of a machine that the cloud has taken back."""
+        """Terminate the worker of a machine that the cloud has deleted."""
         worker = self.workers.pop(name, None)
         if worker is not None:
             worker.terminate()
 
     async def _send(self, worker: str, node: str, request: Request) -> Response:
-        # A worker whose request is not answered ends the connection.
+        # A worker whose request is not answered closes the connection.
         connected_to, answered_at = self.worker_connections.pop(worker, (node, None))
         request.previous_answered_at = answered_at if connected_to == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
@@ -58,7 +58,7 @@
         answered_at = self.loop.clock(self.drift[node])
         await asyncio.sleep(self.link_faults.delay(node, zone))
         await self._maybe_delay()
-        # The response may be lost on its way.
+        # The response may be lost.
         if self.link_faults.has("drop", node, zone):
             await asyncio.sleep(60)
         if (
@@ -85,7 +85,7 @@
             raise ConnectionError(node)
 
     def _capture(self, request: Request) -> None:
-        """Send copies of a share of the requests later, to any node, and keep copies where a test collects them."""
+        """Deliver copies of a share of the requests later, to any node, and keep copies if a test collects them."""
         if self.rng.random() < self.duplicate_share:
             for _ in range(self.rng.randint(1, 2)):
                 late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
@@ -112,7 +112,7 @@
     async def ask(self, method: str, path: str, body: Any = None, node: str | None = None) -> Response:
         up = [name for name in self.controllers if name not in self.cut_nodes]
         if not up:
-            # No connection, so no answer at all.
+            # No connection, hence no response.
             return Response(504)
         name = node or self.rng.choice(up)
         try:
@@ -124,7 +124,7 @@
     async def about(
         self, job_id: str, method: str, path: str, body: Any = None, node: str | None = None
     ) -> tuple[Response, str | None]:
-        """Send a user's request about a job and judge the response."""
+        """Send a user's request about a job and check the response."""
         asked = self.loop.now
         response = await self.ask(method, path, body, node)
         state = (response.body or {}).get("status")
