--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -7,25 +7,25 @@
 
 from tests.trace.pins import SimulatedTime, pinned
 from tests.trace.recorder import Recorder
-from tests.trace.users import ask_until_end, leader_of, rent_more, take_back, use
+from tests.trace.users import interrupt_spot_machines, leader_of, query_until, rent_machines, run_users
 from tests.world.rollouts import begin_before, until_level
 from tests.world.world import World, start
 
 Script = Callable[[World, random.Random], Awaitable[None]]
 MACHINES = 16
 # The level from which controllers exchange views of their links.
-LEVEL = 3
+LINK_VIEW_LEVEL = 3
 
 
 async def ordinary(world: World, rng: random.Random) -> None:
     """Submit, query and cancel jobs of all forms, and interrupt spot machines."""
-    await asyncio.gather(use(world, rng, 45), take_back(world, rng, 4, 25.0))
-    await ask_until_end(world, rng, 200.0)
+    await asyncio.gather(run_users(world, rng, 45), interrupt_spot_machines(world, rng, 4, 25.0))
+    await query_until(world, rng, 200.0)
 
 
 async def outage(world: World, rng: random.Random) -> None:
     """Lose responses, delay and duplicate requests, take the store down, and lower its limit."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
         state, cloud = ports.store.faults, ports.cloud.faults
@@ -45,12 +45,12 @@
     await asyncio.sleep(15)
     world.store.limit(8.0, 8, 15.0)
     await users
-    await ask_until_end(world, rng, 170.0)
+    await query_until(world, rng, 170.0)
 
 
 async def cuts(world: World, rng: random.Random) -> None:
     """Cut single links and a zone, while machines hang, stop and fail their tasks."""
-    users = asyncio.ensure_future(use(world, rng, 35))
+    users = asyncio.ensure_future(run_users(world, rng, 35))
     await asyncio.sleep(12)
     names = sorted(world.workers)
     world.workers[names[0]].hung = True
@@ -70,12 +70,12 @@
     await asyncio.sleep(25)
     world.cut_worker_links.clear()
     await users
-    await ask_until_end(world, rng, 220.0)
+    await query_until(world, rng, 220.0)
 
 
 async def kills(world: World, rng: random.Random) -> None:
     """Kill and restart the leader, suspend a follower, kill and restart all."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     for _ in range(2):
         await asyncio.sleep(18)
         node = leader_of(world)
@@ -91,12 +91,12 @@
     for node in world.nodes:
         world.start(node)
     await users
-    await ask_until_end(world, rng, 180.0)
+    await query_until(world, rng, 180.0)
 
 
 async def levels(world: World, rng: random.Random) -> None:
     """Upgrade nodes of the previous version one by one, wait for the new level, and cut links with it active."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(12)
     for node in world.nodes:
         # It restarts with all levels that this version supports.
@@ -104,14 +104,14 @@
         del world.levels[node]
         world.loop.call_later(1.0, start, world, node)
         await asyncio.sleep(9)
-    await until_level(world, LEVEL)
+    await until_level(world, LINK_VIEW_LEVEL)
     await asyncio.sleep(10)
     for source, target in (("leader", "workers"), ("leader", "follower"), ("leader", "store")):
         await world.play_faults([{"at_s": 0.0, "for_s": 12.0, "from": source, "to": target, "both": True}])
         await asyncio.sleep(14)
     await users
     world.kill(leader_of(world))
-    await ask_until_end(world, rng, 190.0)
+    await query_until(world, rng, 190.0)
 
 
 DAYS: dict[str, tuple[Script, Callable[[World], None]]] = {
@@ -135,13 +135,13 @@
         recorder.world, clock.loop = world, world.loop
         prepare(world)
 
-    async def played(world: World) -> None:
-        rent_more(world, 12)
+    async def traced_script(world: World) -> None:
+        rent_machines(world, 12)
         await script(world, random.Random(seed))
         # Work that is cancelled at the end ends in no defined order.
         recorder.closed = True
 
     more: dict[str, Any] = {"machines": MACHINES, "each": 8, "before": before}
-    with pinned(seed, clock), recorder.watching():
-        day(played, seed=seed, **more)
+    with pinned(seed, clock), recorder.recording():
+        day(traced_script, seed=seed, **more)
     return recorder.lines
--- a/tests/trace/pins.py
+++ b/tests/trace/pins.py
@@ -14,7 +14,7 @@
 
 EPOCH_S = 1_700_000_000.25
 PACKAGE = "elmthread"
-REAL = datetimes.datetime
+RealDatetime = datetimes.datetime
 
 
 class SimulatedTime:
@@ -24,34 +24,34 @@
         """Start at the epoch, where time stays until a loop is set."""
         self.loop: SimLoop | None = None
 
-    def steady(self) -> float:
+    def monotonic(self) -> float:
         """Return the simulated seconds since the day began."""
         return 0.0 if self.loop is None else self.loop.now
 
-    def steady_ns(self) -> int:
+    def monotonic_ns(self) -> int:
         """Return the same in nanoseconds."""
-        return int(self.steady() * 1e9)
+        return int(self.monotonic() * 1e9)
 
     def wall(self) -> float:
         """Return the simulated seconds since 1970."""
-        return EPOCH_S + self.steady()
+        return EPOCH_S + self.monotonic()
 
     def wall_ns(self) -> int:
         """Return the same in nanoseconds."""
         return int(self.wall() * 1e9)
 
 
-def _datetime(clock: SimulatedTime) -> type[REAL]:
+def _datetime(clock: SimulatedTime) -> type[RealDatetime]:
     """Return a datetime class that reads the simulated time and is otherwise unchanged."""
 
-    class SimulatedDatetime(REAL):
+    class SimulatedDatetime(RealDatetime):
         @classmethod
         def now(cls, tz: datetimes.tzinfo | None = None) -> Any:
-            return REAL.fromtimestamp(clock.wall(), tz)
+            return RealDatetime.fromtimestamp(clock.wall(), tz)
 
         @classmethod
         def utcnow(cls) -> Any:
-            return REAL.fromtimestamp(clock.wall(), datetimes.UTC).replace(tzinfo=None)
+            return RealDatetime.fromtimestamp(clock.wall(), datetimes.UTC).replace(tzinfo=None)
 
     return SimulatedDatetime
 
@@ -66,17 +66,17 @@
     clocks: dict[str, Callable[[], float]] = {
         "time": clock.wall,
         "time_ns": clock.wall_ns,
-        "monotonic": clock.steady,
-        "monotonic_ns": clock.steady_ns,
-        "perf_counter": clock.steady,
-        "perf_counter_ns": clock.steady_ns,
+        "monotonic": clock.monotonic,
+        "monotonic_ns": clock.monotonic_ns,
+        "perf_counter": clock.monotonic,
+        "perf_counter_ns": clock.monotonic_ns,
     }
     clocks |= dict.fromkeys(("process_time", "process_time_ns", "thread_time", "thread_time_ns"), _no_processor_time)
     found: list[tuple[Any, str, Any]] = [(time, name, one) for name, one in clocks.items()]
     return [*found, (datetimes, "datetime", _datetime(clock))]
 
 
-def _patch_imported_names(stack: ExitStack, stand_ins: dict[int, Any]) -> None:
+def _patch_imported_names(stack: ExitStack, replacements: dict[int, Any]) -> None:
     """Replace what modules of the service have imported by `from time import ...` and the like.
 
     The variables are found by the identity of their values, so that no name of a module or variable is needed here.
@@ -84,8 +84,8 @@
     modules = [one for name, one in sys.modules.items() if name == PACKAGE or name.startswith(f"{PACKAGE}.")]
     for module in modules:
         for name, value in list(vars(module).items()):
-            if id(value) in stand_ins:
-                stack.enter_context(mock.patch.object(module, name, stand_ins[id(value)]))
+            if id(value) in replacements:
+                stack.enter_context(mock.patch.object(module, name, replacements[id(value)]))
 
 
 @contextmanager
@@ -95,12 +95,12 @@
     with ExitStack() as stack:
         # All functions of `secrets` use this generator, however they were imported.
         stack.enter_context(mock.patch.object(secrets, "_sysrand", rng))
-        stand_ins: dict[int, Any] = {id(secrets.choice): rng.choice, id(secrets.randbits): rng.getrandbits}
+        replacements: dict[int, Any] = {id(secrets.choice): rng.choice, id(secrets.randbits): rng.getrandbits}
         for name in ("choice", "randbits"):
-            stack.enter_context(mock.patch.object(secrets, name, stand_ins[id(getattr(secrets, name))]))
-        for module, name, stand_in in _replacements(clock):
-            stand_ins[id(getattr(module, name))] = stand_in
-            stack.enter_context(mock.patch.object(module, name, stand_in))
-        _patch_imported_names(stack, stand_ins)
+            stack.enter_context(mock.patch.object(secrets, name, replacements[id(getattr(secrets, name))]))
+        for module, name, replacement in _replacements(clock):
+            replacements[id(getattr(module, name))] = replacement
+            stack.enter_context(mock.patch.object(module, name, replacement))
+        _patch_imported_names(stack, replacements)
         random.seed(seed)
         yield
--- a/tests/trace/recorder.py
+++ b/tests/trace/recorder.py
@@ -19,23 +19,23 @@
 NO_ANSWER = "unanswered"
 
 
-def wire(value: Any) -> str:
+def to_json(value: Any) -> str:
     """Return a body as JSON, with its fields in the order of sending. Raises TypeError if it can't be encoded."""
     return json.dumps(value, separators=(",", ":"))
 
 
-def received(body: bytes) -> str:
+def format_request_body(body: bytes) -> str:
     """Return the body of a request as JSON, or as hexadecimal digits if it is not CBOR."""
     try:
-        return wire(cbor2.loads(body)) if body else ""
+        return to_json(cbor2.loads(body)) if body else ""
     except ValueError:
         return body.hex()
 
 
-def answered(response: Any) -> str:
+def format_response(response: Any) -> str:
     """Return a response as text, including its headers. The only place that names its fields."""
     after = "" if response.retry_after is None else f" retry={response.retry_after.total_seconds():.6f}"
-    return f"{response.status}{after}{' close' if response.close else ''} {wire(response.body)}"
+    return f"{response.status}{after}{' close' if response.close else ''} {to_json(response.body)}"
 
 
 class Recorder:
@@ -65,22 +65,22 @@
         return end
 
     @contextmanager
-    def watching(self) -> Iterator[None]:
+    def recording(self) -> Iterator[None]:
         """Record calls to services, requests to nodes and messages between controllers."""
         with (
-            mock.patch.object(SimulatedClient, "call", _watched_call(self)),
-            mock.patch.object(World, "serve", _watched_door(self)),
-            mock.patch.object(World, "carried", _watched_message(self)),
+            mock.patch.object(SimulatedClient, "call", _recorded_call(self)),
+            mock.patch.object(World, "serve", _recorded_serve(self)),
+            mock.patch.object(World, "as_decoded_by", _recorded_message(self)),
         ):
             yield
 
 
-def _watched_call(recorder: Recorder) -> Any:
+def _recorded_call(recorder: Recorder) -> Any:
     call = SimulatedClient.call
 
-    async def watched(port: SimulatedClient, method: str, path: str, body: Any = None, **more: Any) -> Any:
+    async def recorded(port: SimulatedClient, method: str, path: str, body: Any = None, **more: Any) -> Any:
         service = "cloud" if isinstance(port._service, SimulatedCloud) else "state"
-        end = recorder.begin(f"{NODE.get()} {service} {method} {path} {wire(body)}")
+        end = recorder.begin(f"{NODE.get()} {service} {method} {path} {to_json(body)}")
         try:
             answer = await call(port, method, path, body, **more)
         except asyncio.CancelledError:
@@ -89,31 +89,31 @@
             # The text comes from the simulated client; the class, which is of the code under test, is left out.
             end(f"failed: {error}")
             raise
-        end(f"{answer.status} {wire(answer.body)}")
+        end(f"{answer.status} {to_json(answer.body)}")
         return answer
 
-    return watched
+    return recorded
 
 
-def _watched_door(recorder: Recorder) -> Any:
+def _recorded_serve(recorder: Recorder) -> Any:
     serve = World.serve
 
-    async def watched(world: World, node: str, request: Any) -> Any:
-        query = wire(dict(request.query)) if request.query else ""
-        end = recorder.begin(f"{node} door {request.method} {request.path}{query} {received(request.body)}")
+    async def recorded(world: World, node: str, request: Any) -> Any:
+        query = to_json(dict(request.query)) if request.query else ""
+        end = recorder.begin(f"{node} door {request.method} {request.path}{query} {format_request_body(request.body)}")
         response = await serve(world, node, request)
-        end(answered(response))
+        end(format_response(response))
         return response
 
-    return watched
+    return recorded
 
 
-def _watched_message(recorder: Recorder) -> Any:
-    carried = World.carried
+def _recorded_message(recorder: Recorder) -> Any:
+    as_decoded_by = World.as_decoded_by
 
-    def watched(world: World, message: Any, node: str) -> Any:
+    def recorded(world: World, message: Any, node: str) -> Any:
         frame = pynetstring.encode(msgspec.json.encode(message)).decode()
         recorder.begin(f"{NODE.get()} says to {node} {frame}")("sent")
-        return carried(world, message, node)
+        return as_decoded_by(world, message, node)
 
-    return watched
+    return recorded
--- a/tests/trace/users.py
+++ b/tests/trace/users.py
@@ -21,7 +21,7 @@
 ]
 SERVICES: list[dict[str, Any]] = [{}, {"pieces": 4, "scatter": False, "one_zone": True}, {"pieces": 2, "loaners": True}]
 PRIORITIES = ["production", "high", "normal", "best_effort"]
-REFUSED: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"pieces": 0},
     {"cpus": -1.0},
     {"urgency": "soon"},
@@ -36,7 +36,7 @@
     return next((node for node, one in world.controllers.items() if one is world.leader), world.nodes[0])
 
 
-def drawn(rng: random.Random, number: int) -> dict[str, Any]:
+def draw_submission(rng: random.Random, number: int) -> dict[str, Any]:
     """Return a random submission of any form, priority and team."""
     crew = rng.choice(["red", "blue", "blue"])
     if rng.random() < 0.2:
@@ -46,26 +46,26 @@
     return spec | {"crew": crew if spec["cpus"] < 12 else "blue"}
 
 
-async def use(world: World, rng: random.Random, count: int, pause: float = 2.0, first: int = 0) -> None:
+async def run_users(world: World, rng: random.Random, count: int, pause: float = 2.0, first: int = 0) -> None:
     """Submit jobs one after another; in between query, resubmit, cancel, and send invalid submissions."""
     ids: list[str] = []
-    running: set[asyncio.Future[Any]] = set()
+    pending: set[asyncio.Future[Any]] = set()
     for number in range(first, first + count):
-        spec = drawn(rng, number)
-        running.add(asyncio.ensure_future(world.submit(spec)))
+        spec = draw_submission(rng, number)
+        pending.add(asyncio.ensure_future(world.submit(spec)))
         ids.append(spec["name_id"])
         await asyncio.sleep(rng.uniform(0.2, 2 * pause))
         if rng.random() < 0.3:
-            running.add(asyncio.ensure_future(world.offer(spec)))
+            pending.add(asyncio.ensure_future(world.submit_once(spec)))
         if rng.random() < 0.25:
-            running.add(asyncio.ensure_future(world.withdraw(rng.choice(ids))))
+            pending.add(asyncio.ensure_future(world.withdraw(rng.choice(ids))))
         if rng.random() < 0.2:
-            await world.ask("POST", "/submissions", job(900_000 + number, **rng.choice(REFUSED)))
-        await look(world, rng, ids)
-    await asyncio.gather(*running)
+            await world.ask("POST", "/submissions", job(900_000 + number, **rng.choice(INVALID_FIELDS)))
+        await query_at_random(world, rng, ids)
+    await asyncio.gather(*pending)
 
 
-async def look(world: World, rng: random.Random, ids: list[str]) -> None:
+async def query_at_random(world: World, rng: random.Random, ids: list[str]) -> None:
     """Query a job, and sometimes one that does not exist and the readiness of a node."""
     await world.poll(rng.choice(ids))
     if rng.random() < 0.2:
@@ -74,7 +74,7 @@
         await world.ask("GET", "/ready")
 
 
-def rent_more(world: World, count: int) -> None:
+def rent_machines(world: World, count: int) -> None:
     """Rent machines in all zones, some of them spot machines."""
     for index in range(count):
         world.rent("small" if index % 3 else "large", ZONES[:2][index % 2] if index % 3 == 0 else ZONES[index % 3])
@@ -82,7 +82,7 @@
         world.rent("small", ZONES[index % 3], spot=True)
 
 
-async def take_back(world: World, rng: random.Random, count: int, pause: float) -> None:
+async def interrupt_spot_machines(world: World, rng: random.Random, count: int, pause: float) -> None:
     """Interrupt spot machines, each after a notice of 12 s."""
     for _ in range(count):
         await asyncio.sleep(pause)
@@ -97,7 +97,7 @@
             world.cloud.on_deleted(name)
 
 
-async def ask_until_end(world: World, rng: random.Random, end: float) -> None:
+async def query_until(world: World, rng: random.Random, end: float) -> None:
     """Query all jobs at random until the day ends."""
     while world.loop.now < end:
         for job_id in sorted(world.rules.specs):
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -59,7 +59,7 @@
         self.ports: dict[str, NodePorts] = {}
         # Called with each controller that starts, and with each response that is sent.
         self.on_start: list[Callable[[str, Controller], None]] = []
-        self.on_answer: list[Callable[[str, Request, Response], None]] = []
+        self.on_response: list[Callable[[str, Request, Response], None]] = []
         # Requests that a node is handling.
         self.requests_in_progress: dict[str, set[Coroutine[Any, Any, Any]]] = {}
         # What runs in a node's context is suspended with the node.
@@ -75,7 +75,7 @@
         """Return the version that the node runs."""
         return self.earlier if self.earlier is not None and node in self.earlier_nodes else self._version
 
-    def carried(self, message: Any, node: str) -> Any:
+    def as_decoded_by(self, message: Any, node: str) -> Any:
         """Return a message between controllers as the receiving node's version decodes it."""
         if self.earlier is None:
             return message
@@ -119,15 +119,15 @@
             self._apply_to_store(node)
 
     def _apply_to_store(self, node: str) -> None:
-        trouble, links = self.ports[node].store.faults, self.link_faults
+        store_faults, links = self.ports[node].store.faults, self.link_faults
         if not links.used:
             return
-        trouble.cut = links.has("drop", node, STORE)
-        trouble.reset = links.has("reset", node, STORE) or links.has("reset", STORE, node)
-        trouble.lost_response_share = float(links.has("drop", STORE, node))
-        trouble.duplicate_share = 0.5 * links.has("duplicate", node, STORE)
-        trouble.refused = links.has("refuse", node, STORE)
-        trouble.request_delay_s, trouble.response_delay_s = links.delay(node, STORE), links.delay(STORE, node)
+        store_faults.cut = links.has("drop", node, STORE)
+        store_faults.reset = links.has("reset", node, STORE) or links.has("reset", STORE, node)
+        store_faults.lost_response_share = float(links.has("drop", STORE, node))
+        store_faults.duplicate_share = 0.5 * links.has("duplicate", node, STORE)
+        store_faults.refused = links.has("refuse", node, STORE)
+        store_faults.request_delay_s, store_faults.response_delay_s = links.delay(node, STORE), links.delay(STORE, node)
 
     async def _run(self, controller: Controller) -> None:
         async with asyncio.TaskGroup() as group:
@@ -152,12 +152,12 @@
         if controller.leader_task is not None:
             controller.leader_task.cancel()
 
-    async def within(self, node: str, work: Coroutine[Any, Any, T]) -> T:
+    async def run_on_node(self, node: str, work: Coroutine[Any, Any, T]) -> T:
         """Run a coroutine in the node's context, so that it is suspended with the node."""
         task = self.loop.create_task(work, context=self.contexts[node])
-        at_work = self.requests_in_progress.setdefault(node, set())
-        at_work.add(work)
-        task.add_done_callback(lambda _: at_work.discard(work))
+        in_progress = self.requests_in_progress.setdefault(node, set())
+        in_progress.add(work)
+        task.add_done_callback(lambda _: in_progress.discard(work))
         try:
             # The task is not awaited itself: the work of a node that is killed while suspended never ends,
             # and its caller must not wait forever.
@@ -176,11 +176,11 @@
             response = (
                 PRECONDITION_FAILED if response.precondition is not None and not response.precondition() else response
             )
-            for watch in self.on_answer:
+            for watch in self.on_response:
                 watch(node, request, response)
             return response
 
-        return await self.within(node, served())
+        return await self.run_on_node(node, served())
 
     async def suspend(self, node: str, seconds: float) -> None:
         """Suspend the process for some seconds; its clocks run on."""
@@ -193,8 +193,8 @@
         return self.reach(node, other) and self.link_faults.passes(node, other)
 
     def reach(self, one: str, other: str) -> bool:
-        out = self.cut_nodes | self.isolated_nodes
-        return one in self.controllers and other in self.controllers and not {one, other} & out
+        isolated = self.cut_nodes | self.isolated_nodes
+        return one in self.controllers and other in self.controllers and not {one, other} & isolated
 
     @property
     def leader(self) -> Controller | None:
--- a/tests/world/peer_links.py
+++ b/tests/world/peer_links.py
@@ -14,10 +14,10 @@
 def simulated_peers(world: "ControllerNodes", node: str) -> type[PeerNetwork]:
     """Return the class of the node's peer links, with the method names of the node's version."""
     version = world.version(node)
-    base: type[PeerNetwork] = version.named("peers.network", "PeerNetwork")
-    unreachable: type[Exception] = version.named("peers.connection", "PeerUnreachableError")
+    links_class: type[PeerNetwork] = version.lookup("peers.network", "PeerNetwork")
+    unreachable: type[Exception] = version.lookup("peers.connection", "PeerUnreachableError")
 
-    class SimulatedPeers(base):  # type: ignore[valid-type, misc]
+    class SimulatedPeers(links_class):  # type: ignore[valid-type, misc]
         """Peer links without sockets."""
 
         def is_connected(self, other: str) -> bool:
@@ -27,16 +27,16 @@
             await asyncio.sleep(0.002 + world.link_faults.delay(node, other))
             if not world.passes(node, other):
                 raise unreachable(other)
-            heard = world.carried(request, other)
+            decoded = world.as_decoded_by(request, other)
             try:
                 async with asyncio.timeout(timeout.total_seconds()):
-                    reply = await world.within(other, world.controllers[other].api.handle_peer_request(heard))
+                    reply = await world.run_on_node(other, world.controllers[other].api.handle_peer_request(decoded))
             except TimeoutError:
                 raise unreachable(other) from None
             await asyncio.sleep(world.link_faults.delay(other, node))
             if not world.passes(other, node):
                 raise unreachable(other)
-            answer: ForwardedResponse = world.carried(reply, node)
+            answer: ForwardedResponse = world.as_decoded_by(reply, node)
             return answer
 
         def announce(self) -> None:
@@ -44,10 +44,10 @@
             for other in world.nodes:
                 if other != node and world.passes(node, other):
                     receive = world.controllers[other].handle_announcement
-                    heard = world.carried(lead, other)
-                    late = 0.003 + world.link_faults.delay(node, other)
-                    world.loop.call_later(late, receive, heard, context=world.contexts[other])
+                    decoded = world.as_decoded_by(lead, other)
+                    delay_s = 0.003 + world.link_faults.delay(node, other)
+                    world.loop.call_later(delay_s, receive, decoded, context=world.contexts[other])
                     if world.link_faults.has("duplicate", node, other):
-                        world.loop.call_later(late + 1.0, receive, heard, context=world.contexts[other])
+                        world.loop.call_later(delay_s + 1.0, receive, decoded, context=world.contexts[other])
 
     return version.peers(SimulatedPeers)
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -74,7 +74,7 @@
         """Return the module that has that name in this version."""
         return importlib.import_module(f"{self.package}.{name}")
 
-    def named(self, module: str, name: str) -> Any:
+    def lookup(self, module: str, name: str) -> Any:
         """Return what has that name in that module of this version."""
         return getattr(self.module(module), name)
 
@@ -120,7 +120,7 @@
         """Add the present names to the package's classes."""
         self.package = package
         for (module, name), names in ATTRIBUTES.items():
-            _add_names(self.named(module, name), names)
+            _add_names(self.lookup(module, name), names)
 
     def module(self, name: str) -> ModuleType:
         """Return the module that has that name at present."""
@@ -138,7 +138,7 @@
             raise LookupError(f"the earlier version has no module {name}: add the name that it had to MODULES")
         return found
 
-    def named(self, module: str, name: str) -> Any:
+    def lookup(self, module: str, name: str) -> Any:
         """Return what has that name in that module at present."""
         for one in self._modules(module):
             for known in (name, *CLASSES.get((module, name), ())):
@@ -149,7 +149,7 @@
     def reads_level(self, level: int) -> bool:
         """Return whether the version reads a compatibility level; a version without levels reads the first."""
         try:
-            return level in self.named("common.features", "SUPPORTED")
+            return level in self.lookup("common.features", "SUPPORTED")
         except LookupError:
             return level == 1
 
@@ -162,14 +162,14 @@
         levels: NodeLevels,
     ) -> Controller:
         """Make a controller that supports what the earlier version does; one without levels gets none."""
-        file = self.named("settings.operators", "OperatorsFile")
+        file = self.lookup("settings.operators", "OperatorsFile")
         operators_file = file()
         if "rollout" in operators_file.__struct_fields__:
-            known = self.named("settings.rollout", "RolloutSettings")
+            known = self.lookup("settings.rollout", "RolloutSettings")
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
-        controller: Controller = self.named("controller", "Controller")(
-            self.named("settings.platform", "parse")(settings),
-            self.named("settings.operators", "Operators")(operators_file),
+        controller: Controller = self.lookup("controller", "Controller")(
+            self.lookup("settings.platform", "parse")(settings),
+            self.lookup("settings.operators", "Operators")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
@@ -178,7 +178,7 @@
 
     def request(self, request: Request) -> Any:
         """Return the request as the earlier version's server creates it."""
-        made = self.named("net.http_messages", "Request")
+        made = self.lookup("net.http_messages", "Request")
         return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
@@ -200,9 +200,9 @@
     def __init__(self, port: SimulatedClient, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
         self._port = port
-        self._answer = version.named("net.http_client", "ClientResponse")
-        self._no_response = version.named("net.http_client", "NoResponseError")
-        self._not_sent = version.named("net.http_client", "NotSentError")
+        self._answer = version.lookup("net.http_client", "ClientResponse")
+        self._no_response = version.lookup("net.http_client", "NoResponseError")
+        self._not_sent = version.lookup("net.http_client", "NotSentError")
 
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
