--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -16,18 +16,18 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        self.open = dict.fromkeys(NODES, 0)
-        self.probes: dict[str, deque[bool]] = {node: deque(maxlen=6) for node in NODES}
+        self.open_connections = dict.fromkeys(NODES, 0)
+        self.recent_probes: dict[str, deque[bool]] = {node: deque(maxlen=6) for node in NODES}
         self.healthy: set[str] = set()
-        self.known: set[str] = set()
-        self.pause = dict.fromkeys(NODES, 3.0)
-        self.out_until = dict.fromkeys(NODES, 0.0)
+        self.ever_healthy: set[str] = set()
+        self.pause_s = dict.fromkeys(NODES, 3.0)
+        self.excluded_until = dict.fromkeys(NODES, 0.0)
         self.task = world.loop.create_task(self._probe())
 
     async def _probe(self) -> None:
         while True:
             for node in NODES:
-                self._judge(node, await self._ready(node))
+                self._record_probe(node, await self._ready(node))
             await asyncio.sleep(1)
 
     async def _ready(self, node: str) -> bool:
@@ -35,30 +35,30 @@
             return False
         return (await self.world.ask("GET", "/ready", node=node)).status == 200
 
-    def _judge(self, node: str, good: bool) -> None:
-        seen = self.probes[node]
-        seen.append(good)
+    def _record_probe(self, node: str, succeeded: bool) -> None:
+        recent = self.recent_probes[node]
+        recent.append(succeeded)
         now = self.world.loop.now
         if node in self.healthy:
-            if list(seen)[-2:] == [False, False] or list(seen).count(False) >= 3:
+            if list(recent)[-2:] == [False, False] or list(recent).count(False) >= 3:
                 self.healthy.discard(node)
-                self.out_until[node] = now + self.pause[node]
-                self.pause[node] = min(self.pause[node] * 2, 60.0)
-        elif good and node not in self.known:
-            self.known.add(node)
+                self.excluded_until[node] = now + self.pause_s[node]
+                self.pause_s[node] = min(self.pause_s[node] * 2, 60.0)
+        elif succeeded and node not in self.ever_healthy:
+            self.ever_healthy.add(node)
             self.healthy.add(node)
-        elif list(seen)[-2:] == [True, True] and now >= self.out_until[node]:
-            seen.clear()
+        elif list(recent)[-2:] == [True, True] and now >= self.excluded_until[node]:
+            recent.clear()
             self.healthy.add(node)
 
     async def ask(self, method: str, path: str, body: object = None) -> Response | None:
         """Send a request to one of up to three healthy nodes; return None if none accepts the connection."""
-        for node in sorted(self.healthy, key=lambda node: self.open[node])[:3]:
+        for node in sorted(self.healthy, key=lambda node: self.open_connections[node])[:3]:
             if node not in self.world.controllers:
                 continue
-            self.open[node] += 1
+            self.open_connections[node] += 1
             try:
                 return await self.world.ask(method, path, body, node=node)
             finally:
-                self.open[node] -= 1
+                self.open_connections[node] -= 1
         return None
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -28,9 +28,9 @@
     return {"at_s": at, "for_s": length, "from": source, "to": target, "both": True} | more
 
 
-async def until_led(world: World, patience: float) -> None:
+async def wait_until_led(world: World, timeout_s: float) -> None:
     """Wait until a leader has confirmed the links in both directions to most of its machines."""
-    end = world.loop.now + patience
+    end = world.loop.now + timeout_s
     while world.loop.now < end:
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
@@ -38,7 +38,7 @@
             if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
-    raise AssertionError(f"no leader hears most machines {patience} s after the last cut")
+    raise AssertionError(f"no leader hears most machines {timeout_s} s after the last cut")
 
 
 def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
@@ -53,20 +53,20 @@
         world.levels = dict.fromkeys(world.nodes, levels)
         histories.append(History(world))
 
-    async def played(world: World) -> None:
+    async def full_script(world: World) -> None:
         history = histories[0]
         await until_level(world, levels.highest)
         users = asyncio.ensure_future(submit_and_cancel(world, 6, 0.0))
         await asyncio.sleep(8)
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
-        await until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
+        await wait_until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
         states = await world.until_over(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
         assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
-    world = day(played, seed=seed, before=before, machines=8)
-    assert histories[0].acts > 0
+    world = day(full_script, seed=seed, before=before, machines=8)
+    assert histories[0].checked_actions > 0
     assert histories[0].broken == []
     for reported in world.rules.history.values():
         assert len({state for _, state in reported if state in ("done", "cancelled")}) == 1
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -23,12 +23,12 @@
     cancel: float
 
 
-USUAL = DayOptions(seed=1, machines=4, controllers=3, each=3, before=lambda world: None, cancel=30.0)
+DEFAULTS = DayOptions(seed=1, machines=4, controllers=3, each=3, before=lambda world: None, cancel=30.0)
 
 
 def day(script: Callable[[World], Awaitable[None]], **options: Unpack[DayOptions]) -> World:
     """Run a script in a world whose nodes and machines have started; no rule may be violated."""
-    chosen = USUAL | options
+    chosen = DEFAULTS | options
     world = World(chosen["seed"], chosen["controllers"], chosen["each"], chosen["cancel"])
     chosen["before"](world)
 
@@ -41,9 +41,9 @@
 
     # An exception in the leader's work ends its term, and the next leader recovers from it. Logged errors
     # are checked here, since the simulation goes on without failing.
-    with errors_logged() as faults:
+    with errors_logged() as errors:
         play(main(), world.loop)
-    assert faults == []
+    assert errors == []
     assert world.rules.broken == []
     assert world.store.bad_requests == []
     return world
--- a/tests/world/earlier_reader.py
+++ b/tests/world/earlier_reader.py
@@ -90,9 +90,9 @@
     for name, found in value.items():
         if name not in known:
             raise UnreadableError(f"{what}: unknown field {name}")
-        wanted = known[name]
-        whole = wanted is float and isinstance(found, int)
-        if isinstance(found, bool) is not (wanted is bool) or not (isinstance(found, wanted) or whole):
+        expected = known[name]
+        int_for_float = expected is float and isinstance(found, int)
+        if isinstance(found, bool) is not (expected is bool) or not (isinstance(found, expected) or int_for_float):
             raise UnreadableError(f"{what}: {name} is {found!r}")
     return value
 
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -50,40 +50,40 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
     assert world.leader is not None
-    back = next(node for node in NODES if node != world.leader.node)
+    rolled_back_node = next(node for node in NODES if node != world.leader.node)
     # With rollout disabled it announces nothing, like a version without levels.
     world.rollout = RolloutSettings()
-    replace(world, back, BEFORE, 0.2)
+    replace(world, rolled_back_node, BEFORE, 0.2)
     await asyncio.sleep(0.5)
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     await asyncio.sleep(4 * SOAK_S)
-    assert world.store.items[f"rollout/nodes/{back}"][0]["highest"] == SUPPORTED.highest
+    assert world.store.items[f"rollout/nodes/{rolled_back_node}"][0]["highest"] == SUPPORTED.highest
     assert stored_level(world) == 1, "the level is active although a node runs a version that announced nothing"
-    replace(world, back, SUPPORTED, 0.2)
+    replace(world, rolled_back_node, SUPPORTED, 0.2)
     await until_level(world, SUPPORTED.highest)
 
 
 # Mutations: each removes a safeguard or changes a rule, and has a scenario in which a check must detect it.
 
 
-def by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
+def activate_by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
     """Activate the level as soon as a majority of the nodes supports it."""
-    able = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
-    if view.level < 2 and len(able) * 2 > len(members):
+    supporting = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
+    if view.level < 2 and len(supporting) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
-        return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in able))
+        return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in supporting))
     return plan_activation(view, members, supported)
 
 
-class GuardsLeftOut:
+class MessagesWithoutComparisons:
     """The store's messages, without the comparisons of some keys."""
 
-    def __init__(self, left_out: str) -> None:
-        self._left_out, self.put = left_out, store.put
+    def __init__(self, omitted: str) -> None:
+        self._omitted, self.put = omitted, store.put
 
     def compare(self, key: str, mod_revision: int) -> store.Comparison:
         """Return the comparison, or for a key that is left out one with a key that never exists."""
-        return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
+        return store.compare("never", 0) if self._omitted in key else store.compare(key, mod_revision)
 
 
 async def upgrade_most(world: World) -> None:
@@ -111,7 +111,7 @@
     return transaction(comparisons, store.put(key, record))
 
 
-def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
+def call_before_put(world: World, key: str, call: Callable[[], None]) -> None:
     """Call once, right before the first transaction that puts the key is applied."""
     transact, called = world.store._transact, False
 
@@ -126,11 +126,11 @@
 
 
 async def roll_back_as_the_level_rises(world: World) -> None:
-    def rolled_back() -> None:
+    def announce_rollback() -> None:
         answer = world.store._transact(announce_before(world, NODES[2]))
         assert answer.status == 200
 
-    before_putting(world, "rollout/level", rolled_back)
+    call_before_put(world, "rollout/level", announce_rollback)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3 * SOAK_S)
@@ -141,12 +141,12 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
 
-    def raised() -> None:
+    def raise_stored_level() -> None:
         fencing_token = world.store.items["leader"][1]
         put = store.put("rollout/level", {"level": 2, "token": fencing_token})
         assert world.store._transact(transaction([], put)).status == 200
 
-    before_putting(world, f"rollout/nodes/{NODES[2]}", raised)
+    call_before_put(world, f"rollout/nodes/{NODES[2]}", raise_stored_level)
     replace(world, NODES[2], BEFORE, 0.2)
     await asyncio.sleep(10)
 
@@ -170,23 +170,26 @@
     await asyncio.sleep(10)
 
 
-def learn_at_once(rollout: TermRollout) -> None:
+def raise_level_without_fence(rollout: TermRollout) -> None:
     """Use new record forms without writing the fence."""
     rollout._rollout.features.raise_level(rollout._level)
 
 
 FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
-    "a majority is enough": (lambda: mock.patch.object(term_module, "plan_activation", by_majority), upgrade_most),
+    "a majority is enough": (
+        lambda: mock.patch.object(term_module, "plan_activation", activate_by_majority),
+        upgrade_most,
+    ),
     "the activation does not compare the announcements": (
-        lambda: mock.patch.object(term_module, "store_messages", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(term_module, "store_messages", MessagesWithoutComparisons("/nodes/")),
         roll_back_as_the_level_rises,
     ),
     "an announcement does not compare the level": (
-        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("rollout/level")),
+        lambda: mock.patch.object(gate_module, "store_messages", MessagesWithoutComparisons("rollout/level")),
         raise_the_level_as_a_process_announces_itself,
     ),
     "an announcement does not compare the one before it": (
-        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(gate_module, "store_messages", MessagesWithoutComparisons("/nodes/")),
         announce_late,
     ),
     "new forms do not wait for the level": (
@@ -194,7 +197,7 @@
         mark_tasks_done_before_the_upgrade,
     ),
     "new forms do not wait for the fence": (
-        lambda: mock.patch.object(TermRollout, "_write_fence", learn_at_once),
+        lambda: mock.patch.object(TermRollout, "_write_fence", raise_level_without_fence),
         mark_tasks_done,
     ),
     "processes are not asked which they are": (
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -14,8 +14,8 @@
 import jsonschema
 
 STORE, WORKERS, PEERS, LEADER, FOLLOWER = "store", "workers", "peers", "leader", "follower"
-KINDS = ("drop", "delay", "duplicate", "reset", "refuse")
-END = {"type": "string", "pattern": f"^({STORE}|{WORKERS}(/[a-z-]+)?|{PEERS}|{LEADER}|{FOLLOWER}|[a-z]+-[0-9]+)$"}
+FAULT_KINDS = ("drop", "delay", "duplicate", "reset", "refuse")
+ENDPOINT = {"type": "string", "pattern": f"^({STORE}|{WORKERS}(/[a-z-]+)?|{PEERS}|{LEADER}|{FOLLOWER}|[a-z]+-[0-9]+)$"}
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 FAULT = {
     "type": "object",
@@ -24,9 +24,9 @@
     "properties": {
         "at_s": SECONDS,
         "for_s": SECONDS,
-        "from": END,
-        "to": END,
-        "kind": {"enum": list(KINDS)},
+        "from": ENDPOINT,
+        "to": ENDPOINT,
+        "kind": {"enum": list(FAULT_KINDS)},
         # Whether both directions are affected, or only traffic from the source to the target.
         "both": {"type": "boolean"},
         "delay_s": SECONDS,
@@ -43,7 +43,7 @@
 }
 Fault = dict[str, Any]
 # Called with "begins" or "ends", the fault, and the affected links.
-Changed = Callable[[str, Fault, list[tuple[str, str]]], None]
+FaultCallback = Callable[[str, Fault, list[tuple[str, str]]], None]
 
 
 class BadScheduleError(Exception):
@@ -73,7 +73,7 @@
         raise BadScheduleError(f"{path}: {error}") from error
 
 
-def spans(fault: Fault) -> list[tuple[float, float]]:
+def active_periods(fault: Fault) -> list[tuple[float, float]]:
     """Return the periods in which the fault is active, as pairs of begin and end."""
     end = fault["at_s"] + fault["for_s"]
     if "on_s" not in fault:
@@ -94,7 +94,11 @@
         source, target = rng.choice(links)
         at = round(rng.uniform(0.0, length / 2), 2)
         fault: Fault = {"at_s": at, "for_s": round(rng.uniform(1.0, length - at), 2), "from": source, "to": target}
-        fault |= {"kind": rng.choice(KINDS), "both": rng.random() < 0.6, "delay_s": round(rng.uniform(0.1, 6.0), 2)}
+        fault |= {
+            "kind": rng.choice(FAULT_KINDS),
+            "both": rng.random() < 0.6,
+            "delay_s": round(rng.uniform(0.1, 6.0), 2),
+        }
         if rng.random() < 0.4:
             fault |= {"on_s": round(rng.uniform(0.5, 12.0), 2), "off_s": round(rng.uniform(0.1, 10.0), 2)}
         faults.append(fault)
@@ -127,7 +131,7 @@
     def has(self, kind: str, source: str, target: str) -> bool:
         """Return whether the link has a fault of this kind."""
         return any(
-            kind == found and _meets(source, one) and _meets(target, other) for one, other, found, _ in self._active
+            kind == found and _matches(source, one) and _matches(target, other) for one, other, found, _ in self._active
         )
 
     def delay(self, source: str, target: str) -> float:
@@ -135,7 +139,7 @@
         return sum(
             late
             for one, other, kind, late in self._active
-            if kind == "delay" and _meets(source, one) and _meets(target, other)
+            if kind == "delay" and _matches(source, one) and _matches(target, other)
         )
 
     def passes(self, source: str, target: str) -> bool:
@@ -143,7 +147,7 @@
         return not (self.has("drop", source, target) or self.has("reset", source, target))
 
 
-def _meets(end: str, pattern: str) -> bool:
+def _matches(end: str, pattern: str) -> bool:
     """Return whether an endpoint matches a pattern; `workers` matches those of all zones."""
     return end == pattern or (pattern == WORKERS and end.startswith(f"{WORKERS}/"))
 
@@ -151,7 +155,7 @@
 class SchedulePlayer:
     """Plays a schedule on a running loop, in real or simulated time."""
 
-    def __init__(self, faults: LinkFaults, nodes: list[str], leader: Callable[[], str], changed: Changed) -> None:
+    def __init__(self, faults: LinkFaults, nodes: list[str], leader: Callable[[], str], changed: FaultCallback) -> None:
         """Take a function that returns the leading node, and a callback for each begin and end of a fault."""
         self._faults, self._nodes = faults, nodes
         self._leader, self._changed = leader, changed
@@ -163,14 +167,14 @@
     async def _play_one(self, fault: Fault) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        for start, end in spans(fault):
+        for start, end in active_periods(fault):
             await asyncio.sleep(max(0.0, began + start - loop.time()))
             pairs = [(one, two) for one in self._resolve(fault["from"]) for two in self._resolve(fault["to"])]
             begun = [self._faults.begin(one, two, fault) for one, two in pairs if one != two]
             self._changed("begins", fault, pairs)
             await asyncio.sleep(max(0.0, began + end - loop.time()))
-            for one_of_all in begun:
-                self._faults.end(one_of_all)
+            for started in begun:
+                self._faults.end(started)
             self._changed("ends", fault, pairs)
 
     def _resolve(self, end: str) -> list[str]:
--- a/tests/world/loop.py
+++ b/tests/world/loop.py
@@ -14,7 +14,7 @@
 NODE: ContextVar[str] = ContextVar("NODE", default="")
 
 
-class _Jumping(selectors.SelectSelector):
+class _JumpingSelector(selectors.SelectSelector):
     """A selector that never waits, but advances the loop's time by the timeout."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         return found
 
 
-class _Gate:
+class _NodeCallback:
     """A node's callback: runs now, or when the node is resumed, unless it was cancelled by then."""
 
     __slots__ = ("args", "callback", "context", "handle", "loop", "node")
@@ -52,8 +52,8 @@
     def __init__(self) -> None:
         self.now = 0.0
         # Suspended nodes, and the callbacks that are queued until each is resumed.
-        self.suspended: dict[str, list[_Gate]] = {}
-        selector = _Jumping()
+        self.suspended: dict[str, list[_NodeCallback]] = {}
+        selector = _JumpingSelector()
         super().__init__(selector)
         selector.loop = self
 
@@ -71,9 +71,9 @@
         node = context.get(NODE, "")
         if not node:
             return super().call_soon(callback, *args, context=context)
-        gate = _Gate(self, node, callback, args, context)
-        gate.handle = super().call_soon(gate, context=context)
-        return gate.handle
+        node_callback = _NodeCallback(self, node, callback, args, context)
+        node_callback.handle = super().call_soon(node_callback, context=context)
+        return node_callback.handle
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
@@ -82,17 +82,17 @@
         node = context.get(NODE, "")
         if not node:
             return super().call_at(when, callback, *args, context=context)
-        gate = _Gate(self, node, callback, args, context)
-        handle = super().call_at(when, gate, context=context)
-        gate.handle = handle
+        node_callback = _NodeCallback(self, node, callback, args, context)
+        handle = super().call_at(when, node_callback, context=context)
+        node_callback.handle = handle
         return handle
 
     def suspend(self, node: str) -> None:
         self.suspended.setdefault(node, [])
 
     def resume(self, node: str) -> None:
-        for gate in self.suspended.pop(node, []):
-            super().call_soon(gate, context=gate.context)
+        for node_callback in self.suspended.pop(node, []):
+            super().call_soon(node_callback, context=node_callback.context)
 
 
 def play(main: "Coroutine[Any, Any, None]", loop: SimLoop) -> None:
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -7,92 +7,94 @@
 
 from elmthread.net.http_messages import Request
 from tests.world.controller_troubles import leader_ends
-from tests.world.stage import Stage, add_for
+from tests.world.stage import Stage, add_temporarily
 
 
-def cut_off(stage: Stage, names: Iterable[str], for_s: float) -> None:
-    cut = {(name, node) for name in names for node in stage.world.nodes}
-    add_for(stage, stage.world.cut_worker_links, cut, for_s)
+def cut_off_workers(scenario: Stage, names: Iterable[str], for_s: float) -> None:
+    cut = {(name, node) for name in names for node in scenario.world.nodes}
+    add_temporarily(scenario, scenario.world.cut_worker_links, cut, for_s)
 
 
-def hang(stage: Stage, names: Iterable[str], times: list[float]) -> None:
+def hang_workers(scenario: Stage, names: Iterable[str], times: list[float]) -> None:
     for name in names:
-        worker = stage.world.workers[name]
+        worker = scenario.world.workers[name]
         worker.hung = True
-        stage.world.loop.call_later(stage.world.rng.choice(times), setattr, worker, "hung", False)
+        scenario.world.loop.call_later(scenario.world.rng.choice(times), setattr, worker, "hung", False)
 
 
-async def machines_mute(stage: Stage) -> None:
+async def machines_mute(scenario: Stage) -> None:
     """Cut some workers off from all controllers."""
-    cut_off(stage, stage.some(0.4), stage.world.rng.uniform(5, 30))
+    cut_off_workers(scenario, scenario.some(0.4), scenario.world.rng.uniform(5, 30))
 
 
-async def machines_deaf(stage: Stage) -> None:
-    add_for(stage, stage.world.workers_without_responses, set(stage.some(0.4)), stage.world.rng.uniform(5, 40))
+async def machines_deaf(scenario: Stage) -> None:
+    add_temporarily(
+        scenario, scenario.world.workers_without_responses, set(scenario.some(0.4)), scenario.world.rng.uniform(5, 40)
+    )
 
 
-async def machines_hang(stage: Stage) -> None:
+async def machines_hang(scenario: Stage) -> None:
     """Hang some workers, and resume them within their lease or after it."""
-    hang(stage, stage.some(0.4), [3.0, 10.0, 20.0, 35.0])
+    hang_workers(scenario, scenario.some(0.4), [3.0, 10.0, 20.0, 35.0])
 
 
-async def machines_die(stage: Stage) -> None:
-    for name in stage.some(0.25):
-        stage.world.workers.pop(name).terminate()
-        stage.world.cloud.machines[name].state = "failed"
+async def machines_die(scenario: Stage) -> None:
+    for name in scenario.some(0.25):
+        scenario.world.workers.pop(name).terminate()
+        scenario.world.cloud.machines[name].state = "failed"
 
 
-async def machines_reborn(stage: Stage) -> None:
-    for name in stage.some(0.3):
-        worker = stage.world.workers[name]
-        worker.restart(worker.incarnation + stage.world.rng.randint(0, 1))
+async def machines_reborn(scenario: Stage) -> None:
+    for name in scenario.some(0.3):
+        worker = scenario.world.workers[name]
+        worker.restart(worker.incarnation + scenario.world.rng.randint(0, 1))
 
 
-async def quick_machines(stage: Stage) -> None:
+async def quick_machines(scenario: Stage) -> None:
     """Boot machines within two seconds and give them work at once, while writes are slow and leaders are killed."""
-    world = stage.world
+    world = scenario.world
     world.cloud.fast_boot = True
     world.store.latency = 0.5
-    stage.begin(stage.submit(pieces=40, urgency="high", true_s=10.0, expected_s=10.0))
+    scenario.begin(scenario.submit(pieces=40, urgency="high", true_s=10.0, expected_s=10.0))
     for _ in range(3):
         await asyncio.sleep(world.rng.uniform(1, 4))
-        await leader_ends(stage)
+        await leader_ends(scenario)
     await asyncio.sleep(5)
     world.cloud.fast_boot = False
     world.store.latency = 0.004
 
 
-async def late_reports(stage: Stage) -> None:
+async def late_reports(scenario: Stage) -> None:
     """Deliver copies of heartbeats to any node, some of them long after a lease has expired."""
-    stage.world.duplicate_share = 0.5
+    scenario.world.duplicate_share = 0.5
     await asyncio.sleep(25)
-    stage.world.duplicate_share = 0.0
+    scenario.world.duplicate_share = 0.0
 
 
-async def held_up(stage: Stage) -> None:
+async def held_up(scenario: Stage) -> None:
     """Delay heartbeats and responses by seconds."""
-    stage.world.delayed_share = 0.4
+    scenario.world.delayed_share = 0.4
     await asyncio.sleep(25)
-    stage.world.delayed_share = 0.0
+    scenario.world.delayed_share = 0.0
 
 
-async def kept_for_the_next(stage: Stage) -> None:
+async def kept_for_the_next(scenario: Stage) -> None:
     """Deliver old and delayed heartbeats to every controller as a new leader begins."""
-    world = stage.world
-    kept: list[Request] = []
-    world.captured_requests = kept
-    held = [cbor2.dumps(worker.heartbeat_body()) for worker in world.workers.values()]
+    world = scenario.world
+    captured: list[Request] = []
+    world.captured_requests = captured
+    held_back = [cbor2.dumps(worker.heartbeat_body()) for worker in world.workers.values()]
     await asyncio.sleep(world.rng.uniform(2, 12))
     world.captured_requests = None
     fencing_token = world.leader.election.fencing_token if world.leader is not None else 0
-    await leader_ends(stage)
+    await leader_ends(scenario)
     for _ in range(200):
         await asyncio.sleep(0.05)
         if world.leader is not None and world.leader.election.fencing_token > fencing_token:
             break
-    late = [Request("POST", "/agent/beat", {}, body) for body in held]
+    late = [Request("POST", "/agent/beat", {}, body) for body in held_back]
     for _ in range(2):
         for node in list(world.controllers):
-            for request in kept[-40:] + late:
-                world.loop.call_later(world.rng.uniform(0, 0.3), world._copy, node, request)
+            for request in captured[-40:] + late:
+                world.loop.call_later(world.rng.uniform(0, 0.3), world._deliver_copy, node, request)
         await asyncio.sleep(world.rng.uniform(0.5, 6))
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -17,7 +17,7 @@
     quick_machines,
 )
 from tests.world.partition_troubles import leader_apart, zone_cut
-from tests.world.stage import Trouble
+from tests.world.stage import FaultScript
 from tests.world.store_troubles import answers_lost, late_writes, outage, refused_then_down, slow_store
 from tests.world.user_troubles import (
     cancel_and_hang,
@@ -30,7 +30,7 @@
 )
 from tests.world.world import World
 
-TROUBLES: dict[str, Trouble] = {
+TROUBLES: dict[str, FaultScript] = {
     one.__name__: one
     for one in (
         leader_ends,
@@ -69,10 +69,10 @@
     while True:
         await asyncio.sleep(0.25)
         world.rules.check_cancelled()
-        world.rules.check_waiting(partial(_room, world))
+        world.rules.check_waiting(partial(_has_room, world))
 
 
-def _room(world: World, spec: dict[str, Any]) -> bool:
+def _has_room(world: World, spec: dict[str, Any]) -> bool:
     for worker in world.workers.values():
         live = [task for task in worker.tasks.values() if task.state != "exited"]
         used = sum(world.rules.specs[task.name.rpartition("/")[0]]["cpus"] for task in live)
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -3,13 +3,13 @@
 import asyncio
 
 from tests.world.settings import ZONES
-from tests.world.stage import Stage, add_for
+from tests.world.stage import Stage, add_temporarily
 from tests.world.user_troubles import cancel_now
 
 
-async def leader_apart(stage: Stage) -> None:
+async def leader_apart(scenario: Stage) -> None:
     """Cut the leader off from the store and other nodes, but not from workers and users, who cancel jobs."""
-    world, leader = stage.world, stage.leader()
+    world, leader = scenario.world, scenario.leader()
     if leader is None:
         return
     world.isolated_nodes.add(leader)
@@ -17,21 +17,21 @@
     state = world.ports[leader].store.faults
     state.refused, state.cut = refused, not refused
     await asyncio.sleep(world.rng.uniform(2, 5))
-    await cancel_now(stage)
+    await cancel_now(scenario)
     await asyncio.sleep(world.rng.uniform(2, 30))
     world.isolated_nodes.discard(leader)
     now = world.ports[leader].store.faults
     now.refused = now.cut = False
 
 
-async def zone_cut(stage: Stage) -> None:
+async def zone_cut(scenario: Stage) -> None:
     """Cut off a zone with its workers and a controller, which keeps running, for longer than a lease."""
-    world = stage.world
+    world = scenario.world
     zone, node = world.rng.choice(ZONES), world.rng.choice(world.nodes)
     inside = {name for name, worker in world.workers.items() if worker.zone == zone}
     cut = {(name, other) for name in inside for other in world.nodes if other != node}
     cut |= {(name, node) for name in world.workers if name not in inside}
-    add_for(stage, world.cut_worker_links, cut, 20.0)
+    add_temporarily(scenario, world.cut_worker_links, cut, 20.0)
     world.isolated_nodes.add(node)
     world.ports[node].store.faults.cut = True
     await asyncio.sleep(20)
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -98,12 +98,12 @@
     world.earlier_nodes.update(NODES)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
-    led = False
+    leader_found = False
     for _ in range(60):
         await asyncio.sleep(0.5)
-        led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
-        assert not led or reads_level
-    assert led is reads_level
+        leader_found |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+        assert not leader_found or reads_level
+    assert leader_found is reads_level
     world.earlier_nodes.clear()
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -23,14 +23,14 @@
 
 async def befall(world: World, kind: str, ids: list[str]) -> None:
     """Inject a fault of this kind, if there is anything that it can affect."""
-    await KINDS[kind](world, ids)
+    await INJECTORS[kind](world, ids)
 
 
 async def _kill(world: World, ids: list[str]) -> None:
     _restart_one(world, 0.1, 8)
 
 
-async def _back(world: World, ids: list[str]) -> None:
+async def _restart_quickly(world: World, ids: list[str]) -> None:
     _restart_one(world, 0.02, 0.4)
 
 
@@ -128,7 +128,7 @@
 
 
 # Generated histories are drawn from these names in this order.
-KINDS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
+INJECTORS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
     "kill": _kill,
     "kill_all": _kill_all,
     "outage": _outage,
@@ -145,12 +145,12 @@
     "copies": _duplicates,
     "apart": _isolate,
     "reborn": _restart_worker,
-    "back": _back,
+    "back": _restart_quickly,
     "twice": _duplicate_changes,
     "still": partial(_suspend, False),
     "still_all": partial(_suspend, True),
 }
-TROUBLES = list(KINDS)
+TROUBLES = list(INJECTORS)
 
 
 def set_apart(world: World, node: str, apart: bool) -> None:
@@ -169,7 +169,7 @@
     for name in world.nodes:
         if name not in world.controllers:
             world.start(name)
-        trouble = world.ports[name].store.faults
-        trouble.refused = trouble.cut = False
-        trouble.duplicate_share = world.ports[name].cloud.faults.duplicate_share = 0.0
-        trouble.lost_response_share = trouble.late_share = 0.0
+        store_faults = world.ports[name].store.faults
+        store_faults.refused = store_faults.cut = False
+        store_faults.duplicate_share = world.ports[name].cloud.faults.duplicate_share = 0.0
+        store_faults.lost_response_share = store_faults.late_share = 0.0
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -42,14 +42,14 @@
     world.loop.call_later(after, partial(start, world, node))
 
 
-async def until_level(world: World, level: int, patience: float = 60.0) -> float:
+async def until_level(world: World, level: int, timeout_s: float = 60.0) -> float:
     """Wait until every node knows that the level is active; return how long that took, in seconds."""
     began = world.loop.now
     while any(
         node not in world.controllers or world.controllers[node].rollout.features.level < level for node in world.nodes
     ):
-        if world.loop.now - began > patience:
-            raise AssertionError(f"level {level} is not known everywhere after {patience} s")
+        if world.loop.now - began > timeout_s:
+            raise AssertionError(f"level {level} is not known everywhere after {timeout_s} s")
         await asyncio.sleep(0.1)
     return world.loop.now - began
 
@@ -59,7 +59,7 @@
     return int(world.store.items["rollout/level"][0]["level"]) if "rollout/level" in world.store.items else 1
 
 
-def is_new_form(key: str, record: Any) -> bool:
+def is_level_2_form(key: str, record: Any) -> bool:
     """Return whether a record has a form that only level 2 writes."""
     if key == FENCE:
         return True
@@ -115,46 +115,46 @@
         self.activations: list[float] = []
         self.loads = 0
         self._transact = world.store._transact
-        world.store._transact = self._watched  # type: ignore[method-assign]
+        world.store._transact = self._check_transaction  # type: ignore[method-assign]
 
-    def _break(self, what: str) -> None:
+    def _report_violation(self, what: str) -> None:
         self.broken.append(f"{self._world.loop.now:.2f} {what}")
 
-    def _watched(self, body: Any) -> Any:
-        before, fenced = stored_level(self._world), self._fence_stands()
+    def _check_transaction(self, body: Any) -> Any:
+        before, fenced = stored_level(self._world), self._fence_exists()
         answer = self._transact(body)
         if answer.status != 200:
             return answer
         for change in body.get("then", []):
             if change.get("put", "").startswith("rollout/nodes/") and change["value"]["highest"] < before:
-                self._break(f"{change['put']}: admitted below the active level {before}")
+                self._report_violation(f"{change['put']}: admitted below the active level {before}")
             if change.get("put") == "rollout/level":
                 self._level_written(before, change["value"]["level"])
             if change.get("put", "").startswith("s/"):
                 for key, record in json.loads(change["value"]["text"]).items():
-                    if is_new_form(key, record) and before < 2:
-                        self._break(f"{key}: a form of level 2 is written while level {before} is active")
-                    if is_new_form(key, record) and key != FENCE and not fenced:
-                        self._break(f"{key}: a form of level 2 is written before the fence")
+                    if is_level_2_form(key, record) and before < 2:
+                        self._report_violation(f"{key}: a form of level 2 is written while level {before} is active")
+                    if is_level_2_form(key, record) and key != FENCE and not fenced:
+                        self._report_violation(f"{key}: a form of level 2 is written before the fence")
         return answer
 
-    def _fence_stands(self) -> bool:
+    def _fence_exists(self) -> bool:
         pages = [value["text"] for key, (value, _, _) in self._world.store.items.items() if key.startswith("s/")]
         return any(f'"{FENCE}"' in text for text in pages)
 
     def _level_written(self, before: int, level: int) -> None:
         self.activations.append(self._world.loop.now)
         if level <= before:
-            self._break(f"the level falls from {before} to {level}")
+            self._report_violation(f"the level falls from {before} to {level}")
         for node in self._world.nodes:
             key = f"rollout/nodes/{node}"
             highest = self._world.store.items[key][0]["highest"] if key in self._world.store.items else 1
             if highest < level:
-                self._break(f"level {level} is active though {node} announces {highest}")
+                self._report_violation(f"level {level} is active though {node} announces {highest}")
             # A version without levels has no `rollout`: the fence prevents it from leading.
             rollout = getattr(self._world.controllers.get(node), "rollout", None)
             if rollout is not None and level not in rollout.supported and rollout.gate.admitted:
-                self._break(f"level {level} is active while {node} serves a version that does not read it")
+                self._report_violation(f"level {level} is active while {node} serves a version that does not read it")
 
     def loaded(self, loader: StateLoader) -> None:
         """Check the state that a leader has loaded against the store, whatever the form of its records."""
@@ -165,24 +165,26 @@
                 continue
             marked = {task for task in range(job.task_count) if job.is_done(task)}
             if marked != {task for task in stored.get(job_id, set()) if task < job.task_count}:
-                self._break(f"{job_id} is misread: {sorted(marked)[:9]} of {sorted(stored.get(job_id, set()))[:9]}")
+                self._report_violation(
+                    f"{job_id} is misread: {sorted(marked)[:9]} of {sorted(stored.get(job_id, set()))[:9]}"
+                )
             if not {f"{job_id}/{task}" for task in marked} <= finished:
-                self._break(f"{job_id} has tasks marked as done that have not ended")
+                self._report_violation(f"{job_id} has tasks marked as done that have not ended")
         machines, jobs = loader._cluster.machines.values(), loader._cluster.jobs
         held = {
             (one.name, allocation.job.id, allocation.task, allocation.attempt)
             for one in machines
             for allocation in one.allocations.values()
         }
-        wanted = {
+        expected = {
             one
             for one in assigned_in_store(self._world)
             if one[1] in jobs and jobs[one[1]].state is not JobState.DONE and not jobs[one[1]].is_done(one[2])
         }
-        if held != wanted:
-            self._break(f"assignments are misread: {sorted(held ^ wanted)[:5]}")
+        if held != expected:
+            self._report_violation(f"assignments are misread: {sorted(held ^ expected)[:5]}")
         if stored_level(self._world) not in loader._supported:
-            self._break(f"the state is loaded by a version without level {stored_level(self._world)}")
+            self._report_violation(f"the state is loaded by a version without level {stored_level(self._world)}")
 
 
 @contextmanager
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -28,17 +28,17 @@
         self.impossible: set[str] = set()
         # Tasks that began after their job was reported as cancelled.
         self.late_starts: list[str] = []
-        self.waiting: dict[str, float] = {}
+        self.waiting_since: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
         self.broken: list[str] = []
         # Since when requests about a job have not been answered, and since when all faults are cleared.
-        self.unanswered: dict[str, float] = {}
+        self.unanswered_since: dict[str, float] = {}
         self.calm_since: float | None = None
         self.first_start: dict[str, float] = {}
         self.starts: Counter[str] = Counter()
 
-    def _break(self, rule: str, what: str) -> None:
+    def _report_violation(self, rule: str, what: str) -> None:
         self.broken.append(f"{self.loop.now:.2f} {rule}: {what}")
 
     def submitted(self, spec: dict[str, Any]) -> None:
@@ -54,12 +54,12 @@
                 f"{self.loop.now:.2f} {task} on {machine}, reported at {self.cancelled_at[job]:.2f}"
             )
         if self.machines_of.get(task):
-            self._break("ran_twice", f"{task} on {machine}")
+            self._report_violation("ran_twice", f"{task} on {machine}")
         self.machines_of.setdefault(task, []).append(machine)
         self.zones[machine] = zone
         self.used_cores[spec["crew"]] += spec["cpus"]
         if self.used_cores[spec["crew"]] > self.limits[spec["crew"]] + 1e-6:
-            self._break("quota", f"{spec['crew']} uses {self.used_cores[spec['crew']]}")
+            self._report_violation("quota", f"{spec['crew']} uses {self.used_cores[spec['crew']]}")
         mine = self.zones_of.setdefault(job, Counter())
         mine[zone] += 1
         if (
@@ -69,7 +69,7 @@
             or (spec["one_zone"] and len(+mine) > 1)
             or (spec["scatter"] and mine[zone] > (spec["pieces"] + 1) // 2)
         ):
-            self._break("wrong_place", f"{task} on {machine}")
+            self._report_violation("wrong_place", f"{task} on {machine}")
         self.check_cancelled()
 
     def task_ended(self, machine: str, task: str) -> None:
@@ -97,7 +97,7 @@
             if +self.zones_of.get(job, Counter()):
                 for machine, task in self.running:
                     if task.rpartition("/")[0] == job:
-                        self._break("ran_cancelled", f"{task} on {machine}")
+                        self._report_violation("ran_cancelled", f"{task} on {machine}")
 
     def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
         """Check the response to a request about a job that was sent at `asked`, by any user to any node.
@@ -110,17 +110,17 @@
         if status not in (200, 201) or state is None or job not in self.specs:
             return
         if job in self.impossible:
-            self._break("accepted", f"{job}, which can't run or lacks a field")
+            self._report_violation("accepted", f"{job}, which can't run or lacks a field")
         if state == "done":
             self._check_done(job)
         if before in ("done", "cancelled") and state != before:
-            self._break("went_back", f"{job}: {before} then {state}")
+            self._report_violation("went_back", f"{job}: {before} then {state}")
         ends = {reported for _, reported in self.history.get(job, []) if reported in ("done", "cancelled")}
         if state in ("done", "cancelled") and ends - {state}:
-            self._break("went_back", f"{job}: {ends} and {state}")
+            self._report_violation("went_back", f"{job}: {ends} and {state}")
         if state == "cancelled":
             if job not in self.asked_to_cancel:
-                self._break("went_back", f"{job} cancelled without a request")
+                self._report_violation("went_back", f"{job} cancelled without a request")
             self.cancelled_at.setdefault(job, self.loop.now)
         if not self.history.get(job) or self.history[job][-1][1] != state:
             self.history.setdefault(job, []).append((self.loop.now, state))
@@ -128,23 +128,23 @@
     def _check_answered(self, job: str, status: int, before: str | None) -> None:
         """Check that an accepted job remains known, and that no job is known that was never submitted."""
         if status in (200, 201):
-            self.unanswered.pop(job, None)
+            self.unanswered_since.pop(job, None)
         elif before is not None and before != "cancelled":
-            since = self.unanswered.setdefault(job, self.loop.now)
+            since = self.unanswered_since.setdefault(job, self.loop.now)
             if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
-                self._break("forgotten", f"{job}: no request answered since {since:.1f}")
+                self._report_violation("forgotten", f"{job}: no request answered since {since:.1f}")
         if status in (200, 201) and job not in self.specs:
-            self._break("invented", job)
+            self._report_violation("invented", job)
         if status in (400, 404, 422) and before is not None:
-            self._break("forgotten", f"{job} got {status}")
+            self._report_violation("forgotten", f"{job} got {status}")
 
     def _check_done(self, job: str) -> None:
         spec = self.specs[job]
         if spec["form"] != "batch":
-            self._break("not_done", f"{job} is a service")
+            self._report_violation("not_done", f"{job} is a service")
         missing = [n for n in range(spec["pieces"]) if f"{job}/{n}" not in self.finished]
         if missing:
-            self._break("not_done", f"{job}: {missing[:5]}")
+            self._report_violation("not_done", f"{job}: {missing[:5]}")
 
     @property
     def reported_states(self) -> dict[str, str]:
@@ -167,9 +167,9 @@
                 and self.used_cores[spec["crew"]] + spec["cpus"] <= self.limits[spec["crew"]]
                 and room(spec)
             )
-            since = self.waiting.setdefault(job, self.loop.now) if waits else None
+            since = self.waiting_since.setdefault(job, self.loop.now) if waits else None
             if since is None:
-                self.waiting.pop(job, None)
+                self.waiting_since.pop(job, None)
             elif self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 90:
-                self._break("waits", f"{job} since {since:.1f}")
-                self.waiting[job] = self.loop.now
+                self._report_violation("waits", f"{job} since {since:.1f}")
+                self.waiting_since[job] = self.loop.now
--- a/tests/world/simulated_cloud.py
+++ b/tests/world/simulated_cloud.py
@@ -16,7 +16,7 @@
     machine_type: str
     zone: str
     spot: bool
-    since: float
+    created_at: float
     up_at: float
     state: str = "starting"
     listed_at: float = 0.0
@@ -48,10 +48,10 @@
         machine = SimulatedMachine(name, machine_type, zone, spot, self.loop.now, self.loop.now + boot)
         machine.listed_at = self.loop.now + self.list_lag_s
         self.machines[name] = machine
-        self.loop.call_later(boot, self._up, machine)
+        self.loop.call_later(boot, self._finish_boot, machine)
         return machine
 
-    def _up(self, machine: SimulatedMachine) -> None:
+    def _finish_boot(self, machine: SimulatedMachine) -> None:
         if machine.name in self.machines and machine.state == "starting":
             machine.state = "running"
             self.on_running(machine)
@@ -95,7 +95,7 @@
                 "yard": m.zone,
                 "loaners": m.spot,
                 "status": m.state,
-                "held_s": self.loop.now - m.since,
+                "held_s": self.loop.now - m.created_at,
             }
             for m in self.machines.values()
             if m.listed_at <= self.loop.now and m.name > after
--- a/tests/world/simulated_store.py
+++ b/tests/world/simulated_store.py
@@ -42,18 +42,18 @@
             return
         for grant, (_, end) in list(self.grants.items()):
             if self.loop.now >= end:
-                self._end(grant)
+                self._end_grant(grant)
 
-    def _end(self, grant: int) -> None:
+    def _end_grant(self, grant: int) -> None:
         del self.grants[grant]
-        gone = [key for key, (_, _, lease_id) in self.items.items() if lease_id == grant]
-        if gone:
+        deleted = [key for key, (_, _, lease_id) in self.items.items() if lease_id == grant]
+        if deleted:
             self.revision += 1
-        for key in gone:
+        for key in deleted:
             del self.items[key]
-            self._note(key)
+            self._record_change(key)
 
-    def _note(self, key: str) -> None:
+    def _record_change(self, key: str) -> None:
         self.changes.append((self.revision, key))
         self.changed.set()
         self.changed = asyncio.Event()
@@ -70,13 +70,13 @@
         end = self.loop.now + int(query.get("block_ms", "0")) / 1000
         while True:
             self.expire()
-            news = [
+            events = [
                 {"put": key} if key in self.items else {"delete": key}
                 for revision, key in self.changes
                 if revision > int(query["since"]) and key.startswith(query["starts"])
             ]
-            if (news and not self.down) or self.loop.now >= end:
-                return ClientResponse(200, {"ledger_rev": self.revision, "news": news})
+            if (events and not self.down) or self.loop.now >= end:
+                return ClientResponse(200, {"ledger_rev": self.revision, "news": events})
             # Grants expire without setting the event, so expiry is polled as well.
             try:
                 async with asyncio.timeout(min(0.1, max(0.001, end - self.loop.now))):
@@ -112,7 +112,7 @@
         if grant not in self.grants:
             return ClientResponse(404, {})
         if method == "DELETE":
-            self._end(grant)
+            self._end_grant(grant)
         else:
             ttl = self.grants[grant][0]
             self.grants[grant] = (ttl, self.loop.now + ttl)
@@ -121,9 +121,9 @@
     def _page(self, query: dict[str, str]) -> ClientResponse:
         after = query.get("since", "")
         keys = sorted(key for key in self.items if key.startswith(query["starts"]) and key > after)
-        most = int(query["most"])
-        pairs = [{"k": key, "value": self.items[key][0], "stamp": self.items[key][1]} for key in keys[:most]]
-        return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
+        page_limit = int(query["most"])
+        pairs = [{"k": key, "value": self.items[key][0], "stamp": self.items[key][1]} for key in keys[:page_limit]]
+        return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > page_limit, "ledger_rev": self.revision})
 
     def limit(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
         """Set new limits; values that are stored already stay as they are."""
@@ -161,9 +161,9 @@
         for change in changes:
             if "put" in change:
                 self.items[change["put"]] = (change["value"], self.revision, change.get("hold"))
-                self._note(change["put"])
+                self._record_change(change["put"])
             elif self.items.pop(change["delete"], None) is not None:
-                self._note(change["delete"])
+                self._record_change(change["delete"])
         return ClientResponse(200, {"ledger_rev": self.revision})
 
     def _malformed(self, comparisons: list[Any], changes: list[Any]) -> str | None:
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -8,7 +8,7 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-Trouble = Callable[["Stage"], Coroutine[Any, Any, None]]
+FaultScript = Callable[["Stage"], Coroutine[Any, Any, None]]
 
 
 class Stage:
@@ -62,17 +62,17 @@
         states = self.world.rules.reported_states
         return [one for one in self.ids if states.get(one) not in ("done", "cancelled")]
 
-    async def look(self, job_id: str) -> None:
+    async def query_all_nodes(self, job_id: str) -> None:
         """Query every node repeatedly within milliseconds, and repeat the submission."""
         world = self.world
         for _ in range(3):
             asks = [world.poll(job_id, node) for node in world.nodes if node in world.controllers]
-            await asyncio.gather(*asks, world.offer(world.rules.specs[job_id]))
+            await asyncio.gather(*asks, world.submit_once(world.rules.specs[job_id]))
             await asyncio.sleep(world.rng.uniform(0.001, 0.05))
 
-    async def cancel(self, job_id: str, patience: float = 60.0) -> None:
-        if await self.world.withdraw(job_id, patience) is not None:
-            await self.look(job_id)
+    async def cancel(self, job_id: str, timeout_s: float = 60.0) -> None:
+        if await self.world.withdraw(job_id, timeout_s) is not None:
+            await self.query_all_nodes(job_id)
 
     # Machines and nodes
 
@@ -83,12 +83,12 @@
     def leader(self) -> str | None:
         return None if self.world.leader is None else self.world.leader.node
 
-    def kill(self, node: str, back: float) -> None:
+    def kill(self, node: str, restart_after_s: float) -> None:
         if node in self.world.controllers:
             self.world.kill(node)
-            self.world.loop.call_later(back, self._back, node)
+            self.world.loop.call_later(restart_after_s, self._restart, node)
 
-    def _back(self, node: str) -> None:
+    def _restart(self, node: str) -> None:
         if node not in self.world.controllers:
             self.world.start(node)
 
@@ -96,7 +96,7 @@
         return [self.world.ports[node].store.faults for node in self.world.nodes]
 
 
-def add_for(stage: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
+def add_temporarily(scenario: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
     """Add items to one of the world's sets of faulty parts, and remove them after `for_s` seconds."""
     faulty |= added
-    stage.world.loop.call_later(for_s, faulty.difference_update, added)
+    scenario.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -6,48 +6,48 @@
 from tests.world.user_troubles import cancel_now
 
 
-async def refused_then_down(stage: Stage) -> None:
+async def refused_then_down(scenario: Stage) -> None:
     """Refuse the leader, then all nodes for longer than `cancel_s`, while users cancel and query jobs."""
-    world, leader = stage.world, stage.leader()
+    world, leader = scenario.world, scenario.leader()
     if leader is None:
         return
     world.ports[leader].store.faults.refused = True
-    stage.begin(cancel_now(stage))
+    scenario.begin(cancel_now(scenario))
     await asyncio.sleep(world.rng.choice([1.0, 1.0, 2.5]))
     world.store.outage(True)
     for _ in range(4):
         await asyncio.sleep(world.cancel / 4 + 1)
-        stage.begin(cancel_now(stage))
+        scenario.begin(cancel_now(scenario))
     world.store.outage(False)
     world.ports[leader].store.faults.refused = False
 
 
-async def outage(stage: Stage) -> None:
-    stage.world.store.outage(True)
-    await asyncio.sleep(stage.world.rng.uniform(1, 20))
-    stage.world.store.outage(False)
+async def outage(scenario: Stage) -> None:
+    scenario.world.store.outage(True)
+    await asyncio.sleep(scenario.world.rng.uniform(1, 20))
+    scenario.world.store.outage(False)
 
 
-async def _fault(stage: Stage, share: str, value: float, for_s: float) -> None:
+async def _fault(scenario: Stage, share: str, value: float, for_s: float) -> None:
     """Set a share in the ServiceFaults of every node's store client for `for_s` seconds."""
-    for faults in stage.store_faults():
+    for faults in scenario.store_faults():
         setattr(faults, share, value)
     await asyncio.sleep(for_s)
-    for faults in stage.store_faults():
+    for faults in scenario.store_faults():
         setattr(faults, share, 0.0)
 
 
-async def late_writes(stage: Stage) -> None:
+async def late_writes(scenario: Stage) -> None:
     """Apply a share of the requests after newer ones, without a response."""
-    await _fault(stage, "late_share", 0.3, 25)
+    await _fault(scenario, "late_share", 0.3, 25)
 
 
-async def answers_lost(stage: Stage) -> None:
+async def answers_lost(scenario: Stage) -> None:
     """Apply requests at once and lose a share of the responses."""
-    await _fault(stage, "lost_response_share", 0.4, 25)
+    await _fault(scenario, "lost_response_share", 0.4, 25)
 
 
-async def slow_store(stage: Stage) -> None:
-    stage.world.store.latency = 1.2
+async def slow_store(scenario: Stage) -> None:
+    scenario.world.store.latency = 1.2
     await asyncio.sleep(25)
-    stage.world.store.latency = 0.004
+    scenario.world.store.latency = 0.004
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -22,11 +22,11 @@
     world.store.limit(NEXT["value_kb"], int(NEXT["txn_ops"]), NEXT["write_rps"])
 
 
-async def upgrade(world: World, order: list[str], pause: float, trouble: Any = None) -> None:
+async def upgrade(world: World, order: list[str], pause: float, inject_next: Any = None) -> None:
     """Kill one node at a time and restart it as the new version; killed before its turn, it restarts as the old."""
     for node in order:
-        if trouble is not None:
-            await trouble()
+        if inject_next is not None:
+            await inject_next()
         if node in world.controllers:
             world.kill(node)
         world.earlier_nodes.discard(node)
@@ -47,7 +47,7 @@
 
 
 def rollout(
-    number: int,
+    seed: int,
     order: list[str],
     troubles: list[tuple[str, float]],
     falls: float,
@@ -59,18 +59,18 @@
         for zone in ZONES:
             world.rent("small", zone)
         ids = await _submit_jobs(world)
-        waiting = iter(troubles)
+        remaining = iter(troubles)
 
-        async def trouble() -> None:
-            kind, pause = next(waiting)
+        async def inject_next() -> None:
+            kind, pause = next(remaining)
             await befall(world, kind, ids)
             await asyncio.sleep(pause)
 
-        await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
+        await upgrade(world, order, world.rng.uniform(0.5, 12.0), inject_next)
         # Features of the new version are used only once all nodes run it; the limits may be lowered any time after.
         world.loop.call_later(falls, fall, world)
         services = await _submit_services(world)
-        for kind, pause in waiting:
+        for kind, pause in remaining:
             await befall(world, kind, ids + services)
             await asyncio.sleep(pause)
             for job_id in ids + services:
@@ -84,7 +84,7 @@
             if world.rules.reported_states.get(job_id) != "cancelled":
                 await _until_serving(world, job_id)
 
-    day(script, seed=number, before=before)
+    day(script, seed=seed, before=before)
 
 
 async def _submit_jobs(world: World) -> list[str]:
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -19,8 +19,8 @@
     name: str
     attempt: int
     state: str = "fetching"
-    why: str | None = None
-    until: float = 0.0
+    exit_cause: str | None = None
+    state_ends_at: float = 0.0
 
 
 # Sends a worker's request to a node.
@@ -61,7 +61,10 @@
         self.interruption_at: float | None = None
         self.node = self.rng.choice(self.nodes)
         self.state_changed = asyncio.Event()
-        self.background_tasks = [self.loop.create_task(self._report()), self.loop.create_task(self._work())]
+        self.background_tasks = [
+            self.loop.create_task(self._send_heartbeats()),
+            self.loop.create_task(self._run_tasks()),
+        ]
 
     def terminate(self) -> None:
         self.alive = False
@@ -81,7 +84,7 @@
             self.rules.task_ended(self.name, task.name)
         self.tasks.clear()
 
-    async def _work(self) -> None:
+    async def _run_tasks(self) -> None:
         """Advance the tasks, and kill them when the lease expires."""
         while True:
             await asyncio.sleep(0.1)
@@ -95,31 +98,33 @@
             if self.hung:
                 continue
             for task in self.tasks.values():
-                if task.state != "exited" and now >= task.until:
-                    self._step(task)
+                if task.state != "exited" and now >= task.state_ends_at:
+                    self._advance(task)
                     self.state_changed.set()
 
-    def _step(self, task: WorkerTask) -> None:
+    def _advance(self, task: WorkerTask) -> None:
         """Move a task to its next state: it runs once its image is fetched, and exits after its duration."""
         spec = self.rules.specs[task.name.rpartition("/")[0]]
         if task.state == "fetching":
             self.images.add(spec["kit"])
             task.state = "running"
-            each = spec.get("each_s")
-            takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
-            task.until = self.loop.now + (0 if task.name in self.completed else takes * self.rng.uniform(0.9, 1.1))
+            durations = spec.get("each_s")
+            duration_s = spec["true_s"] if durations is None else durations[int(task.name.rpartition("/")[2])]
+            task.state_ends_at = self.loop.now + (
+                0 if task.name in self.completed else duration_s * self.rng.uniform(0.9, 1.1)
+            )
             self.rules.task_started(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
             if self.faulty:
                 self._exit(task, "error")
         else:
-            ends = spec.get("ends", "done") if task.state == "running" else "halted"
-            if ends == "done" and spec["form"] == "batch":
+            outcome = spec.get("ends", "done") if task.state == "running" else "halted"
+            if outcome == "done" and spec["form"] == "batch":
                 self.completed.add(task.name)
                 self.rules.completed(task.name)
-            self._exit(task, ends)
+            self._exit(task, outcome)
 
-    def _exit(self, task: WorkerTask, why: str) -> None:
-        task.state, task.why = "exited", why
+    def _exit(self, task: WorkerTask, exit_cause: str) -> None:
+        task.state, task.exit_cause = "exited", exit_cause
         self.rules.task_ended(self.name, task.name)
 
     def heartbeat_body(self) -> dict[str, Any]:
@@ -127,8 +132,8 @@
         tasks = []
         for task in self.tasks.values():
             entry: dict[str, Any] = {"piece": task.name, "try": task.attempt, "status": task.state}
-            if task.why:
-                entry["cause"] = task.why
+            if task.exit_cause:
+                entry["cause"] = task.exit_cause
             tasks.append(entry)
         return {
             "loom": self.name,
@@ -143,7 +148,7 @@
             "pieces": tasks,
         }
 
-    async def _report(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if self.hung:
                 await asyncio.sleep(0.1)
@@ -198,7 +203,7 @@
         elif order["verb"] == "halt":
             if task is not None and task.state != "exited":
                 if order["wind_down_s"] > 0 and task.state == "running":
-                    task.state, task.until = "saving", self.loop.now + 1
+                    task.state, task.state_ends_at = "saving", self.loop.now + 1
                 elif task.state != "saving" or order["wind_down_s"] == 0:
                     self._exit(task, "halted")
         elif order["verb"] == "reap" and task is not None and task.state == "exited":
@@ -210,12 +215,12 @@
         spec = self.rules.specs.get(name.rpartition("/")[0])
         live = [other for other in self.tasks.values() if other.state != "exited" and other is not task]
         if spec is None:
-            task.state, task.why = "exited", "no_such"
+            task.state, task.exit_cause = "exited", "no_such"
         elif any(other.name == name for other in live):
-            task.state, task.why = "exited", "in_use"
+            task.state, task.exit_cause = "exited", "in_use"
         else:
             used = sum(self.rules.specs[other.name.rpartition("/")[0]]["cpus"] for other in live)
             if used + spec["cpus"] > self.machine_type["cpus"] + 1e-6:
-                task.state, task.why = "exited", "no_room"
+                task.state, task.exit_cause = "exited", "no_room"
             else:
-                task.until = self.loop.now + (0.0 if spec["kit"] in self.images else 2.0)
+                task.state_ends_at = self.loop.now + (0.0 if spec["kit"] in self.images else 2.0)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -50,7 +50,7 @@
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
         await self._pass_link(worker, zone, node, request)
-        self._capture(request)
+        self._copy_request(request)
         await self._maybe_delay()
         if node not in self.controllers:
             raise ConnectionError(node)
@@ -62,7 +62,7 @@
         if self.link_faults.has("drop", node, zone):
             await asyncio.sleep(60)
         if (
-            self._hangs(worker, node)
+            self._is_cut(worker, node)
             or worker in self.workers_without_responses
             or node in self.nodes_without_responses
             or self.rng.random() < 0.01
@@ -77,19 +77,19 @@
         if self.link_faults.has("reset", zone, node) or self.link_faults.has("reset", node, zone):
             raise ConnectionError(node)
         await asyncio.sleep(self.link_faults.delay(zone, node))
-        if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
+        if self._is_cut(worker, node) or self.link_faults.has("drop", zone, node):
             await asyncio.sleep(60)
         if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
+            self.loop.call_later(3.0, self._deliver_copy, node, replace(request, previous_answered_at=None))
         if node not in self.controllers:
             raise ConnectionError(node)
 
-    def _capture(self, request: Request) -> None:
+    def _copy_request(self, request: Request) -> None:
         """Deliver copies of a share of the requests later, to any node, and keep copies if a test collects them."""
         if self.rng.random() < self.duplicate_share:
             for _ in range(self.rng.randint(1, 2)):
                 late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
+                self.loop.call_later(late, self._deliver_copy, other, replace(request, previous_answered_at=None))
         if self.captured_requests is not None:
             self.captured_requests.append(replace(request, previous_answered_at=None))
 
@@ -100,11 +100,11 @@
     async def report(self, body: Any, node: str) -> Response:
         return await self.serve(node, Request("POST", "/agent/beat", {}, cbor2.dumps(body)))
 
-    def _copy(self, node: str, request: Request) -> None:
+    def _deliver_copy(self, node: str, request: Request) -> None:
         if node in self.controllers and node not in self.cut_nodes:
             self.loop.create_task(self.serve(node, request))
 
-    def _hangs(self, worker: str, node: str) -> bool:
+    def _is_cut(self, worker: str, node: str) -> bool:
         return node in self.cut_nodes or (worker, node) in self.cut_worker_links
 
     # Users
@@ -121,7 +121,7 @@
         except (TimeoutError, KeyError):
             return Response(504)
 
-    async def about(
+    async def request_about_job(
         self, job_id: str, method: str, path: str, body: Any = None, node: str | None = None
     ) -> tuple[Response, str | None]:
         """Send a user's request about a job and check the response."""
@@ -131,16 +131,16 @@
         self.rules.observe_response(job_id, response.status, state, asked)
         return response, state
 
-    async def offer(self, spec: dict[str, Any]) -> Response:
+    async def submit_once(self, spec: dict[str, Any]) -> Response:
         """Submit a job once, or repeat its submission."""
-        response, _ = await self.about(spec["name_id"], "POST", "/submissions", sent(spec))
+        response, _ = await self.request_about_job(spec["name_id"], "POST", "/submissions", sent(spec))
         return response
 
-    async def submit(self, spec: dict[str, Any], patience: float = 60.0) -> bool:
+    async def submit(self, spec: dict[str, Any], timeout_s: float = 60.0) -> bool:
         self.rules.submitted(spec)
-        end = self.loop.now + patience
+        end = self.loop.now + timeout_s
         while self.loop.now < end:
-            response = await self.offer(spec)
+            response = await self.submit_once(spec)
             if response.status in (200, 201):
                 return True
             if response.status in (400, 422):
@@ -149,21 +149,21 @@
         return False
 
     async def poll(self, job_id: str, node: str | None = None) -> str | None:
-        _, state = await self.about(job_id, "GET", f"/submissions/{job_id}", node=node)
+        _, state = await self.request_about_job(job_id, "GET", f"/submissions/{job_id}", node=node)
         return state
 
-    async def withdraw(self, job_id: str, patience: float = 60.0) -> str | None:
+    async def withdraw(self, job_id: str, timeout_s: float = 60.0) -> str | None:
         self.rules.asked_to_cancel.add(job_id)
-        end = self.loop.now + patience
+        end = self.loop.now + timeout_s
         while self.loop.now < end:
-            response, state = await self.about(job_id, "POST", f"/submissions/{job_id}/withdraw")
+            response, state = await self.request_about_job(job_id, "POST", f"/submissions/{job_id}/withdraw")
             if response.status == 200:
                 return str(state)
             await asyncio.sleep(1)
         return None
 
-    async def until_over(self, job_ids: list[str], patience: float) -> dict[str, str | None]:
-        end = self.loop.now + patience
+    async def until_over(self, job_ids: list[str], timeout_s: float) -> dict[str, str | None]:
+        end = self.loop.now + timeout_s
         states: dict[str, str | None] = {}
         while self.loop.now < end:
             for job_id in job_ids:
