--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,7 +14,7 @@
 from tests.world.day import day
 from tests.world.meetings import TROUBLES, watch
 from tests.world.random_troubles import restore
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 from tests.world.world import World
 
 # Each meeting: troubles, and how long after the first each begins.
@@ -86,7 +86,7 @@
     """Play the troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
 
     async def script(world: World) -> None:
-        stage = Stage(world)
+        stage = Scenario(world)
         watcher = world.loop.create_task(watch(world))
         await stage.work()
         await asyncio.sleep(6)
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -3,23 +3,23 @@
 import asyncio
 
 from elmthread.leadership.step_down import StepDownReason
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 
 
-async def leader_ends(scenario: Stage) -> None:
+async def leader_ends(scenario: Scenario) -> None:
     leader = scenario.leader()
     if leader is not None:
         scenario.kill(leader, scenario.world.rng.choice([0.05, 0.4, 3.0, 8.0]))
 
 
-async def all_end(scenario: Stage) -> None:
+async def all_end(scenario: Scenario) -> None:
     """Kill all controllers; each restarts after more than a lease, or the first of them within seconds."""
     rng = scenario.world.rng
     for number, node in enumerate(list(scenario.world.controllers)):
         scenario.kill(node, rng.choice([0.2, 9.0, 16.0]) + number)
 
 
-async def leaders_change(scenario: Stage) -> None:
+async def leaders_change(scenario: Scenario) -> None:
     """Change the leader ten times in two minutes, by step-downs and kills, also during a store outage."""
     world = scenario.world
     for turn in range(10):
@@ -34,7 +34,7 @@
         await asyncio.sleep(world.rng.uniform(0.3, 12))
 
 
-async def leader_stands_still(scenario: Stage) -> None:
+async def leader_stands_still(scenario: Scenario) -> None:
     leader = scenario.leader()
     if leader is not None:
         await scenario.world.suspend(leader, scenario.world.rng.choice([0.8, 2.5, 10.0]))
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -7,50 +7,50 @@
 
 from elmthread.net.http_messages import Request
 from tests.world.controller_troubles import leader_ends
-from tests.world.stage import Stage, add_temporarily
+from tests.world.stage import Scenario, add_temporarily
 
 
-def cut_off_workers(scenario: Stage, names: Iterable[str], for_s: float) -> None:
+def cut_off_workers(scenario: Scenario, names: Iterable[str], for_s: float) -> None:
     cut = {(name, node) for name in names for node in scenario.world.nodes}
     add_temporarily(scenario, scenario.world.cut_worker_links, cut, for_s)
 
 
-def hang_workers(scenario: Stage, names: Iterable[str], times: list[float]) -> None:
+def hang_workers(scenario: Scenario, names: Iterable[str], times: list[float]) -> None:
     for name in names:
         worker = scenario.world.workers[name]
         worker.hung = True
         scenario.world.loop.call_later(scenario.world.rng.choice(times), setattr, worker, "hung", False)
 
 
-async def machines_mute(scenario: Stage) -> None:
+async def machines_mute(scenario: Scenario) -> None:
     """Cut some workers off from all controllers."""
     cut_off_workers(scenario, scenario.some(0.4), scenario.world.rng.uniform(5, 30))
 
 
-async def machines_deaf(scenario: Stage) -> None:
+async def machines_deaf(scenario: Scenario) -> None:
     add_temporarily(
         scenario, scenario.world.workers_without_responses, set(scenario.some(0.4)), scenario.world.rng.uniform(5, 40)
     )
 
 
-async def machines_hang(scenario: Stage) -> None:
+async def machines_hang(scenario: Scenario) -> None:
     """Hang some workers, and resume them within their lease or after it."""
     hang_workers(scenario, scenario.some(0.4), [3.0, 10.0, 20.0, 35.0])
 
 
-async def machines_die(scenario: Stage) -> None:
+async def machines_die(scenario: Scenario) -> None:
     for name in scenario.some(0.25):
         scenario.world.workers.pop(name).terminate()
         scenario.world.cloud.machines[name].state = "failed"
 
 
-async def machines_reborn(scenario: Stage) -> None:
+async def machines_reborn(scenario: Scenario) -> None:
     for name in scenario.some(0.3):
         worker = scenario.world.workers[name]
         worker.restart(worker.incarnation + scenario.world.rng.randint(0, 1))
 
 
-async def quick_machines(scenario: Stage) -> None:
+async def quick_machines(scenario: Scenario) -> None:
     """Boot machines within two seconds and give them work at once, while writes are slow and leaders are killed."""
     world = scenario.world
     world.cloud.fast_boot = True
@@ -64,21 +64,21 @@
     world.store.latency = 0.004
 
 
-async def late_reports(scenario: Stage) -> None:
+async def late_reports(scenario: Scenario) -> None:
     """Deliver copies of heartbeats to any node, some of them long after a lease has expired."""
     scenario.world.duplicate_share = 0.5
     await asyncio.sleep(25)
     scenario.world.duplicate_share = 0.0
 
 
-async def held_up(scenario: Stage) -> None:
+async def held_up(scenario: Scenario) -> None:
     """Delay heartbeats and responses by seconds."""
     scenario.world.delayed_share = 0.4
     await asyncio.sleep(25)
     scenario.world.delayed_share = 0.0
 
 
-async def kept_for_the_next(scenario: Stage) -> None:
+async def kept_for_the_next(scenario: Scenario) -> None:
     """Deliver old and delayed heartbeats to every controller as a new leader begins."""
     world = scenario.world
     captured: list[Request] = []
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from tests.world.settings import ZONES
-from tests.world.stage import Stage, add_temporarily
+from tests.world.stage import Scenario, add_temporarily
 from tests.world.user_troubles import cancel_now
 
 
-async def leader_apart(scenario: Stage) -> None:
+async def leader_apart(scenario: Scenario) -> None:
     """Cut the leader off from the store and other nodes, but not from workers and users, who cancel jobs."""
     world, leader = scenario.world, scenario.leader()
     if leader is None:
@@ -24,7 +24,7 @@
     now.refused = now.cut = False
 
 
-async def zone_cut(scenario: Stage) -> None:
+async def zone_cut(scenario: Scenario) -> None:
     """Cut off a zone with its workers and a controller, which keeps running, for longer than a lease."""
     world = scenario.world
     zone, node = world.rng.choice(ZONES), world.rng.choice(world.nodes)
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -8,10 +8,10 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-FaultScript = Callable[["Stage"], Coroutine[Any, Any, None]]
+FaultScript = Callable[["Scenario"], Coroutine[Any, Any, None]]
 
 
-class Stage:
+class Scenario:
     """A simulated world with its users, into which faults are injected."""
 
     def __init__(self, world: World) -> None:
@@ -96,7 +96,7 @@
         return [self.world.ports[node].store.faults for node in self.world.nodes]
 
 
-def add_temporarily(scenario: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
+def add_temporarily(scenario: Scenario, faulty: set[Any], added: set[Any], for_s: float) -> None:
     """Add items to one of the world's sets of faulty parts, and remove them after `for_s` seconds."""
     faulty |= added
     scenario.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 from tests.world.user_troubles import cancel_now
 
 
-async def refused_then_down(scenario: Stage) -> None:
+async def refused_then_down(scenario: Scenario) -> None:
     """Refuse the leader, then all nodes for longer than `cancel_s`, while users cancel and query jobs."""
     world, leader = scenario.world, scenario.leader()
     if leader is None:
@@ -22,13 +22,13 @@
     world.ports[leader].store.faults.refused = False
 
 
-async def outage(scenario: Stage) -> None:
+async def outage(scenario: Scenario) -> None:
     scenario.world.store.outage(True)
     await asyncio.sleep(scenario.world.rng.uniform(1, 20))
     scenario.world.store.outage(False)
 
 
-async def _fault(scenario: Stage, share: str, value: float, for_s: float) -> None:
+async def _fault(scenario: Scenario, share: str, value: float, for_s: float) -> None:
     """Set a share in the ServiceFaults of every node's store client for `for_s` seconds."""
     for faults in scenario.store_faults():
         setattr(faults, share, value)
@@ -37,17 +37,17 @@
         setattr(faults, share, 0.0)
 
 
-async def late_writes(scenario: Stage) -> None:
+async def late_writes(scenario: Scenario) -> None:
     """Apply a share of the requests after newer ones, without a response."""
     await _fault(scenario, "late_share", 0.3, 25)
 
 
-async def answers_lost(scenario: Stage) -> None:
+async def answers_lost(scenario: Scenario) -> None:
     """Apply requests at once and lose a share of the responses."""
     await _fault(scenario, "lost_response_share", 0.4, 25)
 
 
-async def slow_store(scenario: Stage) -> None:
+async def slow_store(scenario: Scenario) -> None:
     scenario.world.store.latency = 1.2
     await asyncio.sleep(25)
     scenario.world.store.latency = 0.004
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from tests.world.machine_troubles import cut_off_workers, hang_workers, held_up
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 
 
-async def cancel_now(scenario: Stage) -> None:
+async def cancel_now(scenario: Scenario) -> None:
     """Cancel some running jobs within 0.2 s, preferably those of the team at its limit."""
     running_jobs = {task.rpartition("/")[0] for _, task in scenario.world.rules.running}
     jobs = scenario.unfinished()
@@ -21,7 +21,7 @@
         )
 
 
-async def cancel_and_hang(scenario: Stage) -> None:
+async def cancel_and_hang(scenario: Scenario) -> None:
     """Cancel jobs while machines of the team at its limit hang or are unreachable."""
     world = scenario.world
     specs = world.rules.specs
@@ -34,7 +34,7 @@
         hang_workers(scenario, team_machines & world.workers.keys(), [10.0, 20.0])
 
 
-async def cancel_at_end(scenario: Stage) -> None:
+async def cancel_at_end(scenario: Scenario) -> None:
     """Cancel, query or resubmit jobs at about the time at which their last task ends."""
     world = scenario.world
 
@@ -56,7 +56,7 @@
         await asyncio.sleep(world.rng.uniform(0.2, 2))
 
 
-async def stream(scenario: Stage) -> None:
+async def stream(scenario: Scenario) -> None:
     """Submit four one-task jobs per second, and cancel a quarter of them, some at once."""
     world = scenario.world
 
@@ -71,7 +71,7 @@
         await asyncio.sleep(0.25)
 
 
-async def close_looks(scenario: Stage) -> None:
+async def close_looks(scenario: Scenario) -> None:
     """Query all nodes right after a job was accepted; cancel some jobs at once."""
     world = scenario.world
 
@@ -87,7 +87,7 @@
         await asyncio.sleep(world.rng.uniform(0.3, 3))
 
 
-async def odd_requests(scenario: Stage) -> None:
+async def odd_requests(scenario: Scenario) -> None:
     """Submit jobs that can't run or lack a field, repeat submissions, and cancel finished jobs."""
     world = scenario.world
     odd: list[dict[str, Any]] = [
@@ -116,7 +116,7 @@
         await asyncio.sleep(1)
 
 
-async def overload(scenario: Stage) -> None:
+async def overload(scenario: Scenario) -> None:
     """Submit more work than there is room for, of several priorities, over slow links."""
     scenario.begin(held_up(scenario))
     for _ in range(10):
