--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -50,7 +50,7 @@
         world.rules.observe_response("run-000001", 200, "queued")
         world.rules.observe_response("run-000002", 503, None)
     world.loop.close()
-    assert [entry.split()[1:3] for entry in world.rules.broken[:1]] == [["forgotten:", "run-000002:"]]
+    assert [entry.split()[1:3] for entry in world.rules.violations[:1]] == [["forgotten:", "run-000002:"]]
 
 
 def test_large_jobs_begin_in_time_whatever_the_load() -> None:
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -16,7 +16,7 @@
     with real_loop() as loop:
         upgrade = Upgrade(loop, tmp_path, Options(earlier=None, gate=True, soak_s=2.0))
         loop.run_until_complete(upgrade.run())
-    assert upgrade.stand_ins.rules.broken == []
+    assert upgrade.stand_ins.rules.violations == []
     assert upgrade.level() == SUPPORTED.highest
     told = [what for _, what in upgrade.happened]
     assert f"{NODES[0]}, rolled back, answers /ready with 503" in told
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -36,18 +36,18 @@
 
     def seen() -> list[str]:
         """Return what the monitor and the rules find on that day."""
-        broken: list[str] = []
+        violations: list[str] = []
 
         async def watched(world: World) -> None:
             with monitored(world) as monitor:
                 await script(world)
-            broken.extend(monitor.broken)
+            violations.extend(monitor.violations)
 
         try:
             day(watched, before=begin_before, machines=2)
         except AssertionError as error:
-            broken.append(str(error))
-        return broken
+            violations.append(str(error))
+        return violations
 
     # The same day with the guard shows nothing, but for the errors of processes that are rightly refused.
     assert all("is active, this version reads" in what for what in seen())
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -61,7 +61,7 @@
                 replace(world, node, SUPPORTED, 0.5)
             await until_done(world, ids)
             assert (await world.ask("GET", "/ready", node=back)).status == 200
-        assert monitor.broken == [] and len(monitor.activations) == 1
+        assert monitor.violations == [] and len(monitor.activations) == 1
 
     world = World(3)
     begin_before(world)
@@ -74,7 +74,7 @@
 
     with caplog.at_level(logging.ERROR, "elmthread"):
         play(main(), world.loop)
-    assert world.rules.broken == []
+    assert world.rules.violations == []
     errors = [record.getMessage() for record in caplog.records]
     # Logged once, not at every try.
     assert len(errors) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -116,7 +116,7 @@
     one = rules()
     BREAKS[rule][number](one)
     one.loop.close()
-    assert {entry.split()[1].rstrip(":") for entry in one.broken} == {rule}
+    assert {entry.split()[1].rstrip(":") for entry in one.violations} == {rule}
 
 
 def test_what_keeps_the_rules_breaks_none() -> None:
@@ -134,4 +134,4 @@
     one.check_cancelled()
     on(one, "run-000001/2")
     one.loop.close()
-    assert one.broken and one.broken[0].split()[1] == "ran_cancelled:" and len(one.late_starts) == 1
+    assert one.violations and one.violations[0].split()[1] == "ran_cancelled:" and len(one.late_starts) == 1
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -67,7 +67,7 @@
 
     world = day(full_script, seed=seed, before=before, machines=8)
     assert histories[0].checked_actions > 0
-    assert histories[0].broken == []
+    assert histories[0].violations == []
     for reported in world.rules.history.values():
         assert len({state for _, state in reported if state in ("done", "cancelled")}) == 1
     return histories[0]
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -44,6 +44,6 @@
     with errors_logged() as errors:
         play(main(), world.loop)
     assert errors == []
-    assert world.rules.broken == []
+    assert world.rules.violations == []
     assert world.store.bad_requests == []
     return world
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -74,7 +74,7 @@
         self.lease_requested_at: dict[str, float] = {}
         self._lease_valid_until: dict[str, float] = {}
         self.checked_actions = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         world.on_start.append(self._watch)
         world.on_response.append(self._on_response)
 
@@ -87,7 +87,7 @@
         self.checked_actions += 1
         now = self.world.loop.now
         if now > self._lease_valid_until.get(node, 0.0) + 1e-6:
-            self.broken.append(f"{now:.2f} {node}: {what} without a sure lease")
+            self.violations.append(f"{now:.2f} {node}: {what} without a sure lease")
 
     def _watch(self, node: str, controller: Controller) -> None:
         election = controller.election
@@ -130,4 +130,4 @@
             + election.settings.grace_period.total_seconds()
         )
         if now > may_answer_until + 1e-6:
-            self.broken.append(f"{now:.2f} {node}: a worker is answered past the holding time")
+            self.violations.append(f"{now:.2f} {node}: a worker is answered past the holding time")
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -111,14 +111,14 @@
     def __init__(self, world: World) -> None:
         """Start watching the world's state service."""
         self._world = world
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.activations: list[float] = []
         self.loads = 0
         self._transact = world.store._transact
         world.store._transact = self._check_transaction  # type: ignore[method-assign]
 
     def _report_violation(self, what: str) -> None:
-        self.broken.append(f"{self._world.loop.now:.2f} {what}")
+        self.violations.append(f"{self._world.loop.now:.2f} {what}")
 
     def _check_transaction(self, body: Any) -> Any:
         before, fenced = stored_level(self._world), self._fence_exists()
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -31,7 +31,7 @@
         self.waiting_since: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         # Since when requests about a job have not been answered, and since when all faults are cleared.
         self.unanswered_since: dict[str, float] = {}
         self.calm_since: float | None = None
@@ -39,7 +39,7 @@
         self.starts: Counter[str] = Counter()
 
     def _report_violation(self, rule: str, what: str) -> None:
-        self.broken.append(f"{self.loop.now:.2f} {rule}: {what}")
+        self.violations.append(f"{self.loop.now:.2f} {rule}: {what}")
 
     def submitted(self, spec: dict[str, Any]) -> None:
         self.specs[spec["name_id"]] = spec
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -19,7 +19,7 @@
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
             await script(world, monitor)
-        assert monitor.broken == []
+        assert monitor.violations == []
         assert len(monitor.activations) <= 1
 
     return day(watched, before=before, **more)
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -179,8 +179,10 @@
         print(f"  {job_id}: {state}")
     print("\n".join(cluster.waits.lines()))
     rules = cluster.stand_ins.rules
-    print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
-    return 0 if finished and not rules.broken else 1
+    print(
+        f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.violations or 'none'}"
+    )
+    return 0 if finished and not rules.violations else 1
 
 
 async def run(loop: RealLoop, folder: Path, faults: list[Fault] | None) -> int:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -69,8 +69,8 @@
 
     with mock.patch.object(world.store, "_transact", noting), mock.patch.object(StateLoader, "load", measured):
         play(script(), world.loop)
-    if world.rules.broken:
-        raise AssertionError(world.rules.broken)
+    if world.rules.violations:
+        raise AssertionError(world.rules.violations)
     return _lines(counts, sizes)
 
 
