--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -104,7 +104,7 @@
         world.cut_worker_links.clear()
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
+        world.rules.faults_cleared_at = world.loop.now
         states = await world.until_over(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
         # Whoever asks whichever node hears the same for ever.
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -25,7 +25,7 @@
             world.start(node)
         await asyncio.sleep(3)
         world.store.outage(False)
-        world.rules.calm_since = calm = world.loop.now
+        world.rules.faults_cleared_at = calm = world.loop.now
         left = {(node, job_id) for node in world.nodes for job_id in ids}
         while left and world.loop.now < calm + 90:
             for node, job_id in sorted(left):
@@ -44,7 +44,7 @@
     for number in (1, 2):
         world.rules.submitted(job(number))
         world.rules.observe_response(f"run-{number:06d}", 201, "queued")
-    world.rules.calm_since = 0.0
+    world.rules.faults_cleared_at = 0.0
     for now in range(90):
         world.loop.now = float(now)
         world.rules.observe_response("run-000001", 200, "queued")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -55,14 +55,14 @@
 
 
 def waits(one: Rules) -> None:
-    one.calm_since = 0.0
+    one.faults_cleared_at = 0.0
     for now in (0.0, 50.0, 91.0):
         one.loop.now = now
         one.check_waiting(lambda spec: True)
 
 
 def forgotten(one: Rules) -> None:
-    one.calm_since = 0.0
+    one.faults_cleared_at = 0.0
     for now in (0.0, 76.0):
         one.loop.now = now
         one.observe_response("run-000001", 503, None)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -134,7 +134,7 @@
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
-        over = world.rules.calm_since = world.loop.now
+        over = world.rules.faults_cleared_at = world.loop.now
         returned = note_returns(world)
         while await world.poll(ids[0]) is None:
             assert world.loop.now < over + 6
@@ -225,7 +225,7 @@
         await asyncio.sleep(20)
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
+        world.rules.faults_cleared_at = world.loop.now
         assert set((await world.until_over(ids, 150)).values()) == {"done"}
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -89,7 +89,7 @@
         assert world.leader is not None
         world.kill(world.leader.node)
         killed = world.loop.now
-        world.rules.calm_since = killed
+        world.rules.faults_cleared_at = killed
         left = {f"run-{number:06d}" for number in (1, 77, 1234, count - 1)} | {"run-009000"}
         while left:
             for job_id in sorted(left):
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -34,7 +34,7 @@
         self.violations: list[str] = []
         # Since when requests about a job have not been answered, and since when all faults are cleared.
         self.unanswered_since: dict[str, float] = {}
-        self.calm_since: float | None = None
+        self.faults_cleared_at: float | None = None
         self.first_start: dict[str, float] = {}
         self.starts: Counter[str] = Counter()
 
@@ -131,7 +131,7 @@
             self.unanswered_since.pop(job, None)
         elif before is not None and before != "cancelled":
             since = self.unanswered_since.setdefault(job, self.loop.now)
-            if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
+            if self.faults_cleared_at is not None and self.loop.now - max(since, self.faults_cleared_at) > 75:
                 self._report_violation("forgotten", f"{job}: no request answered since {since:.1f}")
         if status in (200, 201) and job not in self.specs:
             self._report_violation("invented", job)
@@ -170,6 +170,6 @@
             since = self.waiting_since.setdefault(job, self.loop.now) if waits else None
             if since is None:
                 self.waiting_since.pop(job, None)
-            elif self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 90:
+            elif self.faults_cleared_at is not None and self.loop.now - max(since, self.faults_cleared_at) > 90:
                 self._report_violation("waits", f"{job} since {since:.1f}")
                 self.waiting_since[job] = self.loop.now
