--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,9 +48,9 @@
     one.observe_response("run-000001", 200, "done", asked=-1.0)
 
 
-def impossible(one: Rules) -> None:
+def invalid_jobs(one: Rules) -> None:
     one.submitted(job(3, cpus=99.0))
-    one.impossible.add("run-000003")
+    one.invalid_jobs.add("run-000003")
     one.observe_response("run-000003", 201, "queued")
 
 
@@ -106,7 +106,7 @@
     "invented": [lambda one: one.observe_response("run-000009", 200, "queued")],
     "not_done": [lambda one: one.observe_response("run-000001", 200, "done")],
     "went_back": [older_answer, two_ends, lambda one: one.observe_response("run-000001", 200, "cancelled")],
-    "accepted": [impossible],
+    "accepted": [invalid_jobs],
     "waits": [waits],
 }
 
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -25,7 +25,7 @@
         # Changes of each job's state as reported to users, with their times.
         self.history: dict[str, list[tuple[float, str]]] = {}
         # Jobs that must never be accepted, since they can't run or lack a field.
-        self.impossible: set[str] = set()
+        self.invalid_jobs: set[str] = set()
         # Tasks that began after their job was reported as cancelled.
         self.late_starts: list[str] = []
         self.waiting_since: dict[str, float] = {}
@@ -109,7 +109,7 @@
         self._check_answered(job, status, before)
         if status not in (200, 201) or state is None or job not in self.specs:
             return
-        if job in self.impossible:
+        if job in self.invalid_jobs:
             self._report_violation("accepted", f"{job}, which can't run or lacks a field")
         if state == "done":
             self._check_done(job)
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -103,7 +103,7 @@
         if number % 3 == 0:
             del spec[world.rng.choice(["crew", "pieces", "cpus", "kit", "urgency", "expected_s"])]
         world.rules.specs[spec["name_id"]] = spec
-        world.rules.impossible.add(spec["name_id"])
+        world.rules.invalid_jobs.add(spec["name_id"])
         answer = await world.submit_once(spec)
         assert answer.status in (400, 422, 429, 503, 504), answer
         assert answer.retry_after is not None or answer.status not in (429, 503), answer
