--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.random_troubles import HISTORIES, TROUBLES, befall, restore
+from tests.world.random_troubles import HISTORIES, TROUBLES, inject_fault, restore
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -37,7 +37,7 @@
             if await world.submit(spec):
                 ids.append(spec["name_id"])
         for kind, pause in troubles:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
             await asyncio.sleep(pause)
             for job_id in ids:
                 await world.poll(job_id)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -16,7 +16,7 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
 from tests.world import earlier_reader
 from tests.world.day import day
-from tests.world.random_troubles import befall, restore
+from tests.world.random_troubles import inject_fault, restore
 from tests.world.specs import daemon, job, sent
 from tests.world.stored import stored_records
 from tests.world.upgrades import begin_old, fall, upgrade
@@ -165,7 +165,9 @@
         ids = await submit_of_many_sizes(world)
 
         async def trouble() -> None:
-            await befall(world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids)
+            await inject_fault(
+                world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids
+            )
             await check_often(20, 0.3)
 
         # Up to the last but one: whichever leads, an earlier version may be next.
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SUPPORTED
-from tests.world.random_troubles import TROUBLES, befall, restore
+from tests.world.random_troubles import TROUBLES, inject_fault, restore
 from tests.world.rollouts import BEFORE, RolloutMonitor, begin_before, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
@@ -35,7 +35,7 @@
         if kind in ("new", "before"):
             replace(world, node, SUPPORTED if kind == "new" else BEFORE, world.rng.uniform(0.02, 4.0))
         else:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
         await asyncio.sleep(pause)
         for job_id in ids:
             await world.poll(job_id)
@@ -87,7 +87,7 @@
             (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
         else:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
         await asyncio.sleep(rng.uniform(0.05, 9.0))
         for job_id in ids:
             await world.poll(job_id)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -21,7 +21,7 @@
 )
 
 
-async def befall(world: World, kind: str, ids: list[str]) -> None:
+async def inject_fault(world: World, kind: str, ids: list[str]) -> None:
     """Inject a fault of this kind, if there is anything that it can affect."""
     await INJECTORS[kind](world, ids)
 
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.world.day import day
-from tests.world.random_troubles import TROUBLES, befall, restore
+from tests.world.random_troubles import TROUBLES, inject_fault, restore
 from tests.world.settings import NEXT, NODES, ZONES
 from tests.world.specs import daemon, job
 from tests.world.versions import EarlierVersion
@@ -63,7 +63,7 @@
 
         async def inject_next() -> None:
             kind, pause = next(remaining)
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
             await asyncio.sleep(pause)
 
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), inject_next)
@@ -71,7 +71,7 @@
         world.loop.call_later(falls, fall, world)
         services = await _submit_services(world)
         for kind, pause in remaining:
-            await befall(world, kind, ids + services)
+            await inject_fault(world, kind, ids + services)
             await asyncio.sleep(pause)
             for job_id in ids + services:
                 await world.poll(job_id)
