--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.random_troubles import HISTORIES, TROUBLES, inject_fault, restore
+from tests.world.random_troubles import FAULT_NAMES, HISTORIES, inject_fault, restore
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -14,7 +14,7 @@
 @settings(HISTORIES, max_examples=40)
 @given(
     st.integers(0, 10_000),
-    st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
+    st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
 )
 def test_rules_hold_whatever_fails(number: int, troubles: list[tuple[str, float]]) -> None:
     async def script(world: World) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,7 +15,7 @@
 
 from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.world.day import day
-from tests.world.random_troubles import HISTORIES, TROUBLES
+from tests.world.random_troubles import FAULT_NAMES, HISTORIES
 from tests.world.settings import NEXT, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
@@ -41,7 +41,7 @@
 @given(
     st.integers(0, 10_000),
     st.permutations(NODES),
-    st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
+    st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
     st.floats(0.0, 40.0),
 )
 def test_rules_hold_through_an_upgrade_and_falling_limits(
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SUPPORTED
-from tests.world.random_troubles import TROUBLES, inject_fault, restore
+from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
 from tests.world.rollouts import BEFORE, RolloutMonitor, begin_before, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
@@ -16,7 +16,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["new", "new", "new", "before", "before", *TROUBLES]),
+        st.sampled_from(["new", "new", "new", "before", "before", *FAULT_NAMES]),
         st.sampled_from(NODES),
         st.floats(0.05, 9.0),
     ),
@@ -82,7 +82,7 @@
 async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
     """Move random nodes to either version while faults occur."""
     for _ in range(12):
-        kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
+        kind, node = rng.choice(["new", "new", "earlier", *rng.sample(FAULT_NAMES, 2)]), rng.choice(NODES)
         if kind in ("new", "earlier"):
             (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -150,7 +150,7 @@
     "still": partial(_suspend, False),
     "still_all": partial(_suspend, True),
 }
-TROUBLES = list(INJECTORS)
+FAULT_NAMES = list(INJECTORS)
 
 
 def set_apart(world: World, node: str, apart: bool) -> None:
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.world.day import day
-from tests.world.random_troubles import TROUBLES, inject_fault, restore
+from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
 from tests.world.settings import NEXT, NODES, ZONES
 from tests.world.specs import daemon, job
 from tests.world.versions import EarlierVersion
@@ -37,7 +37,7 @@
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
     """Run a rollout from an actual earlier version, drawn from the seed alone."""
     rng = random.Random(seed)
-    troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
+    troubles = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
     def before(world: World) -> None:
         begin_old(world)
