--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.meetings import TROUBLES, watch
+from tests.world.meetings import FAULT_SCRIPTS, watch
 from tests.world.random_troubles import restore
 from tests.world.stage import Scenario
 from tests.world.world import World
@@ -94,7 +94,7 @@
 
         async def befall(name: str, at: float) -> None:
             await asyncio.sleep(began + at - world.loop.now)
-            await TROUBLES[name](stage)
+            await FAULT_SCRIPTS[name](stage)
 
         await asyncio.gather(*(befall(name, at) for name, at in troubles))
         await stage.end()
@@ -124,7 +124,7 @@
 
 def mixture(seed: int, counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
     rng = random.Random(seed)
-    return [(rng.choice(sorted(TROUBLES)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
+    return [(rng.choice(sorted(FAULT_SCRIPTS)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -30,7 +30,7 @@
 )
 from tests.world.world import World
 
-TROUBLES: dict[str, FaultScript] = {
+FAULT_SCRIPTS: dict[str, FaultScript] = {
     one.__name__: one
     for one in (
         leader_ends,
