--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -8,7 +8,7 @@
 from tests.world.faulty_rollouts import FAULTS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
 from tests.world.random_troubles import HISTORIES
-from tests.world.rollouts import RolloutMonitor, begin_before, monitored
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
 from tests.world.settings import NEXT
 from tests.world.staged_days import staged_day
 from tests.world.world import World
@@ -24,7 +24,7 @@
         await upgrades_and_rollbacks(world, monitor, steps, falls)
 
     def before(world: World) -> None:
-        begin_before(world)
+        configure_previous_version(world)
         world.limits = dict(NEXT)
 
     staged_day(script, before, seed=number)
@@ -44,7 +44,7 @@
             violations.extend(monitor.violations)
 
         try:
-            day(watched, before=begin_before, machines=2)
+            day(watched, before=configure_previous_version, machines=2)
         except AssertionError as error:
             violations.append(str(error))
         return violations
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -16,7 +16,7 @@
     BEFORE,
     SOAK_S,
     RolloutMonitor,
-    begin_before,
+    configure_previous_version,
     monitored,
     replace,
     stored_level,
@@ -64,7 +64,7 @@
         assert monitor.violations == [] and len(monitor.activations) == 1
 
     world = World(3)
-    begin_before(world)
+    configure_previous_version(world)
 
     async def main() -> None:
         world.rent("large", "east")
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -23,7 +23,7 @@
 from elmthread.store.machine_records import read_machine
 from tests.world.day import day
 from tests.world.earlier_reader import newest
-from tests.world.rollouts import begin_before, replace, until_level
+from tests.world.rollouts import configure_previous_version, replace, until_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
 from tools.schemas import FORMS, ROLLOUT_FORMS, schemas_of, text_of
@@ -188,7 +188,7 @@
         await check_for(20)
         check_rollout_records(world)
 
-    day(script, before=begin_before, machines=6)
+    day(script, before=configure_previous_version, machines=6)
     newest_level = SUPPORTED.highest
     assert {(1, "done"), (1, "job")} <= sent
     assert {(newest_level, form) for form in ("done", "fence", "machine", "link view")} <= sent
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -12,7 +12,7 @@
     BEFORE,
     SOAK_S,
     RolloutMonitor,
-    begin_before,
+    configure_previous_version,
     done_in_store,
     replace,
     stored_level,
@@ -96,7 +96,7 @@
         assert monitor.activations[0] - again >= 10.0
 
     def before(world: World) -> None:
-        begin_before(world)
+        configure_previous_version(world)
         world.rollout = RolloutSettings(enabled=True, soak_s=10.0)
 
     staged_day(script, before)
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -8,7 +8,7 @@
 from tests.trace.pins import SimulatedTime, pinned
 from tests.trace.recorder import Recorder
 from tests.trace.users import interrupt_spot_machines, leader_of, query_until, rent_machines, run_users
-from tests.world.rollouts import begin_before, until_level
+from tests.world.rollouts import configure_previous_version, until_level
 from tests.world.world import World, start
 
 Script = Callable[[World, random.Random], Awaitable[None]]
@@ -119,7 +119,7 @@
     "outage": (outage, lambda world: None),
     "cuts": (cuts, lambda world: None),
     "kills": (kills, lambda world: None),
-    "levels": (levels, begin_before),
+    "levels": (levels, configure_previous_version),
 }
 
 
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
-from tests.world.rollouts import BEFORE, RolloutMonitor, begin_before, replace, until_level
+from tests.world.rollouts import BEFORE, RolloutMonitor, configure_previous_version, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import fall
@@ -72,7 +72,7 @@
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
     def before(world: World) -> None:
-        begin_before(world)
+        configure_previous_version(world)
         world.levels.clear()
         world.limits, world.earlier, world.earlier_nodes = dict(NEXT), earlier, set(world.nodes)
 
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -28,7 +28,7 @@
 FENCE = "t/compatibility"
 
 
-def begin_before(world: World) -> None:
+def configure_previous_version(world: World) -> None:
     """Make all nodes start as the previous version, with rollout enabled."""
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     world.levels = dict.fromkeys(world.nodes, BEFORE)
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -5,7 +5,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.day import day
-from tests.world.rollouts import RolloutMonitor, begin_before, monitored, replace, until_level
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored, replace, until_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
@@ -13,7 +13,7 @@
 Script = Callable[[World, RolloutMonitor], Awaitable[None]]
 
 
-def staged_day(script: Script, before: Callable[[World], None] = begin_before, **more: Any) -> World:
+def staged_day(script: Script, before: Callable[[World], None] = configure_previous_version, **more: Any) -> World:
     """Run a day that begins with the previous version; the monitor must see no violation."""
 
     async def watched(world: World) -> None:
