--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,7 @@
 from tests.world.settings import NEXT, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
-from tests.world.upgrades import begin_old, fall, rollout, upgrade
+from tests.world.upgrades import configure_earlier_version, fall, rollout, upgrade
 from tests.world.world import World, start
 
 TYPES_MANY = 12
@@ -47,7 +47,7 @@
 def test_rules_hold_through_an_upgrade_and_falling_limits(
     number: int, order: list[str], troubles: list[tuple[str, float]], falls: float
 ) -> None:
-    rollout(number, order, troubles, falls, begin_old)
+    rollout(number, order, troubles, falls, configure_earlier_version)
 
 
 def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
@@ -74,7 +74,7 @@
         states = await world.until_over(ids, 120)
         assert set(states.values()) == {"done"}
 
-    world = day(script, machines=10, before=begin_old)
+    world = day(script, machines=10, before=configure_earlier_version)
     assert max(world.rules.starts.values()) == 1
 
 
@@ -98,7 +98,7 @@
         after = records(world)
         assert {key: after[key] for key in before} == before
 
-    day(script, before=begin_old, controllers=2)
+    day(script, before=configure_earlier_version, controllers=2)
 
 
 def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
@@ -127,7 +127,7 @@
         await asyncio.sleep(6)
         assert await world.poll("run-000001") == "cancelled"
 
-    world = day(script, before=begin_old)
+    world = day(script, before=configure_earlier_version)
     # Machines and done marks were taken over: nothing was run again.
     assert max(world.rules.starts.values()) == 1
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 from tests.world.random_troubles import inject_fault, restore
 from tests.world.specs import daemon, job, sent
 from tests.world.stored import stored_records
-from tests.world.upgrades import begin_old, fall, upgrade
+from tests.world.upgrades import configure_earlier_version, fall, upgrade
 from tests.world.world import World
 
 SAMPLES: dict[str, Any] = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
@@ -180,7 +180,7 @@
         assert all(state in ("done", "cancelled") for state in states.values()), states
         assert checks > 90
 
-    day(script, seed=seed, before=begin_old)
+    day(script, seed=seed, before=configure_earlier_version)
 
 
 def test_the_first_service_is_written_only_when_one_is_asked_for() -> None:
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -14,7 +14,7 @@
 from tests.world.world import World, start
 
 
-def begin_old(world: World) -> None:
+def configure_earlier_version(world: World) -> None:
     world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT)
 
 
@@ -40,7 +40,7 @@
     troubles = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
     def before(world: World) -> None:
-        begin_old(world)
+        configure_earlier_version(world)
         world.earlier = earlier
 
     rollout(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
