--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,7 @@
 from tests.world.settings import NEXT, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
-from tests.world.upgrades import configure_earlier_version, fall, rollout, upgrade
+from tests.world.upgrades import configure_earlier_version, lower_store_limits, rollout, upgrade
 from tests.world.world import World, start
 
 TYPES_MANY = 12
@@ -68,7 +68,7 @@
         await asyncio.sleep(8)
         order = [node] + [other for other in world.nodes if other != node]
         await upgrade(world, order, 12.0)
-        fall(world)
+        lower_store_limits(world)
         for number in range(20, 22):
             assert await world.submit(daemon(number), 10)
         states = await world.until_over(ids, 120)
@@ -86,7 +86,7 @@
         await world.until_over([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
-        fall(world)
+        lower_store_limits(world)
         # Whatever is written takes some of the large pages along.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
@@ -113,7 +113,7 @@
         most = max(len([task for name, task in world.rules.running if name == machine]) for machine in world.workers)
         assert most > 100
         await upgrade(world, list(world.nodes), 6.0)
-        fall(world)
+        lower_store_limits(world)
         await asyncio.sleep(3)
         assert await world.submit(job(3, pieces=150, cpus=0.1, ram_gb=0.05, true_s=10.0, expected_s=10.0))
         # What could never be stored is refused at once, not taken and lost.
@@ -145,7 +145,7 @@
 
     def before(world: World) -> None:
         world.limits = dict(NEXT)
-        fall(world)
+        lower_store_limits(world)
         world.cloud.capacity = {}
 
     day(script, machines=0, before=before)
@@ -168,7 +168,7 @@
 
     def before(world: World) -> None:
         world.limits = dict(NEXT)
-        fall(world)
+        lower_store_limits(world)
         world.cloud.types = [*world.cloud.types] + [
             world.cloud.types[0] | {"name": f"small-{number}"} for number in range(TYPES_MANY)
         ]
@@ -207,7 +207,7 @@
 
     def before(world: World) -> None:
         world.limits = dict(NEXT)
-        fall(world)
+        lower_store_limits(world)
 
     world = day(script, machines=machines, each=machines, before=before)
     assert world.store.rate_limited <= 2
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -19,7 +19,7 @@
 from tests.world.random_troubles import inject_fault, restore
 from tests.world.specs import daemon, job, sent
 from tests.world.stored import stored_records
-from tests.world.upgrades import configure_earlier_version, fall, upgrade
+from tests.world.upgrades import configure_earlier_version, lower_store_limits, upgrade
 from tests.world.world import World
 
 SAMPLES: dict[str, Any] = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
@@ -175,7 +175,7 @@
         await check_often(60, 0.5)
         restore(world)
         await upgrade(world, world.nodes[2:], 10.0)
-        fall(world)
+        lower_store_limits(world)
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         assert checks > 90
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -10,7 +10,7 @@
 from tests.world.rollouts import BEFORE, RolloutMonitor, configure_previous_version, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
-from tests.world.upgrades import fall
+from tests.world.upgrades import lower_store_limits
 from tests.world.versions import EarlierVersion
 from tests.world.world import World
 
@@ -29,7 +29,7 @@
     world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
 ) -> None:
     """Change the nodes' versions repeatedly while faults occur; upgrade all of them in the end."""
-    world.loop.call_later(falls, fall, world)
+    world.loop.call_later(falls, lower_store_limits, world)
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
         if kind in ("new", "before"):
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -18,7 +18,7 @@
     world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT)
 
 
-def fall(world: World) -> None:
+def lower_store_limits(world: World) -> None:
     world.store.limit(NEXT["value_kb"], int(NEXT["txn_ops"]), NEXT["write_rps"])
 
 
@@ -68,7 +68,7 @@
 
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), inject_next)
         # Features of the new version are used only once all nodes run it; the limits may be lowered any time after.
-        world.loop.call_later(falls, fall, world)
+        world.loop.call_later(falls, lower_store_limits, world)
         services = await _submit_services(world)
         for kind, pause in remaining:
             await inject_fault(world, kind, ids + services)
