--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from elmthread.reachability.succession import Succession
-from tests.world.cut_days import BEFORE, Script, cut, cut_day
+from tests.world.cut_days import PREVIOUS_LEVELS, Script, cut, cut_day
 from tests.world.history import History
 from tests.world.rollouts import replace, until_level
 from tests.world.settings import NODES
@@ -100,4 +100,4 @@
             )
         await until_level(world, SUPPORTED.highest)
 
-    cut_day(script, levels=BEFORE)
+    cut_day(script, levels=PREVIOUS_LEVELS)
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -13,7 +13,7 @@
 from tests.world.faulty_rollouts import announce_late, roll_back_unannounced
 from tests.world.loop import play
 from tests.world.rollouts import (
-    BEFORE,
+    PREVIOUS_LEVELS,
     SOAK_S,
     RolloutMonitor,
     configure_previous_version,
@@ -46,7 +46,7 @@
             # The leader itself is rolled back: the others serve on, and nobody works on what it would misread.
             assert world.leader is not None
             back = world.leader.node
-            replace(world, back, BEFORE, 0.3)
+            replace(world, back, PREVIOUS_LEVELS, 0.3)
             await asyncio.sleep(8)
             await check_refused(world, back)
             assert world.leader is not None and world.leader.node != back
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -9,7 +9,7 @@
 from elmthread.settings.rollout import RolloutSettings
 from tests.world import earlier_reader
 from tests.world.rollouts import (
-    BEFORE,
+    PREVIOUS_LEVELS,
     SOAK_S,
     RolloutMonitor,
     configure_previous_version,
@@ -120,7 +120,7 @@
         if kind == "end":
             world.kill(node)
         else:
-            replace(world, node, BEFORE if kind == "back" else SUPPORTED, 0.5)
+            replace(world, node, PREVIOUS_LEVELS if kind == "back" else SUPPORTED, 0.5)
             await asyncio.sleep(1)
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
@@ -155,7 +155,7 @@
         await until_done(world, ids)
 
     def before(world: World) -> None:
-        world.levels = dict.fromkeys(world.nodes, BEFORE)
+        world.levels = dict.fromkeys(world.nodes, PREVIOUS_LEVELS)
 
     staged_day(script, before)
 
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -21,7 +21,7 @@
 Script = Callable[[World, History], Awaitable[None]]
 # Time in which workers find a new leader: one heartbeat timeout, one attempt per node, two heartbeat intervals.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
-BEFORE = SupportedLevels(1, 2)
+PREVIOUS_LEVELS = SupportedLevels(1, 2)
 
 
 def cut(source: str, target: str, at: float = 0.0, length: float = 15.0, **more: Any) -> Fault:
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -16,7 +16,7 @@
 from elmthread.rollout.view import Announcement, RolloutView
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
-from tests.world.rollouts import BEFORE, SOAK_S, replace, stored_level, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, SOAK_S, replace, stored_level, until_level
 from tests.world.settings import NODES
 from tests.world.staged_days import submit_some, upgrade_all
 from tests.world.world import World
@@ -36,7 +36,7 @@
             await asyncio.sleep(0.02)
             world.kill(NODES[2])
             world.ports[NODES[2]].store.faults.delivered_after_end = True
-        replace(world, NODES[2], BEFORE, 0.05)
+        replace(world, NODES[2], PREVIOUS_LEVELS, 0.05)
         await asyncio.sleep(1.0)
         assert world.store.items[f"rollout/nodes/{NODES[2]}"][0]["highest"] == 1
         await asyncio.sleep(12 + SOAK_S)
@@ -53,7 +53,7 @@
     rolled_back_node = next(node for node in NODES if node != world.leader.node)
     # With rollout disabled it announces nothing, like a version without levels.
     world.rollout = RolloutSettings()
-    replace(world, rolled_back_node, BEFORE, 0.2)
+    replace(world, rolled_back_node, PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(0.5)
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     await asyncio.sleep(4 * SOAK_S)
@@ -68,7 +68,9 @@
 
 def activate_by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
     """Activate the level as soon as a majority of the nodes supports it."""
-    supporting = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
+    supporting = {
+        node for node, one in view.announcements.items() if getattr(one, "levels", PREVIOUS_LEVELS).highest >= 2
+    }
     if view.level < 2 and len(supporting) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
         return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in supporting))
@@ -91,7 +93,7 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3)
     # If the node with the previous version leads, one of the others takes over.
-    replace(world, NODES[2], BEFORE, 3.0)
+    replace(world, NODES[2], PREVIOUS_LEVELS, 3.0)
     await asyncio.sleep(4 * SOAK_S)
 
 
@@ -147,7 +149,7 @@
         assert world.store._transact(transaction([], put)).status == 200
 
     call_before_put(world, f"rollout/nodes/{NODES[2]}", raise_stored_level)
-    replace(world, NODES[2], BEFORE, 0.2)
+    replace(world, NODES[2], PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(10)
 
 
@@ -166,7 +168,7 @@
 async def roll_all_back(world: World) -> None:
     await mark_tasks_done(world)
     for node in NODES:
-        replace(world, node, BEFORE, 0.2)
+        replace(world, node, PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(10)
 
 
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
-from tests.world.rollouts import BEFORE, RolloutMonitor, configure_previous_version, replace, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, until_level
 from tests.world.settings import NEXT, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import lower_store_limits
@@ -33,7 +33,7 @@
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
         if kind in ("new", "before"):
-            replace(world, node, SUPPORTED if kind == "new" else BEFORE, world.rng.uniform(0.02, 4.0))
+            replace(world, node, SUPPORTED if kind == "new" else PREVIOUS_LEVELS, world.rng.uniform(0.02, 4.0))
         else:
             await inject_fault(world, kind, ids)
         await asyncio.sleep(pause)
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -23,7 +23,7 @@
 from tests.world.earlier_reader import newest
 from tests.world.world import World, start
 
-BEFORE = SupportedLevels(1, 1)
+PREVIOUS_LEVELS = SupportedLevels(1, 1)
 SOAK_S = 4.0
 FENCE = "t/compatibility"
 
@@ -31,7 +31,7 @@
 def configure_previous_version(world: World) -> None:
     """Make all nodes start as the previous version, with rollout enabled."""
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
-    world.levels = dict.fromkeys(world.nodes, BEFORE)
+    world.levels = dict.fromkeys(world.nodes, PREVIOUS_LEVELS)
 
 
 def replace(world: World, node: str, levels: SupportedLevels, after: float) -> None:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -21,7 +21,7 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.loop import play
-from tests.world.rollouts import BEFORE, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, until_level
 from tests.world.settings import ZONES
 from tests.world.specs import job
 from tests.world.world import World
@@ -40,7 +40,7 @@
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
     world.store.limit(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
-    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else BEFORE)
+    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else PREVIOUS_LEVELS)
     transact, load = world.store._transact, StateLoader.load
 
     def noting(body: Any) -> Any:
