--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -16,7 +16,7 @@
 from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.world.day import day
 from tests.world.random_troubles import FAULT_NAMES, HISTORIES
-from tests.world.settings import NEXT, NODES
+from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
 from tests.world.upgrades import configure_earlier_version, lower_store_limits, rollout, upgrade
@@ -82,7 +82,7 @@
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        assert max(sizes(world)) > NEXT["value_kb"] * 1024
+        assert max(sizes(world)) > NEXT_LIMITS["value_kb"] * 1024
         await world.until_over([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
@@ -92,7 +92,7 @@
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large pages may still stand there until they are overwritten, but nothing in them is current.
-        pages = RecordPages(page_capacity(NEXT["value_kb"]))
+        pages = RecordPages(page_capacity(NEXT_LIMITS["value_kb"]))
         pages.load(stored_pages(world.store))
         assert not pages._oversized
         after = records(world)
@@ -144,7 +144,7 @@
         assert (await world.until_over(["run-000001"], 120)) == {"run-000001": "done"}
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
+        world.limits = dict(NEXT_LIMITS)
         lower_store_limits(world)
         world.cloud.capacity = {}
 
@@ -167,7 +167,7 @@
         world.cloud.down = False
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
+        world.limits = dict(NEXT_LIMITS)
         lower_store_limits(world)
         world.cloud.types = [*world.cloud.types] + [
             world.cloud.types[0] | {"name": f"small-{number}"} for number in range(TYPES_MANY)
@@ -206,7 +206,7 @@
         assert set(states.values()) == {"done"}
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
+        world.limits = dict(NEXT_LIMITS)
         lower_store_limits(world)
 
     world = day(script, machines=machines, each=machines, before=before)
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -9,7 +9,7 @@
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
 from tests.world.random_troubles import HISTORIES
 from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
-from tests.world.settings import NEXT
+from tests.world.settings import NEXT_LIMITS
 from tests.world.staged_days import staged_day
 from tests.world.world import World
 
@@ -25,7 +25,7 @@
 
     def before(world: World) -> None:
         configure_previous_version(world)
-        world.limits = dict(NEXT)
+        world.limits = dict(NEXT_LIMITS)
 
     staged_day(script, before, seed=number)
 
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -8,7 +8,7 @@
 from elmthread.common.features import SUPPORTED
 from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
 from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, until_level
-from tests.world.settings import NEXT, NODES
+from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import lower_store_limits
 from tests.world.versions import EarlierVersion
@@ -74,7 +74,7 @@
     def before(world: World) -> None:
         configure_previous_version(world)
         world.levels.clear()
-        world.limits, world.earlier, world.earlier_nodes = dict(NEXT), earlier, set(world.nodes)
+        world.limits, world.earlier, world.earlier_nodes = dict(NEXT_LIMITS), earlier, set(world.nodes)
 
     staged_day(script, before, seed=seed)
 
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -8,18 +8,18 @@
 
 from tests.world.day import day
 from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
-from tests.world.settings import NEXT, NODES, ZONES
+from tests.world.settings import NEXT_LIMITS, NODES, ZONES
 from tests.world.specs import daemon, job
 from tests.world.versions import EarlierVersion
 from tests.world.world import World, start
 
 
 def configure_earlier_version(world: World) -> None:
-    world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT)
+    world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT_LIMITS)
 
 
 def lower_store_limits(world: World) -> None:
-    world.store.limit(NEXT["value_kb"], int(NEXT["txn_ops"]), NEXT["write_rps"])
+    world.store.limit(NEXT_LIMITS["value_kb"], int(NEXT_LIMITS["txn_ops"]), NEXT_LIMITS["write_rps"])
 
 
 async def upgrade(world: World, order: list[str], pause: float, inject_next: Any = None) -> None:
