--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -16,7 +16,7 @@
 from tests.world.cut_days import Script, cut, cut_day, plays
 from tests.world.history import History
 from tests.world.links import BadScheduleError, draw, read_schedule
-from tests.world.random_troubles import HISTORIES
+from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.settings import NODES
 from tests.world.world import World
 
@@ -27,7 +27,7 @@
 ENDS += [("leader", "workers"), ("follower", "workers"), ("leader", "workers/east"), ("workers/north", "leader")]
 
 
-@settings(HISTORIES, max_examples=12, phases=[Phase.generate, Phase.shrink])
+@settings(HISTORY_SETTINGS, max_examples=12, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), st.integers(2, 3))
 def test_drawn_schedules_break_no_rule(seed: int, count: int) -> None:
     cut_day(plays(*draw(seed, ENDS, count, 40.0)), seed=seed)
--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.random_troubles import FAULT_NAMES, HISTORIES, inject_fault, restore
+from tests.world.random_troubles import FAULT_NAMES, HISTORY_SETTINGS, inject_fault, restore
 from tests.world.specs import job
 from tests.world.world import World
 
 
-@settings(HISTORIES, max_examples=40)
+@settings(HISTORY_SETTINGS, max_examples=40)
 @given(
     st.integers(0, 10_000),
     st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -7,7 +7,7 @@
 from tests.world.day import day
 from tests.world.faulty_rollouts import FAULTS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
-from tests.world.random_troubles import HISTORIES
+from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
 from tests.world.settings import NEXT_LIMITS
 from tests.world.staged_days import staged_day
@@ -15,7 +15,7 @@
 
 
 # A history that fails is made smaller, unlike those of the other worlds: its steps tell which guard is missing.
-@settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
+@settings(HISTORY_SETTINGS, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
 def test_repeated_upgrades_and_rollbacks_beside_all_troubles(
     number: int, steps: list[tuple[str, str, float]], falls: float
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -12,7 +12,7 @@
 
 # Hypothesis settings of generated histories: the same examples in every run, and a failing example is reported
 # without shrinking, which takes minutes.
-HISTORIES = settings(
+HISTORY_SETTINGS = settings(
     deadline=None,
     database=None,
     derandomize=True,
