--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.faulty_rollouts import FAULTS
+from tests.world.faulty_rollouts import MUTATIONS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
 from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
@@ -30,9 +30,9 @@
     staged_day(script, before, seed=number)
 
 
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", MUTATIONS)
 def test_the_checks_see_a_rollout_that_lacks_a_guard(fault: str) -> None:
-    patch, script = FAULTS[fault]
+    patch, script = MUTATIONS[fault]
 
     def seen() -> list[str]:
         """Return what the monitor and the rules find on that day."""
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -177,7 +177,7 @@
     rollout._rollout.features.raise_level(rollout._level)
 
 
-FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
+MUTATIONS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
     "a majority is enough": (
         lambda: mock.patch.object(term_module, "plan_activation", activate_by_majority),
         upgrade_most,
