--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -15,7 +15,7 @@
 from elmthread.reachability.backoff import LeadershipBackoff
 from tests.world.cut_days import Script, cut, cut_day, plays
 from tests.world.history import History
-from tests.world.links import BadScheduleError, draw, read_schedule
+from tests.world.links import BadScheduleError, draw_schedule, read_schedule
 from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.settings import NODES
 from tests.world.world import World
@@ -30,11 +30,11 @@
 @settings(HISTORY_SETTINGS, max_examples=12, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), st.integers(2, 3))
 def test_drawn_schedules_break_no_rule(seed: int, count: int) -> None:
-    cut_day(plays(*draw(seed, ENDS, count, 40.0)), seed=seed)
+    cut_day(plays(*draw_schedule(seed, ENDS, count, 40.0)), seed=seed)
 
 
 def test_a_schedule_is_played_again_from_its_file(tmp_path: Path) -> None:
-    faults = draw(7, ENDS, 3, 30.0)
+    faults = draw_schedule(7, ENDS, 3, 30.0)
     path = tmp_path / "schedule.toml"
     tables = ["\n".join(f"{key} = {json.dumps(value)}" for key, value in fault.items()) for fault in faults]
     path.write_text("".join(f"[[faults]]\n{table}\n" for table in tables))
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -85,7 +85,7 @@
     return found
 
 
-def draw(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
+def draw_schedule(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
     """Draw random faults of these links that all end within `length` seconds."""
     rng = random.Random(seed)
     links = sorted(ends)
