--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -15,7 +15,7 @@
 from elmthread.reachability.backoff import LeadershipBackoff
 from tests.world.cut_days import Script, cut, cut_day, plays
 from tests.world.history import History
-from tests.world.links import BadScheduleError, draw_schedule, read_schedule
+from tests.world.links import InvalidScheduleError, draw_schedule, read_schedule
 from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.settings import NODES
 from tests.world.world import World
@@ -43,7 +43,7 @@
     terms = [cut_day(plays(*one), seed=3).terms for one in (faults, again)]
     assert terms[0] == terms[1]
     path.write_text(path.read_text().replace("for_s", "fro_s", 1))
-    with pytest.raises(BadScheduleError, match="schedule.toml: faults.0: .*for_s"):
+    with pytest.raises(InvalidScheduleError, match="schedule.toml: faults.0: .*for_s"):
         read_schedule(path)
 
 
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -20,7 +20,7 @@
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
 from tests.world.earlier_reader import newest
-from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
+from tests.world.links import STORE, WORKERS, Fault, InvalidScheduleError, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
 from tools.loopback import HOST, RealLoop, StandIns, free_ports, real_loop
@@ -204,7 +204,7 @@
     if given.schedule is not None:
         try:
             faults = read_schedule(given.schedule)
-        except BadScheduleError as error:
+        except InvalidScheduleError as error:
             print(f"cut_links: {error}", file=sys.stderr)
             return 2
     with real_loop() as loop, tempfile.TemporaryDirectory() as folder:
