--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from elmthread.reachability.bounds import BACKOFF_JITTER
-from tests.world.cut_days import cut, cut_day, plays, submit_and_cancel
+from tests.world.cut_days import cut, cut_day, fault_script, submit_and_cancel
 from tests.world.history import History
 from tests.world.links import Fault
 from tests.world.settings import NODES
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("faults", [*SINGLE.values(), *PAIRS.values()], ids=[*SINGLE, *PAIRS])
 def test_no_cut_of_one_or_two_links_breaks_a_rule(faults: list[Fault]) -> None:
-    cut_day(plays(*faults))
+    cut_day(fault_script(*faults))
 
 
 def test_a_leader_without_workers_names_a_node_that_hears_them_and_it_wins() -> None:
@@ -129,7 +129,7 @@
 def test_a_ring_of_cuts_in_which_no_node_sees_all() -> None:
     one, two, three = NODES
     faults = [cut(one, two), cut(two, "workers/east"), cut(two, three, at=2.0), cut(three, "workers/north", at=2.0)]
-    cut_day(plays(*faults, cut(three, one, at=4.0), cut(one, "store", at=4.0)))
+    cut_day(fault_script(*faults, cut(three, one, at=4.0), cut(one, "store", at=4.0)))
 
 
 def test_without_peers_the_node_that_workers_reach_leads() -> None:
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -86,7 +86,7 @@
     return ids
 
 
-def plays(*faults: Fault) -> Script:
+def fault_script(*faults: Fault) -> Script:
     async def script(world: World, history: History) -> None:
         await world.play_faults(check_schedule({"faults": list(faults)}))
 
