--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -14,7 +14,7 @@
 from tests.world.day import day
 from tests.world.service_days import ordinary, served
 from tests.world.settings import ZONES, settings
-from tests.world.specs import daemon, job, sent
+from tests.world.specs import daemon, job, submission_body
 from tests.world.world import World
 
 
@@ -155,7 +155,7 @@
     """Deferrable work is judged by its deadline; a service has none, and would wait beside all of it."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
-    spec = sent(daemon(1))
+    spec = submission_body(daemon(1))
     assert jobs.new(read_submission(spec), seconds(0)).urgent
     assert not jobs.new(read_submission(spec | {"form": "batch"}), seconds(0)).urgent
 
@@ -191,7 +191,7 @@
 
 def test_aims_for_a_class_of_services_say_how_soon_its_replicas_are_to_serve() -> None:
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
-    spec = read_submission(sent(daemon(1)))
+    spec = read_submission(submission_body(daemon(1)))
     due = []
     aims = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
     for kind, within, after in aims:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -17,7 +17,7 @@
 from tests.world import earlier_reader
 from tests.world.day import day
 from tests.world.random_troubles import inject_fault, restore
-from tests.world.specs import daemon, job, sent
+from tests.world.specs import daemon, job, submission_body
 from tests.world.stored import stored_records
 from tests.world.upgrades import configure_earlier_version, lower_store_limits, upgrade
 from tests.world.world import World
@@ -46,7 +46,7 @@
 
 def test_the_model_refuses_what_the_earlier_version_could_not_read() -> None:
     """A reader that reads anything would find nothing."""
-    spec = sent(daemon(1))
+    spec = submission_body(daemon(1))
     bad: list[dict[str, Any]] = [
         {"j/run-000001": {"state": "open", "tasks": 3, "at": 1.0, "chunk": 64, "spec": spec}},
         {"j/run-000001": {"state": "standing", "tasks": 3}},
@@ -103,7 +103,7 @@
     for text in SAMPLES["frames"]:
         message = decode(text.encode())
         assert json.loads(encode(message)) == json.loads(text)
-    spec = sent(job(1))
+    spec = submission_body(job(1))
     for message in (
         LeaderAnnouncement("loom-1", 41, "loom-0", 2, [("m-000001", 1, 88)], 46),
         ForwardedRequest(5, "submit", "run-000001", 41, msgspec.to_builtins(read_submission(spec))),
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -11,7 +11,7 @@
 from tests.world.nodes import ControllerNodes
 from tests.world.settings import TYPES
 from tests.world.simulated_cloud import SimulatedMachine
-from tests.world.specs import sent
+from tests.world.specs import submission_body
 from tests.world.workers import Worker, WorkerSurroundings
 
 # Times of workers, as in the settings.
@@ -133,7 +133,7 @@
 
     async def submit_once(self, spec: dict[str, Any]) -> Response:
         """Submit a job once, or repeat its submission."""
-        response, _ = await self.request_about_job(spec["name_id"], "POST", "/submissions", sent(spec))
+        response, _ = await self.request_about_job(spec["name_id"], "POST", "/submissions", submission_body(spec))
         return response
 
     async def submit(self, spec: dict[str, Any], timeout_s: float = 60.0) -> bool:
