--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -27,7 +27,7 @@
 from tests.world.service_ports import ServiceFaults, SimulatedClient
 from tests.world.simulated_store import SimulatedStore
 from tests.world.stored import stored_pages, stored_records
-from tests.world.term import SureTerm
+from tests.world.term import StubTerm
 
 MAX_VALUE_BYTES = 2 * 1024
 
@@ -45,7 +45,7 @@
         self.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "a"})))
         self.trouble = ServiceFaults()
         client = KeyValueStore(SimulatedClient(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
-        self.term = SureTerm(self.store.items[LEADER_KEY][1])
+        self.term = StubTerm(self.store.items[LEADER_KEY][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -10,7 +10,7 @@
 from elmthread.leadership.step_down import StepDownReason
 
 
-class SureTerm:
+class StubTerm:
     """A stub of a term whose lease holds while `sure` is set."""
 
     def __init__(self, fencing_token: int = 1) -> None:
@@ -31,7 +31,7 @@
 def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
     """Return the context that services of one term share; `writer` and `term` may be stubs."""
     return TermContext(
-        term=term or cast(Any, SureTerm()),
+        term=term or cast(Any, StubTerm()),
         store=cast(Any, None),
         writer=writer,
         cluster=cluster,
