--- a/src/elmthread/api/tests/test_job_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -102,7 +102,7 @@
         assert (await ending).body["status"] == "cancelled"
         assert service.status("run-000001").body["status"] == "cancelled"
         # A leader whose lease may have expired confirms nothing, though it has the state.
-        cast(StubTerm, context.term).sure = False
+        cast(StubTerm, context.term).lease_valid = False
         assert (await submit(service, 1)).status == 503 and (await service.cancel("run-000001")).status == 503
 
     play(main(), loop)
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -11,15 +11,15 @@
 
 
 class StubTerm:
-    """A stub of a term whose lease holds while `sure` is set."""
+    """A stub of a term whose lease holds while `lease_valid` is set."""
 
     def __init__(self, fencing_token: int = 1) -> None:
         self.fencing_token = fencing_token
-        self.sure = True
+        self.lease_valid = True
         self.step_down_reasons: list[StepDownReason] = []
 
     def holds_lease(self) -> bool:
-        return self.sure
+        return self.lease_valid
 
     def step_down(self, reason: StepDownReason) -> None:
         self.step_down_reasons.append(reason)
