--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -12,7 +12,7 @@
 from tests.world.settings import TYPES
 from tests.world.simulated_cloud import SimulatedMachine
 from tests.world.specs import submission_body
-from tests.world.workers import Worker, WorkerSurroundings
+from tests.world.workers import Worker, WorkerEnvironment
 
 # Times of workers, as in the settings.
 HEARTBEAT_INTERVAL_S, LEASE_S = 3.0, 12.0
@@ -23,7 +23,7 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self._surroundings = WorkerSurroundings(
+        self._surroundings = WorkerEnvironment(
             self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
         )
         self.cloud.on_running = self._machine_up
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -24,7 +24,7 @@
 from tests.world.settings import SETTINGS, TYPES
 from tests.world.simulated_cloud import SimulatedCloud, SimulatedMachine
 from tests.world.simulated_store import SimulatedStore
-from tests.world.workers import Worker, WorkerSurroundings
+from tests.world.workers import Worker, WorkerEnvironment
 
 HOST = "127.0.0.1"
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
@@ -99,7 +99,7 @@
         self.cloud.on_running = self._machine_up
         self.cloud.on_deleted = self._machine_gone
         nodes = list(controllers)
-        self._surroundings = WorkerSurroundings(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
+        self._surroundings = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
