--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -23,7 +23,7 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self._surroundings = WorkerEnvironment(
+        self._worker_environment = WorkerEnvironment(
             self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
         )
         self.cloud.on_running = self._machine_up
@@ -35,7 +35,7 @@
         machine_type = next(one for one in TYPES if one["name"] == machine.machine_type)
         # A worker's clock drifts from everybody else's.
         lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
-        self.workers[machine.name] = Worker(self._surroundings, machine, machine_type, lease_s)
+        self.workers[machine.name] = Worker(self._worker_environment, machine, machine_type, lease_s)
 
     def machine_gone(self, name: str) -> None:
         """Terminate the worker of a machine that the cloud has deleted."""
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -99,7 +99,7 @@
         self.cloud.on_running = self._machine_up
         self.cloud.on_deleted = self._machine_gone
         nodes = list(controllers)
-        self._surroundings = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
+        self._worker_environment = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
@@ -141,7 +141,7 @@
 
     def _machine_up(self, machine: SimulatedMachine) -> None:
         kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self._workers[machine.name] = Worker(self._surroundings, machine, kind, LEASE_S)
+        self._workers[machine.name] = Worker(self._worker_environment, machine, kind, LEASE_S)
 
     def _machine_gone(self, name: str) -> None:
         worker = self._workers.pop(name, None)
