--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -26,12 +26,12 @@
         self._worker_environment = WorkerEnvironment(
             self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
         )
-        self.cloud.on_running = self._machine_up
+        self.cloud.on_running = self._start_worker
         self.cloud.on_deleted = self.machine_gone
 
     # Workers
 
-    def _machine_up(self, machine: SimulatedMachine) -> None:
+    def _start_worker(self, machine: SimulatedMachine) -> None:
         machine_type = next(one for one in TYPES if one["name"] == machine.machine_type)
         # A worker's clock drifts from everybody else's.
         lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -96,7 +96,7 @@
             (kind["name"], zone, spot): machines for kind in TYPES for zone in kind["yards"] for spot in (True, False)
         }
         self.cloud = SimulatedCloud(self._loop, self._rng, TYPES, 3.0, capacity)
-        self.cloud.on_running = self._machine_up
+        self.cloud.on_running = self._start_worker
         self.cloud.on_deleted = self._machine_gone
         nodes = list(controllers)
         self._worker_environment = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
@@ -139,7 +139,7 @@
 
         return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
 
-    def _machine_up(self, machine: SimulatedMachine) -> None:
+    def _start_worker(self, machine: SimulatedMachine) -> None:
         kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
         self._workers[machine.name] = Worker(self._worker_environment, machine, kind, LEASE_S)
 
