--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -26,7 +26,7 @@
             world.loop.call_later(1, start, world, name)
             await asyncio.sleep(5)
             assert world.leader is not None and await world.poll("run-000001") == "running"
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     day(script, controllers=controllers)
 
@@ -45,7 +45,7 @@
         await asyncio.sleep(4)
         for name in names:
             world.start(name)
-        states = await world.until_over([f"run-{n:06d}" for n in range(4)], 120)
+        states = await world.wait_until_finished([f"run-{n:06d}" for n in range(4)], 120)
         assert set(states.values()) == {"done"}
 
     world = day(script)
@@ -65,7 +65,7 @@
         assert world.loop.now - asked < 0.5
         await asyncio.sleep(9)
         world.store.outage(False)
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
@@ -81,7 +81,7 @@
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         assert old.election.role.name == "FOLLOWER"
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     day(script)
 
@@ -104,7 +104,7 @@
         world.cut_worker_links.clear()
         set_apart(world, name, False)
         world.ports[name].cloud.faults.cut = False
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     day(script)
 
@@ -122,7 +122,7 @@
             if world.leader is not None:
                 world.leader.election.step_down(StepDownReason.FAULT)
             await asyncio.sleep(world.rng.uniform(0.3, 3.0))
-        assert set((await world.until_over(ids, 300)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 300)).values()) == {"done"}
 
     for number in range(4):
         day(script, seed=number, machines=6)
@@ -144,7 +144,7 @@
         for name in ("large", "large"):
             world.rent(name, "east")
         assert await world.submit(job(2, crew="red", pieces=12))
-        assert (await world.until_over(["run-000002"], 120)) == {"run-000002": "done"}
+        assert (await world.wait_until_finished(["run-000002"], 120)) == {"run-000002": "done"}
 
     day(script)
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -114,7 +114,7 @@
             await gap(world, ids[round_ * 6 : round_ * 6 + 6])
             await asyncio.sleep(world.rng.uniform(2, 20))
         restore(world)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert set(states.values()) <= {"done", "cancelled"}, states
         watcher.cancel()
 
@@ -227,7 +227,7 @@
         if all_there:
             # The same term goes on: nobody has won meanwhile, and nothing had to be loaded anew.
             assert world.leader is leader
-        assert await world.until_over(["run-000001"], 400) == {"run-000001": "done"}
+        assert await world.wait_until_finished(["run-000001"], 400) == {"run-000001": "done"}
 
     world = day(script, machines=4)
     assert max(world.rules.starts.values()) == (1 if all_there else 2)
--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -42,7 +42,7 @@
             for job_id in ids:
                 await world.poll(job_id)
         restore(world)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
     day(script, seed=number)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -105,7 +105,7 @@
         for worker in world.workers.values():
             worker.hung = False
         world.rules.faults_cleared_at = world.loop.now
-        states = await world.until_over(stage.ids, 420)
+        states = await world.wait_until_finished(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
         # Whoever asks whichever node hears the same for ever.
         for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -33,7 +33,7 @@
                     left.discard((node, job_id))
             await asyncio.sleep(0.5)
         assert world.loop.now - calm < 20, left
-        assert set((await world.until_over(ids, 120)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 120)).values()) == {"done"}
 
     day(script)
 
@@ -101,7 +101,7 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
             await asyncio.sleep(1.5)
-        states = await world.until_over(ids, 240)
+        states = await world.wait_until_finished(ids, 240)
         specs = world.rules.specs
         groups = {
             **{kind: [i for i in ids if specs[i]["docket"] == kind] for kind in ("rush", "nightly", "sort")},
@@ -150,7 +150,7 @@
         assert set(running) <= set(world.rules.running)
         behind(leader, 0.0)
         assert await answers(other) == [200, 200, 200]
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -71,7 +71,7 @@
         lower_store_limits(world)
         for number in range(20, 22):
             assert await world.submit(daemon(number), 10)
-        states = await world.until_over(ids, 120)
+        states = await world.wait_until_finished(ids, 120)
         assert set(states.values()) == {"done"}
 
     world = day(script, machines=10, before=configure_earlier_version)
@@ -83,14 +83,14 @@
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         assert max(sizes(world)) > NEXT_LIMITS["value_kb"] * 1024
-        await world.until_over([f"run-{number:06d}" for number in range(120)], 300)
+        await world.wait_until_finished([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
         lower_store_limits(world)
         # Whatever is written takes some of the large pages along.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
+        await world.wait_until_finished([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large pages may still stand there until they are overwritten, but nothing in them is current.
         pages = RecordPages(page_capacity(NEXT_LIMITS["value_kb"]))
         pages.load(stored_pages(world.store))
@@ -121,7 +121,7 @@
         assert answer.status == 422 and "larger" in answer.body["error"]
         assert await world.poll("run-000001") == "running"
         assert await world.withdraw("run-000001", 5) == "cancelled"
-        states = await world.until_over(["run-000002", "run-000003"], 300)
+        states = await world.wait_until_finished(["run-000002", "run-000003"], 300)
         assert set(states.values()) == {"done"}
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
@@ -141,7 +141,7 @@
         assert await world.submit(job(1, pieces=90, cpus=0.17, ram_gb=0.1, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(10)
         assert max(len(worker.tasks) for worker in world.workers.values()) >= 80
-        assert (await world.until_over(["run-000001"], 120)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 120)) == {"run-000001": "done"}
 
     def before(world: World) -> None:
         world.limits = dict(NEXT_LIMITS)
@@ -202,7 +202,7 @@
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.1)
         assert world.loop.now - crashed < 6
-        states = await world.until_over(ids, 300)
+        states = await world.wait_until_finished(ids, 300)
         assert set(states.values()) == {"done"}
 
     def before(world: World) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -63,7 +63,7 @@
         for job_id in ids:
             assert await world.poll(job_id) is not None
         world.start(old.node)
-        states = await world.until_over(ids, 100)
+        states = await world.wait_until_finished(ids, 100)
         assert set(states.values()) == {"done"}
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
@@ -151,7 +151,7 @@
         sessions = [worker.incarnation for worker in world.workers.values()]
         assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
         assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
-        assert set((await world.until_over(ids, 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
 
@@ -226,7 +226,7 @@
         for worker in world.workers.values():
             worker.hung = False
         world.rules.faults_cleared_at = world.loop.now
-        assert set((await world.until_over(ids, 150)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 150)).values()) == {"done"}
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
 
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -77,7 +77,7 @@
         await asyncio.sleep(60)
         for number in range(6):
             assert world.rules.machines_of[f"run-000002/{number}"] == mine[f"run-000002/{number}"]
-        states = await world.until_over(["run-000001", "run-000003"], 400)
+        states = await world.wait_until_finished(["run-000001", "run-000003"], 400)
         assert set(states.values()) == {"done"}
 
     day(script)
@@ -130,7 +130,7 @@
         await asyncio.sleep(240)
         for job_id in ids:
             assert world.rules.first_start[job_id] - came < 240
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert set(states.values()) == {"done"}
         for number in range(4):
             assert world.rules.serving(f"run-{number:06d}") == 4
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -176,7 +176,7 @@
         restore(world)
         await upgrade(world, world.nodes[2:], 10.0)
         lower_store_limits(world)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         assert checks > 90
 
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -61,7 +61,7 @@
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
         await wait_until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
-        states = await world.until_over(await users, 300)
+        states = await world.wait_until_finished(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
         assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -46,7 +46,7 @@
     await asyncio.sleep(5)
     await until_level(world, SUPPORTED.highest)
     ids += await submit_some(world, 3, 20)
-    states = await world.until_over(ids, 400)
+    states = await world.wait_until_finished(ids, 400)
     assert all(state in ("done", "cancelled") for state in states.values()), states
     await asyncio.sleep(max(0.0, falls - world.loop.now))
 
@@ -68,7 +68,7 @@
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
         await _roll_back(world, reads_level)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
     def before(world: World) -> None:
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -43,4 +43,4 @@
 
 
 async def until_done(world: World, ids: list[str]) -> None:
-    assert set((await world.until_over(ids, 200)).values()) == {"done"}
+    assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -77,7 +77,7 @@
                 await world.poll(job_id)
         restore(world)
         await asyncio.sleep(max(0.0, 41 - falls))
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         # Services that were not cancelled have all their replicas again.
         for job_id in services:
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -162,7 +162,7 @@
             await asyncio.sleep(1)
         return None
 
-    async def until_over(self, job_ids: list[str], timeout_s: float) -> dict[str, str | None]:
+    async def wait_until_finished(self, job_ids: list[str], timeout_s: float) -> dict[str, str | None]:
         end = self.loop.now + timeout_s
         states: dict[str, str | None] = {}
         while self.loop.now < end:
