--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -20,7 +20,7 @@
     monitored,
     replace,
     stored_level,
-    until_level,
+    wait_for_level,
 )
 from tests.world.settings import NODES
 from tests.world.specs import job
@@ -117,7 +117,7 @@
         await asyncio.sleep(2 * SOAK_S)
         for node in NODES:
             world.ports[node].store.faults.lost_response_share = 0.0
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
     staged_day(script, seed=seed)
@@ -144,7 +144,7 @@
         earlier_reader.read(world.store.values())
         ids = await submit_some(world)
         start(world, ended[0])
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
     staged_day(script)
@@ -204,7 +204,7 @@
         assert stored_level(world) == 1
         # The node itself sets it right, and comes back new.
         replace(world, NODES[2], SUPPORTED, 0.5)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
 
     staged_day(script)
 
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -16,7 +16,7 @@
     done_in_store,
     replace,
     stored_level,
-    until_level,
+    wait_for_level,
 )
 from tests.world.settings import NODES
 from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
@@ -33,7 +33,7 @@
             if node != NODES[-1]:
                 # Whoever leads, and whatever it writes: the version before could read it.
                 earlier_reader.read(world.store.values())
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert len(monitor.activations) == 1
         for one in world.controllers.values():
             assert one.rollout.features.is_active(Feature.DONE_BITMAPS)
@@ -92,7 +92,7 @@
         follower = next(node for node in NODES if world.leader and node != world.leader.node)
         replace(world, follower, SUPPORTED, 0.1)
         again = world.loop.now
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert monitor.activations[0] - again >= 10.0
 
     def before(world: World) -> None:
@@ -134,7 +134,7 @@
                 assert all(one.rollout.gate.admitted for one in world.controllers.values())
             else:
                 await take(world, kind, NODES[int(number[0])])
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
     staged_day(script)
@@ -151,7 +151,7 @@
             assert stored_level(world) == 1
             replace(world, node, SUPPORTED, 1.0)
             await asyncio.sleep(6)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
     def before(world: World) -> None:
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -8,7 +8,7 @@
 from tests.trace.pins import SimulatedTime, pinned
 from tests.trace.recorder import Recorder
 from tests.trace.users import interrupt_spot_machines, leader_of, query_until, rent_machines, run_users
-from tests.world.rollouts import configure_previous_version, until_level
+from tests.world.rollouts import configure_previous_version, wait_for_level
 from tests.world.world import World, start
 
 Script = Callable[[World, random.Random], Awaitable[None]]
@@ -104,7 +104,7 @@
         del world.levels[node]
         world.loop.call_later(1.0, start, world, node)
         await asyncio.sleep(9)
-    await until_level(world, LINK_VIEW_LEVEL)
+    await wait_for_level(world, LINK_VIEW_LEVEL)
     await asyncio.sleep(10)
     for source, target in (("leader", "workers"), ("leader", "follower"), ("leader", "store")):
         await world.play_faults([{"at_s": 0.0, "for_s": 12.0, "from": source, "to": target, "both": True}])
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -13,7 +13,7 @@
 from tests.world.day import day
 from tests.world.history import History
 from tests.world.links import Fault, check_schedule
-from tests.world.rollouts import until_level
+from tests.world.rollouts import wait_for_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
@@ -55,7 +55,7 @@
 
     async def full_script(world: World) -> None:
         history = histories[0]
-        await until_level(world, levels.highest)
+        await wait_for_level(world, levels.highest)
         users = asyncio.ensure_future(submit_and_cancel(world, 6, 0.0))
         await asyncio.sleep(8)
         await script(world, history)
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -16,7 +16,7 @@
 from elmthread.rollout.view import Announcement, RolloutView
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
-from tests.world.rollouts import PREVIOUS_LEVELS, SOAK_S, replace, stored_level, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, SOAK_S, replace, stored_level, wait_for_level
 from tests.world.settings import NODES
 from tests.world.staged_days import submit_some, upgrade_all
 from tests.world.world import World
@@ -60,7 +60,7 @@
     assert world.store.items[f"rollout/nodes/{rolled_back_node}"][0]["highest"] == SUPPORTED.highest
     assert stored_level(world) == 1, "the level is active although a node runs a version that announced nothing"
     replace(world, rolled_back_node, SUPPORTED, 0.2)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
 
 
 # Mutations: each removes a safeguard or changes a rule, and has a scenario in which a check must detect it.
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
-from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, wait_for_level
 from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.staged_days import staged_day, submit_some
 from tests.world.upgrades import lower_store_limits
@@ -44,7 +44,7 @@
         if world.levels[node] != SUPPORTED:
             replace(world, node, SUPPORTED, world.rng.uniform(0.02, 4.0))
     await asyncio.sleep(5)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
     ids += await submit_some(world, 3, 20)
     states = await world.wait_until_finished(ids, 400)
     assert all(state in ("done", "cancelled") for state in states.values()), states
@@ -64,7 +64,7 @@
             world.earlier_nodes.discard(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
         await asyncio.sleep(5)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
         await _roll_back(world, reads_level)
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -42,7 +42,7 @@
     world.loop.call_later(after, partial(start, world, node))
 
 
-async def until_level(world: World, level: int, timeout_s: float = 60.0) -> float:
+async def wait_for_level(world: World, level: int, timeout_s: float = 60.0) -> float:
     """Wait until every node knows that the level is active; return how long that took, in seconds."""
     began = world.loop.now
     while any(
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -5,7 +5,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.day import day
-from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored, replace, until_level
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored, replace, wait_for_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
@@ -39,7 +39,7 @@
 async def upgrade_all(world: World) -> None:
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
 
 
 async def until_done(world: World, ids: list[str]) -> None:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -21,7 +21,7 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.loop import play
-from tests.world.rollouts import PREVIOUS_LEVELS, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, wait_for_level
 from tests.world.settings import ZONES
 from tests.world.specs import job
 from tests.world.world import World
@@ -91,7 +91,7 @@
         world.start(node)
     await asyncio.sleep(3)
     if level > 1:
-        await until_level(world, level)
+        await wait_for_level(world, level)
     for number in range(machines // MACHINES_PER_JOB):
         pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, SPREAD) * MEDIAN_TASKS) + 1)
         spec = job(number, pieces=pieces, true_s=TASK_S, expected_s=TASK_S, kit=f"img-{number % 7}")
