--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -24,7 +24,7 @@
 )
 from tests.world.settings import NODES
 from tests.world.specs import job
-from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
+from tests.world.staged_days import staged_day, submit_some, upgrade_all, wait_until_done
 from tests.world.world import World, start
 
 
@@ -59,7 +59,7 @@
             assert world.leader is None
             for node in NODES:
                 replace(world, node, SUPPORTED, 0.5)
-            await until_done(world, ids)
+            await wait_until_done(world, ids)
             assert (await world.ask("GET", "/ready", node=back)).status == 200
         assert monitor.violations == [] and len(monitor.activations) == 1
 
@@ -118,7 +118,7 @@
         for node in NODES:
             world.ports[node].store.faults.lost_response_share = 0.0
         await wait_for_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     staged_day(script, seed=seed)
 
@@ -145,7 +145,7 @@
         ids = await submit_some(world)
         start(world, ended[0])
         await wait_for_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     staged_day(script)
 
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -19,7 +19,7 @@
     wait_for_level,
 )
 from tests.world.settings import NODES
-from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
+from tests.world.staged_days import staged_day, submit_some, upgrade_all, wait_until_done
 from tests.world.world import World
 
 
@@ -44,7 +44,7 @@
         await asyncio.sleep(14)
         assert world.leader is not None
         world.kill(world.leader.node)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
         assert monitor.loads >= 2
 
     world = staged_day(script)
@@ -135,7 +135,7 @@
             else:
                 await take(world, kind, NODES[int(number[0])])
         await wait_for_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     staged_day(script)
 
@@ -152,7 +152,7 @@
             replace(world, node, SUPPORTED, 1.0)
             await asyncio.sleep(6)
         await wait_for_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     def before(world: World) -> None:
         world.levels = dict.fromkeys(world.nodes, PREVIOUS_LEVELS)
@@ -175,6 +175,6 @@
             replace(world, node, SUPPORTED, 0.5)
         await asyncio.sleep(5)
         assert all(one.rollout.features.level == SUPPORTED.highest for one in world.controllers.values() if one.leader)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     staged_day(script, lambda world: None)
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -42,5 +42,5 @@
     await wait_for_level(world, SUPPORTED.highest)
 
 
-async def until_done(world: World, ids: list[str]) -> None:
+async def wait_until_done(world: World, ids: list[str]) -> None:
     assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
