--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -12,7 +12,7 @@
 from elmthread.settings import operators, platform
 from elmthread.store.machine_type import MachineType
 from tests.world.day import day
-from tests.world.service_days import ordinary, served
+from tests.world.service_days import rent_on_demand, served
 from tests.world.settings import ZONES, settings
 from tests.world.specs import daemon, job, submission_body
 from tests.world.world import World
@@ -116,7 +116,7 @@
 
 def test_others_wait_no_longer_than_their_bound_while_services_hold_cores_all_day() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(4)
         for number in range(4):
             assert await world.submit(daemon(number, pieces=4, cpus=2.0))
@@ -140,7 +140,7 @@
 
 def test_expected_time_of_nothing_teaches_the_work_model_nothing() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=35.0))
         await asyncio.sleep(150)
@@ -164,7 +164,7 @@
     """They move one at a time, so a service is never without more than one of them."""
 
     async def script(world: World) -> None:
-        ordinary(world, 2)
+        rent_on_demand(world, 2)
         await asyncio.sleep(5)
         # Work of three cores on each machine leaves room for one replica on each.
         assert await world.submit(job(1, urgency="high", pieces=6, cpus=3.0, true_s=30.0, expected_s=30.0))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -8,14 +8,14 @@
 
 from tests.world.day import day
 from tests.world.random_troubles import set_apart
-from tests.world.service_days import known, ordinary, served
+from tests.world.service_days import known, rent_on_demand, served
 from tests.world.specs import daemon, job
 from tests.world.world import World, start
 
 
 def test_service_runs_until_it_is_withdrawn_and_is_never_done() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1))
         await served(world, "run-000001", 8)
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("ends", ["done", "error", "halted"])
 def test_replica_that_ends_is_started_again_whatever_it_says(ends: str) -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=40.0, ends=ends))
         await asyncio.sleep(250)
@@ -58,7 +58,7 @@
 
 def test_replica_that_ends_at_once_is_not_started_in_a_loop_and_blames_no_machine() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, pieces=2, true_s=0.0, ends="done"))
         assert await world.submit(daemon(2, pieces=2, true_s=0.0, ends="error"))
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (recall, 11.0), (cut_zone, 20.0)])
 def test_replicas_return_after_loss(loss: Callable[[World, str], None], within: float) -> None:
     async def script(world: World) -> None:
-        ordinary(world, 3)
+        rent_on_demand(world, 3)
         await asyncio.sleep(5)
         # Replicas that may run on whatever machine, spread or not, and deferrable work beside them.
         assert await world.submit(daemon(1))
@@ -122,7 +122,7 @@
 
 def test_no_change_of_leader_stops_or_doubles_a_replica() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         for number in range(3):
             assert await world.submit(daemon(number))
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("moment", ["fetching", "saving", "lost"])
 def test_withdrawal_ends_a_service_whatever_its_replicas_do(moment: str) -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         spec = daemon(1, snapshot_every_s=5.0, snapshot_s=2.0)
         assert await world.submit(spec)
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -7,7 +7,7 @@
 from tests.world.world import World
 
 
-def ordinary(world: World, each: int = 2) -> None:
+def rent_on_demand(world: World, each: int = 2) -> None:
     """Rent on-demand machines in every zone, for services that may not use spot machines."""
     for zone in ZONES:
         for _ in range(each):
