--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -12,7 +12,7 @@
 from elmthread.settings import operators, platform
 from elmthread.store.machine_type import MachineType
 from tests.world.day import day
-from tests.world.service_days import rent_on_demand, served
+from tests.world.service_days import rent_on_demand, wait_until_serving
 from tests.world.settings import ZONES, settings
 from tests.world.specs import daemon, job, submission_body
 from tests.world.world import World
@@ -71,7 +71,7 @@
         # Spot machines may come, but no ordinary one: the service must get room that is taken.
         world.cloud.capacity = {kind: 0 if not kind[2] else 9 for kind in world.cloud.capacity}
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        assert await served(world, "run-000002", 15, 6) < 15
+        assert await wait_until_serving(world, "run-000002", 15, 6) < 15
         mine = dict(world.rules.machines_of)
         assert await world.submit(job(3, pieces=60, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(60)
@@ -92,7 +92,7 @@
         world.rent("small", "east")
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6))
-        assert await served(world, "run-000001", 45, 6) < 45
+        assert await wait_until_serving(world, "run-000001", 45, 6) < 45
         zones = {world.workers[name].zone for name, task in world.rules.running}
         assert len(zones) >= 2
         assert not any(world.workers[name].spot for name, _ in world.rules.running)
@@ -107,7 +107,7 @@
             world.rent("large", zone)
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6, scatter=False))
-        await served(world, "run-000001", 10, 6)
+        await wait_until_serving(world, "run-000001", 10, 6)
         names = [name for name, _ in world.rules.running]
         assert max(names.count(name) for name in names) <= 2
 
@@ -170,7 +170,7 @@
         assert await world.submit(job(1, urgency="high", pieces=6, cpus=3.0, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        await served(world, "run-000002", 15, 6)
+        await wait_until_serving(world, "run-000002", 15, 6)
         assert len({name for name, task in world.rules.running if task.startswith("run-000002")}) == 6
         await asyncio.sleep(300)
         # A move costs replica time: nothing is emptied lightly.
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -19,7 +19,7 @@
     return world.leader.leader.cluster.jobs[job_id]
 
 
-async def served(world: World, job_id: str, within: float, replicas: int = 3) -> float:
+async def wait_until_serving(world: World, job_id: str, within: float, replicas: int = 3) -> float:
     """Wait until all replicas serve; return how long that took, in seconds."""
     began = world.loop.now
     while world.rules.serving(job_id) < replicas:
