--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -8,7 +8,7 @@
 
 from tests.world.day import day
 from tests.world.random_troubles import set_apart
-from tests.world.service_days import known, rent_on_demand, wait_until_serving
+from tests.world.service_days import leader_job, rent_on_demand, wait_until_serving
 from tests.world.specs import daemon, job
 from tests.world.world import World, start
 
@@ -46,7 +46,7 @@
         assert await world.poll("run-000001") == "running"
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(10)
-        assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
+        assert leader_job(world, "run-000001").is_service and leader_job(world, "run-000001").done_count == 0
 
     world = day(script, machines=0, controllers=5)
     assert not any(key.startswith("d/") for page in record_keys_by_page(world) for key in page)
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -14,7 +14,7 @@
             world.rent("small", zone)
 
 
-def known(world: World, job_id: str) -> Job:
+def leader_job(world: World, job_id: str) -> Job:
     assert world.leader is not None and world.leader.leader is not None
     return world.leader.leader.cluster.jobs[job_id]
 
