--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.meetings import FAULT_SCRIPTS, watch
+from tests.world.meetings import FAULT_SCRIPTS, check_continuously
 from tests.world.random_troubles import restore
 from tests.world.stage import Scenario
 from tests.world.world import World
@@ -87,7 +87,7 @@
 
     async def script(world: World) -> None:
         stage = Scenario(world)
-        watcher = world.loop.create_task(watch(world))
+        watcher = world.loop.create_task(check_continuously(world))
         await stage.work()
         await asyncio.sleep(6)
         began = world.loop.now
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -64,7 +64,7 @@
 }
 
 
-async def watch(world: World) -> None:
+async def check_continuously(world: World) -> None:
     """Check continuously that no cancelled task runs, and that no job waits while a machine has room."""
     while True:
         await asyncio.sleep(0.25)
