--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -160,8 +160,8 @@
             return (await world.ask("GET", "/ready", node=node)).status == 200
 
         assert all([await ready(node) for node in NODES])
-        reach = world.reach
-        world.reach = lambda one, other: cut not in (one, other) and reach(one, other)  # type: ignore[method-assign]
+        can_reach = world.can_reach
+        world.can_reach = lambda one, other: cut not in (one, other) and can_reach(one, other)  # type: ignore[method-assign]
         world.ports[cut].store.faults.cut = True
         # The user asks again, here while it may be over at once, and then on a connection to another node.
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
@@ -170,7 +170,7 @@
         assert not await ready(cut) and await ready(name)
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
         assert (response.status, response.close) == (503, True)
-        world.reach = reach  # type: ignore[method-assign]
+        world.can_reach = can_reach  # type: ignore[method-assign]
         world.ports[cut].store.faults.cut = False
         await asyncio.sleep(3)
         assert await ready(cut)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -172,7 +172,7 @@
 
 async def refuse_peer_links(world: World, job_id: str) -> str:
     """Cut all links between controllers: users at followers are refused at once, the leader serves on; return it."""
-    reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
+    can_reach, world.can_reach = world.can_reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
     for node in world.nodes:
@@ -180,7 +180,7 @@
         status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
         assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
     await asyncio.sleep(10)
-    world.reach = reach  # type: ignore[method-assign]
+    world.can_reach = can_reach  # type: ignore[method-assign]
     return leader
 
 
