--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -19,7 +19,7 @@
 from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
-from tests.world.upgrades import configure_earlier_version, lower_store_limits, rollout, upgrade
+from tests.world.upgrades import configure_earlier_version, lower_store_limits, run_upgrade, upgrade
 from tests.world.world import World, start
 
 TYPES_MANY = 12
@@ -47,7 +47,7 @@
 def test_rules_hold_through_an_upgrade_and_falling_limits(
     number: int, order: list[str], troubles: list[tuple[str, float]], falls: float
 ) -> None:
-    rollout(number, order, troubles, falls, configure_earlier_version)
+    run_upgrade(number, order, troubles, falls, configure_earlier_version)
 
 
 def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -43,10 +43,10 @@
         configure_earlier_version(world)
         world.earlier = earlier
 
-    rollout(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
+    run_upgrade(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
 
 
-def rollout(
+def run_upgrade(
     seed: int,
     order: list[str],
     troubles: list[tuple[str, float]],
