--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -188,7 +188,7 @@
         assert world.leader is not None and world.leader is not old
         machine = world.leader.leader.cluster.machines[body["loom"]]  # type: ignore[union-attr]
         machine.last_heartbeat_id = NO_HEARTBEAT
-        answer = await world.report(body, world.leader.node)
+        answer = await world.send_heartbeat(body, world.leader.node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
         told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
         running = [one for one in body["pieces"] if one["piece"].startswith("run-000001") and one["status"] != "exited"]
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -144,12 +144,12 @@
             {"pieces": [{"piece": "run-000001/0", "try": -5, "status": "running"}]},
             {"pieces": "none"},
         ):
-            response = await world.report(good | change, leader.node)
+            response = await world.send_heartbeat(good | change, leader.node)
             assert response.status == 400, change
-        assert (await world.report([1, 2], leader.node)).status == 400
+        assert (await world.send_heartbeat([1, 2], leader.node)).status == 400
         # Of a machine that nobody knows: it gets the token, and nothing else changes.
         stranger = good | {"loom": "m-999999", "baton": 0, "pieces": []}
-        assert (await world.report(stranger, leader.node)).status == 200
+        assert (await world.send_heartbeat(stranger, leader.node)).status == 200
         assert world.leader is leader and sorted(world.rules.running) == before
         assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -97,7 +97,7 @@
         if self.delayed_share and self.rng.random() < self.delayed_share:
             await asyncio.sleep(self.rng.uniform(0.5, 6.0))
 
-    async def report(self, body: Any, node: str) -> Response:
+    async def send_heartbeat(self, body: Any, node: str) -> Response:
         return await self.serve(node, Request("POST", "/agent/beat", {}, cbor2.dumps(body)))
 
     def _deliver_copy(self, node: str, request: Request) -> None:
