--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -99,7 +99,7 @@
             await asyncio.sleep(1.5)
         if name in world.cloud.machines:
             del world.cloud.machines[name]
-            world.machine_gone(name)
+            world.on_machine_deleted(name)
         assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -27,7 +27,7 @@
             self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
         )
         self.cloud.on_running = self._start_worker
-        self.cloud.on_deleted = self.machine_gone
+        self.cloud.on_deleted = self.on_machine_deleted
 
     # Workers
 
@@ -37,7 +37,7 @@
         lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
         self.workers[machine.name] = Worker(self._worker_environment, machine, machine_type, lease_s)
 
-    def machine_gone(self, name: str) -> None:
+    def on_machine_deleted(self, name: str) -> None:
         """Terminate the worker of a machine that the cloud has deleted."""
         worker = self.workers.pop(name, None)
         if worker is not None:
