--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -225,7 +225,7 @@
     stored: list[str] = []
 
     async def script() -> None:
-        bench.store.limit(1.0, 2, 30.0)
+        bench.store.set_limits(1.0, 2, 30.0)
         for number in range(12):
             key, text = f"k/{number}", "x" * (1500 if number == 5 else 100)
             bench.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
@@ -243,7 +243,7 @@
     bench = Bench(rate=30.0)
 
     async def script() -> None:
-        bench.store.limit(2.0, 8, 4.0)
+        bench.store.set_limits(2.0, 8, 4.0)
         for number in range(200):
             bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -43,7 +43,7 @@
     await asyncio.sleep(20)
     world.store.outage(False)
     await asyncio.sleep(15)
-    world.store.limit(8.0, 8, 15.0)
+    world.store.set_limits(8.0, 8, 15.0)
     await users
     await query_until(world, rng, 170.0)
 
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -19,7 +19,7 @@
 
 
 def lower_store_limits(world: World) -> None:
-    world.store.limit(NEXT_LIMITS["value_kb"], int(NEXT_LIMITS["txn_ops"]), NEXT_LIMITS["write_rps"])
+    world.store.set_limits(NEXT_LIMITS["value_kb"], int(NEXT_LIMITS["txn_ops"]), NEXT_LIMITS["write_rps"])
 
 
 async def upgrade(world: World, order: list[str], pause: float, inject_next: Any = None) -> None:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -38,7 +38,7 @@
     world, counts = World(1, 3, machines), Counter[str]()
     sizes = {prefix: HdrHistogram(1, LARGEST_RECORD, 3) for prefix in ("m/", "d/", "j/")}
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
-    world.store.limit(value_kb, 4, 15.0)
+    world.store.set_limits(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
     world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else PREVIOUS_LEVELS)
     transact, load = world.store._transact, StateLoader.load
