--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,7 +8,7 @@
 from elmthread.leadership.step_down import StepDownReason
 from tests.world.balancer import Balancer
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World, start
@@ -97,12 +97,12 @@
         name = old.node
         world.ports[name].cloud.faults.cut = True
         # The links between controllers are cut too, but workers still reach the old leader.
-        set_apart(world, name, True)
+        set_isolated(world, name, True)
         for worker in list(world.workers):
             world.cut_worker_links |= {(worker, node) for node in NODES if node != name}
         await asyncio.sleep(35)
         world.cut_worker_links.clear()
-        set_apart(world, name, False)
+        set_isolated(world, name, False)
         world.ports[name].cloud.faults.cut = False
         assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import restore, set_apart
+from tests.world.random_troubles import restore, set_isolated
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -22,7 +22,7 @@
         assert old is not None
         name = old.node
         world.drift[name] = drift
-        set_apart(world, name, True)
+        set_isolated(world, name, True)
         # Half of the workers hear only the old leader, which answers them for a bounded time.
         with_old = sorted(world.workers)[::2]
         world.cut_worker_links |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
@@ -32,7 +32,7 @@
         assert world.loop.now - apart < 20
         # It comes back in the middle of all that, and the workers with it.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
-        set_apart(world, name, False)
+        set_isolated(world, name, False)
         world.cut_worker_links.clear()
         assert await world.withdraw("run-000002") == "cancelled"
         await asyncio.sleep(31)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.world.counting import count_calls, count_changes, observe_calls
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.specs import job
 from tests.world.world import World, start
 
@@ -160,12 +160,12 @@
     """Cut a zone off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
-    set_apart(world, cut_off, True)
+    set_isolated(world, cut_off, True)
     world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
     await asyncio.sleep(10)
     await more(5)
     await asyncio.sleep(20)
-    set_apart(world, cut_off, False)
+    set_isolated(world, cut_off, False)
     world.cut_worker_links.clear()
     await asyncio.sleep(5)
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.service_days import leader_job, rent_on_demand, wait_until_serving
 from tests.world.specs import daemon, job
 from tests.world.world import World, start
@@ -136,8 +136,8 @@
                 world.kill(node)
                 world.loop.call_later(0.3, start, world, node)
             else:
-                set_apart(world, node, True)
-                world.loop.call_later(20, set_apart, world, node, False)
+                set_isolated(world, node, True)
+                world.loop.call_later(20, set_isolated, world, node, False)
             await asyncio.sleep(30)
 
     world = day(script, machines=0)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -96,7 +96,7 @@
 
 async def _isolate(world: World, ids: list[str]) -> None:
     if world.controllers:
-        set_apart(world, world.rng.choice(list(world.controllers)), True)
+        set_isolated(world, world.rng.choice(list(world.controllers)), True)
 
 
 async def _restart_worker(world: World, ids: list[str]) -> None:
@@ -153,7 +153,7 @@
 FAULT_NAMES = list(INJECTORS)
 
 
-def set_apart(world: World, node: str, apart: bool) -> None:
+def set_isolated(world: World, node: str, apart: bool) -> None:
     """Cut a node off from the store and the other controllers, or connect it again."""
     (world.isolated_nodes.add if apart else world.isolated_nodes.discard)(node)
     world.ports[node].store.faults.cut = apart
