--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -88,7 +88,7 @@
     async def script(world: World) -> None:
         stage = Scenario(world)
         watcher = world.loop.create_task(check_continuously(world))
-        await stage.work()
+        await stage.submit_initial_jobs()
         await asyncio.sleep(6)
         began = world.loop.now
 
