--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -22,7 +22,7 @@
         self.ever_healthy: set[str] = set()
         self.pause_s = dict.fromkeys(NODES, 3.0)
         self.excluded_until = dict.fromkeys(NODES, 0.0)
-        self.task = world.loop.create_task(self._probe())
+        self.probe_task = world.loop.create_task(self._probe())
 
     async def _probe(self) -> None:
         while True:
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -28,12 +28,12 @@
 
 def day(script: Callable[[World], Awaitable[None]], **options: Unpack[DayOptions]) -> World:
     """Run a script in a world whose nodes and machines have started; no rule may be violated."""
-    chosen = DEFAULTS | options
-    world = World(chosen["seed"], chosen["controllers"], chosen["each"], chosen["cancel"])
-    chosen["before"](world)
+    conditions = DEFAULTS | options
+    world = World(conditions["seed"], conditions["controllers"], conditions["each"], conditions["cancel"])
+    conditions["before"](world)
 
     async def main() -> None:
-        for index in range(chosen["machines"]):
+        for index in range(conditions["machines"]):
             world.rent("small" if index % 2 else "large", ["east", "north"][index % 2])
         for node in world.nodes:
             world.start(node)
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -93,14 +93,14 @@
         election = controller.election
         # The lease of an earlier process does not cover this one.
         self._lease_valid_until.pop(node, None)
-        answer = controller.api.handle_peer_request
+        handle = controller.api.handle_peer_request
         state, cloud = self.world.ports[node]
         controller.store._caller = RecordingPort(state, node, self)
         runner = controller.leader_runner
         runner.services = msgspec.structs.replace(runner.services, cloud=RecordingPort(cloud, node, self))
 
         async def handle_and_check(request: Any) -> Any:
-            reply = await answer(request)
+            reply = await handle(request)
             if request.verb in ("submit", "withdraw", "status") and reply.status in (200, 201):
                 self.check_lease(node, f"{request.verb} of {request.job_id} answered")
             return reply
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -147,9 +147,9 @@
         return not (self.has("drop", source, target) or self.has("reset", source, target))
 
 
-def _matches(end: str, pattern: str) -> bool:
+def _matches(endpoint: str, pattern: str) -> bool:
     """Return whether an endpoint matches a pattern; `workers` matches those of all zones."""
-    return end == pattern or (pattern == WORKERS and end.startswith(f"{WORKERS}/"))
+    return endpoint == pattern or (pattern == WORKERS and endpoint.startswith(f"{WORKERS}/"))
 
 
 class SchedulePlayer:
@@ -177,8 +177,8 @@
                 self._faults.end(started)
             self._changed("ends", fault, pairs)
 
-    def _resolve(self, end: str) -> list[str]:
+    def _resolve(self, endpoint: str) -> list[str]:
         """Return the endpoints that a name in a schedule refers to now."""
         leader = self._leader()
         others = [node for node in self._nodes if node != leader]
-        return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(end, [end])
+        return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(endpoint, [endpoint])
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -24,28 +24,31 @@
 
 async def machines_mute(scenario: Scenario) -> None:
     """Cut some workers off from all controllers."""
-    cut_off_workers(scenario, scenario.some(0.4), scenario.world.rng.uniform(5, 30))
+    cut_off_workers(scenario, scenario.sample_workers(0.4), scenario.world.rng.uniform(5, 30))
 
 
 async def machines_deaf(scenario: Scenario) -> None:
     add_temporarily(
-        scenario, scenario.world.workers_without_responses, set(scenario.some(0.4)), scenario.world.rng.uniform(5, 40)
+        scenario,
+        scenario.world.workers_without_responses,
+        set(scenario.sample_workers(0.4)),
+        scenario.world.rng.uniform(5, 40),
     )
 
 
 async def machines_hang(scenario: Scenario) -> None:
     """Hang some workers, and resume them within their lease or after it."""
-    hang_workers(scenario, scenario.some(0.4), [3.0, 10.0, 20.0, 35.0])
+    hang_workers(scenario, scenario.sample_workers(0.4), [3.0, 10.0, 20.0, 35.0])
 
 
 async def machines_die(scenario: Scenario) -> None:
-    for name in scenario.some(0.25):
+    for name in scenario.sample_workers(0.25):
         scenario.world.workers.pop(name).terminate()
         scenario.world.cloud.machines[name].state = "failed"
 
 
 async def machines_reborn(scenario: Scenario) -> None:
-    for name in scenario.some(0.3):
+    for name in scenario.sample_workers(0.3):
         worker = scenario.world.workers[name]
         worker.restart(worker.incarnation + scenario.world.rng.randint(0, 1))
 
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -99,8 +99,8 @@
         )
         self.controllers[node] = controller
         self._apply_to_store(node)
-        for watch in self.on_start:
-            watch(node, controller)
+        for callback in self.on_start:
+            callback(node, controller)
         self.tasks[node] = self.loop.create_task(self._run(controller), context=context)
         return controller
 
@@ -171,16 +171,16 @@
         """Handle a request as the node's server does."""
         handle = self.controllers[node].api.handle
 
-        async def served() -> Response:
+        async def handle_request() -> Response:
             response = await handle(self.version(node).request(request))
             response = (
                 PRECONDITION_FAILED if response.precondition is not None and not response.precondition() else response
             )
-            for watch in self.on_response:
-                watch(node, request, response)
+            for callback in self.on_response:
+                callback(node, request, response)
             return response
 
-        return await self.run_on_node(node, served())
+        return await self.run_on_node(node, handle_request())
 
     async def suspend(self, node: str, seconds: float) -> None:
         """Suspend the process for some seconds; its clocks run on."""
--- a/tests/world/peer_links.py
+++ b/tests/world/peer_links.py
@@ -40,11 +40,11 @@
             return answer
 
         def announce(self) -> None:
-            lead = version.announcement(self)
+            announcement = version.announcement(self)
             for other in world.nodes:
                 if other != node and world.passes(node, other):
                     receive = world.controllers[other].handle_announcement
-                    decoded = world.as_decoded_by(lead, other)
+                    decoded = world.as_decoded_by(announcement, other)
                     delay_s = 0.003 + world.link_faults.delay(node, other)
                     world.loop.call_later(delay_s, receive, decoded, context=world.contexts[other])
                     if world.link_faults.has("duplicate", node, other):
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -26,10 +26,10 @@
 
 
 async def upgrades_and_rollbacks(
-    world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
+    world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], limits_lowered_at_s: float
 ) -> None:
     """Change the nodes' versions repeatedly while faults occur; upgrade all of them in the end."""
-    world.loop.call_later(falls, lower_store_limits, world)
+    world.loop.call_later(limits_lowered_at_s, lower_store_limits, world)
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
         if kind in ("new", "before"):
@@ -48,7 +48,7 @@
     ids += await submit_some(world, 3, 20)
     states = await world.wait_until_finished(ids, 400)
     assert all(state in ("done", "cancelled") for state in states.values()), states
-    await asyncio.sleep(max(0.0, falls - world.loop.now))
+    await asyncio.sleep(max(0.0, limits_lowered_at_s - world.loop.now))
 
 
 def day_beside_an_earlier_version(seed: int, earlier: EarlierVersion) -> None:
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -60,14 +60,14 @@
         self.used_cores[spec["crew"]] += spec["cpus"]
         if self.used_cores[spec["crew"]] > self.limits[spec["crew"]] + 1e-6:
             self._report_violation("quota", f"{spec['crew']} uses {self.used_cores[spec['crew']]}")
-        mine = self.zones_of.setdefault(job, Counter())
-        mine[zone] += 1
+        job_zones = self.zones_of.setdefault(job, Counter())
+        job_zones[zone] += 1
         if (
             (spec["builds"] is not None and machine_type not in spec["builds"])
             or (spec["yard"] is not None and zone != spec["yard"])
             or (spot and not spec["loaners"])
-            or (spec["one_zone"] and len(+mine) > 1)
-            or (spec["scatter"] and mine[zone] > (spec["pieces"] + 1) // 2)
+            or (spec["one_zone"] and len(+job_zones) > 1)
+            or (spec["scatter"] and job_zones[zone] > (spec["pieces"] + 1) // 2)
         ):
             self._report_violation("wrong_place", f"{task} on {machine}")
         self.check_cancelled()
@@ -92,8 +92,8 @@
         self.finished.add(task)
 
     def check_cancelled(self) -> None:
-        late = {job for job, at in self.cancelled_at.items() if self.loop.now > at + self.cancel_s}
-        for job in late:
+        overdue = {job for job, at in self.cancelled_at.items() if self.loop.now > at + self.cancel_s}
+        for job in overdue:
             if +self.zones_of.get(job, Counter()):
                 for machine, task in self.running:
                     if task.rpartition("/")[0] == job:
@@ -105,19 +105,19 @@
         A response may be as old as its request, but must not contradict what was reported before that.
         """
         asked = self.loop.now if asked is None else asked
-        before = next((reported for at, reported in reversed(self.history.get(job, [])) if at <= asked), None)
-        self._check_answered(job, status, before)
+        previous = next((reported for at, reported in reversed(self.history.get(job, [])) if at <= asked), None)
+        self._check_answered(job, status, previous)
         if status not in (200, 201) or state is None or job not in self.specs:
             return
         if job in self.invalid_jobs:
             self._report_violation("accepted", f"{job}, which can't run or lacks a field")
         if state == "done":
             self._check_done(job)
-        if before in ("done", "cancelled") and state != before:
-            self._report_violation("went_back", f"{job}: {before} then {state}")
-        ends = {reported for _, reported in self.history.get(job, []) if reported in ("done", "cancelled")}
-        if state in ("done", "cancelled") and ends - {state}:
-            self._report_violation("went_back", f"{job}: {ends} and {state}")
+        if previous in ("done", "cancelled") and state != previous:
+            self._report_violation("went_back", f"{job}: {previous} then {state}")
+        final_states = {reported for _, reported in self.history.get(job, []) if reported in ("done", "cancelled")}
+        if state in ("done", "cancelled") and final_states - {state}:
+            self._report_violation("went_back", f"{job}: {final_states} and {state}")
         if state == "cancelled":
             if job not in self.asked_to_cancel:
                 self._report_violation("went_back", f"{job} cancelled without a request")
@@ -125,17 +125,17 @@
         if not self.history.get(job) or self.history[job][-1][1] != state:
             self.history.setdefault(job, []).append((self.loop.now, state))
 
-    def _check_answered(self, job: str, status: int, before: str | None) -> None:
+    def _check_answered(self, job: str, status: int, previous: str | None) -> None:
         """Check that an accepted job remains known, and that no job is known that was never submitted."""
         if status in (200, 201):
             self.unanswered_since.pop(job, None)
-        elif before is not None and before != "cancelled":
+        elif previous is not None and previous != "cancelled":
             since = self.unanswered_since.setdefault(job, self.loop.now)
             if self.faults_cleared_at is not None and self.loop.now - max(since, self.faults_cleared_at) > 75:
                 self._report_violation("forgotten", f"{job}: no request answered since {since:.1f}")
         if status in (200, 201) and job not in self.specs:
             self._report_violation("invented", job)
-        if status in (400, 404, 422) and before is not None:
+        if status in (400, 404, 422) and previous is not None:
             self._report_violation("forgotten", f"{job} got {status}")
 
     def _check_done(self, job: str) -> None:
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -76,7 +76,7 @@
 
     # Machines and nodes
 
-    def some(self, share: float) -> list[str]:
+    def sample_workers(self, share: float) -> list[str]:
         names = sorted(self.world.workers)
         return self.world.rng.sample(names, max(1, round(len(names) * share))) if names else []
 
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -37,29 +37,29 @@
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
     """Run a rollout from an actual earlier version, drawn from the seed alone."""
     rng = random.Random(seed)
-    troubles = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
+    faults = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
     def before(world: World) -> None:
         configure_earlier_version(world)
         world.earlier = earlier
 
-    run_upgrade(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
+    run_upgrade(seed, rng.sample(NODES, len(NODES)), faults, rng.uniform(0.0, 40.0), before)
 
 
 def run_upgrade(
-    seed: int,
+    world_seed: int,
     order: list[str],
-    troubles: list[tuple[str, float]],
-    falls: float,
+    faults: list[tuple[str, float]],
+    limits_lowered_after_s: float,
     before: Callable[[World], None],
 ) -> None:
-    """Upgrade in this order while faults occur, and lower the limits `falls` seconds after the upgrade."""
+    """Upgrade in this order while faults occur; lower the limits `limits_lowered_after_s` after the upgrade."""
 
     async def script(world: World) -> None:
         for zone in ZONES:
             world.rent("small", zone)
         ids = await _submit_jobs(world)
-        remaining = iter(troubles)
+        remaining = iter(faults)
 
         async def inject_next() -> None:
             kind, pause = next(remaining)
@@ -68,7 +68,7 @@
 
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), inject_next)
         # Features of the new version are used only once all nodes run it; the limits may be lowered any time after.
-        world.loop.call_later(falls, lower_store_limits, world)
+        world.loop.call_later(limits_lowered_after_s, lower_store_limits, world)
         services = await _submit_services(world)
         for kind, pause in remaining:
             await inject_fault(world, kind, ids + services)
@@ -76,7 +76,7 @@
             for job_id in ids + services:
                 await world.poll(job_id)
         restore(world)
-        await asyncio.sleep(max(0.0, 41 - falls))
+        await asyncio.sleep(max(0.0, 41 - limits_lowered_after_s))
         states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         # Services that were not cancelled have all their replicas again.
@@ -84,7 +84,7 @@
             if world.rules.reported_states.get(job_id) != "cancelled":
                 await _until_serving(world, job_id)
 
-    day(script, seed=seed, before=before)
+    day(script, seed=world_seed, before=before)
 
 
 async def _submit_jobs(world: World) -> list[str]:
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -72,10 +72,10 @@
             job.cancel()
         self._drop_tasks()
 
-    def restart(self, session: int) -> None:
+    def restart(self, incarnation: int) -> None:
         """Restart the machine at once, without its tasks, as this incarnation."""
         self._drop_tasks()
-        self.incarnation, self.sequence, self.fencing_token = session, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = incarnation, 0, 0
         self.lease_renewed_at = self.loop.now
         self.state_changed.set()
 
@@ -153,7 +153,7 @@
             if self.hung:
                 await asyncio.sleep(0.1)
                 continue
-            sent, session = self.loop.now, self.incarnation
+            sent, incarnation = self.loop.now, self.incarnation
             self.state_changed.clear()
             request = Request("POST", "/agent/beat", {}, cbor2.dumps(self.heartbeat_body()))
             status, body = 0, None
@@ -166,7 +166,7 @@
             if self.hung or not self.alive:
                 continue
             if status == 200 and self.loop.now - sent < 4:
-                self._handle_response(body, sent, session)
+                self._handle_response(body, sent, incarnation)
                 # Heartbeats are at least 0.5 s apart, and sent after about `report_s` at the latest.
                 await asyncio.sleep(0.5)
                 try:
@@ -183,9 +183,9 @@
                 self.node = self.nodes[(self.nodes.index(self.node) + 1) % len(self.nodes)]
                 await asyncio.sleep(1)
 
-    def _handle_response(self, body: Any, sent: float, session: int) -> None:
+    def _handle_response(self, body: Any, sent: float, incarnation: int) -> None:
         fencing_token = body.get("baton")
-        if fencing_token is None or fencing_token < self.fencing_token or session != self.incarnation:
+        if fencing_token is None or fencing_token < self.fencing_token or incarnation != self.incarnation:
             return
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
