--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,22 +1,22 @@
-"""Tests that may fail for a known fault: exactly those that KNOWN-RED.txt lists.
+"""Reads KNOWN-RED.txt, the list of the tests that may fail because of a known fault.
 
-One line each: the test's id, its cause and the issue, with commas between (`tests/test_a.py::test_b,
-loses a lease, issue 7`). At most three. A listed test that passes fails the run, as does a line that
-names no test; `tests/conftest.py` applies this.
+Each line has a test's id, the cause of its failure and the issue, separated by commas (`tests/test_a.py::test_b,
+loses a lease, issue 7`). At most three tests may be listed. The run fails if a listed test passes or does not
+exist; `tests/conftest.py` checks this.
 """
 
 from pathlib import Path
 
 import msgspec
 
-MOST_LISTED = 3
+MAX_LISTED = 3
 
 
-class BadListError(Exception):
-    """The list can't be read, or lists more than it may."""
+class InvalidKnownFailuresError(Exception):
+    """The list is malformed or too long."""
 
 
-class KnownRed(msgspec.Struct, frozen=True):
+class KnownFailure(msgspec.Struct, frozen=True):
     """A test that fails for a known cause."""
 
     test: str
@@ -24,20 +24,20 @@
     issue: str
 
 
-def read(path: Path) -> list[KnownRed]:
-    """Return the listed tests, none without a list."""
+def read_known_failures(path: Path) -> list[KnownFailure]:
+    """Return the listed tests; none if the file does not exist."""
     if not path.exists():
         return []
     listed = [_parse(line) for line in path.read_text().splitlines() if line.strip()]
-    if len(listed) > MOST_LISTED:
-        raise BadListError(f"{path.name}: {len(listed)} tests are listed, at most {MOST_LISTED} may be")
+    if len(listed) > MAX_LISTED:
+        raise InvalidKnownFailuresError(f"{path.name} lists {len(listed)} tests, at most {MAX_LISTED} are allowed")
     return listed
 
 
-def _parse(line: str) -> KnownRed:
+def _parse(line: str) -> KnownFailure:
     test, _, rest = line.partition(",")
     cause, _, issue = rest.rpartition(",")
     fields = [field.strip() for field in (test, cause, issue)]
     if not all(fields):
-        raise BadListError(f"not a test, a cause and an issue: {line!r}")
-    return KnownRed(*fields)
+        raise InvalidKnownFailuresError(f"expected a test, a cause and an issue separated by commas, got {line!r}")
+    return KnownFailure(*fields)
--- a/tests/test_build.py
+++ b/tests/test_build.py
@@ -1,4 +1,4 @@
-"""What `deploy/build` leaves for the start of a controller, in work that a start needn't do."""
+"""Tests that `deploy/build` does the work ahead of time that would slow down the start of a controller."""
 
 import os
 import re
@@ -14,8 +14,8 @@
 ROOT = Path(__file__).resolve().parent.parent
 SOURCE_COMPILED = re.compile(r"^# code object from '?(.*/elmthread/.*\.py)'?$", re.MULTILINE)
 BYTECODE_READ = re.compile(r"^# code object from '?(.*/elmthread/.*\.pyc)'?$", re.MULTILINE)
-# Loads what run.py loads, but does not serve; prints how often garbage was collected meanwhile.
-LOAD = """
+# Loads the modules that run.py loads, without serving; prints the number of garbage collections meanwhile.
+LOAD_CONTROLLER = """
 import gc, sys
 
 def collections():
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """Make a built checkout, in which the libraries count as installed: they are those of this environment."""
+    """Return a built checkout whose libraries are marked as installed: those of this environment are used."""
     for name in ("src", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     for name in ("run.py", "requirements.txt"):
@@ -47,25 +47,25 @@
     return tmp_path
 
 
-def run(checkout: Path, arguments: list[str]) -> subprocess.CompletedProcess[str]:
+def run_python(checkout: Path, arguments: list[str]) -> subprocess.CompletedProcess[str]:
     environment = os.environ | {"PYTHONPATH": sysconfig.get_paths()["purelib"], "PYTHONDONTWRITEBYTECODE": "1"}
     return subprocess.run(
         [sys.executable, *arguments], cwd=checkout, env=environment, capture_output=True, text=True, check=False
     )
 
 
-def test_a_start_compiles_nothing_and_collects_no_garbage(checkout: Path) -> None:
-    done = run(checkout, ["-S", "-v", "-c", LOAD])
-    assert done.returncode == 0, done.stderr[-2000:]
-    assert SOURCE_COMPILED.findall(done.stderr) == []
-    assert len(BYTECODE_READ.findall(done.stderr)) > 30
-    assert int(done.stdout.split()[-1]) == 0
+def test_start_compiles_no_source_and_collects_no_garbage(checkout: Path) -> None:
+    result = run_python(checkout, ["-S", "-v", "-c", LOAD_CONTROLLER])
+    assert result.returncode == 0, result.stderr[-2000:]
+    assert SOURCE_COMPILED.findall(result.stderr) == []
+    assert len(BYTECODE_READ.findall(result.stderr)) > 30
+    assert int(result.stdout.split()[-1]) == 0
 
 
-def test_what_was_built_starts_as_the_deploy_file_says(checkout: Path) -> None:
+def test_built_app_starts_with_the_command_of_the_deploy_file(checkout: Path) -> None:
     program, *arguments = tomllib.loads((checkout / "deploy/service.toml").read_text())["run"].split()
     assert program == "python3"
-    done = run(checkout, [*arguments, "absent.toml"])
-    assert done.returncode == 2
-    assert "absent.toml" in done.stderr
+    result = run_python(checkout, [*arguments, "absent.toml"])
+    assert result.returncode == 2
+    assert "absent.toml" in result.stderr
     assert not list(checkout.glob("target/app/elmthread/**/tests"))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,11 +1,11 @@
-"""What KNOWN-RED.txt excuses, and what it does not."""
+"""Which failures KNOWN-RED.txt permits, and which it does not."""
 
 import shutil
 from pathlib import Path
 
 import pytest
 
-HERE = Path(__file__).parent
+TESTS_FOLDER = Path(__file__).parent
 TESTS = """
 def test_red():
     assert False
@@ -20,50 +20,54 @@
 
 @pytest.fixture(params=[0, 2], ids=["one process", "worker processes"])
 def processes(request: pytest.FixtureRequest) -> int:
-    """Tests run in one process and in several must come to the same verdict."""
+    """Run the tests in one process and in worker processes: both must come to the same result."""
     count: int = request.param
     return count
 
 
-def run(pytester: pytest.Pytester, listed: str | None, processes: int, other: bool = True) -> pytest.RunResult:
-    """Run three tests in this many worker processes; 0: in the one process of pytest itself."""
+def run_pytest(
+    pytester: pytest.Pytester, listed: str | None, processes: int, other_passes: bool = True
+) -> pytest.RunResult:
+    """Run three tests in that many worker processes, or with 0 in the process of pytest itself."""
     folder = pytester.mkpydir("tests")
     for name in ("conftest.py", "known_red.py"):
-        shutil.copy(HERE / name, folder)
-    (folder / "test_some.py").write_text(TESTS.format(other=other))
+        shutil.copy(TESTS_FOLDER / name, folder)
+    (folder / "test_some.py").write_text(TESTS.format(other=other_passes))
     if listed is not None:
         (pytester.path / "KNOWN-RED.txt").write_text(listed)
     pytester.makeini("[pytest]\ntestpaths = tests\npythonpath = .\n")
     return pytester.runpytest_subprocess("-n", str(processes), "--dist", "worksteal")
 
 
-RED = "tests/test_some.py::test_red, fails, and we know why, issue 7\n"
+LISTED_FAILURE = "tests/test_some.py::test_red, fails, and we know why, issue 7\n"
 
 
-def test_an_absent_list_excuses_nothing(pytester: pytest.Pytester, processes: int) -> None:
-    result = run(pytester, None, processes)
+def test_an_absent_list_permits_no_failure(pytester: pytest.Pytester, processes: int) -> None:
+    result = run_pytest(pytester, None, processes)
     assert result.ret == 1
     result.assert_outcomes(passed=2, failed=1)
 
 
 def test_a_listed_test_may_fail_and_is_printed(pytester: pytest.Pytester, processes: int) -> None:
-    result = run(pytester, RED, processes)
+    result = run_pytest(pytester, LISTED_FAILURE, processes)
     assert result.ret == 0
     result.stdout.fnmatch_lines(["known red: tests/test_some.py::test_red: fails, and we know why (issue 7)"])
     result.assert_outcomes(passed=2, xfailed=1)
 
 
 @pytest.mark.parametrize(
-    ("listed", "other"),
+    ("listed", "other_passes"),
     [
         ("", True),
-        (RED, False),
-        (RED + "tests/test_some.py::test_green, does not fail, issue 7\n", True),
-        (RED + "tests/test_some.py::test_absent, there is none, issue 7\n", True),
-        (RED + "tests/test_some.py::test_other_red\n", False),
-        (RED * 4, True),
+        (LISTED_FAILURE, False),
+        (LISTED_FAILURE + "tests/test_some.py::test_green, does not fail, issue 7\n", True),
+        (LISTED_FAILURE + "tests/test_some.py::test_absent, there is none, issue 7\n", True),
+        (LISTED_FAILURE + "tests/test_some.py::test_other_red\n", False),
+        (LISTED_FAILURE * 4, True),
     ],
     ids=["not listed", "another fails", "a listed one passes", "no such test", "no cause", "more than three"],
 )
-def test_nothing_else_is_excused(pytester: pytest.Pytester, listed: str, other: bool, processes: int) -> None:
-    assert run(pytester, listed, processes, other).ret != 0
+def test_any_other_failure_or_entry_fails_the_run(
+    pytester: pytest.Pytester, listed: str, other_passes: bool, processes: int
+) -> None:
+    assert run_pytest(pytester, listed, processes, other_passes).ret != 0
