--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -1,4 +1,4 @@
-"""A link is cut in the middle of a failover, a restart, a pause or a rollout."""
+"""Link cuts during a failover, a restart, a suspension of the leader or a rollout."""
 
 import asyncio
 from unittest import mock
@@ -13,50 +13,50 @@
 from tests.world.settings import NODES
 from tests.world.world import World, start
 
-# A cut in the middle of something
+# Cuts during another change
 
 
-async def kill_named(world: World, history: History) -> None:
-    """Kill the named successor before it stands."""
+async def kill_named_successor(world: World, history: History) -> None:
+    """Kill the named successor before it becomes a candidate."""
     assert world.leader is not None
     succession = world.leader.reachability.succession
     name_successor = succession.name_successor
 
-    def named(node: str, fencing_token: int) -> None:
+    def name_and_kill(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         world.kill(node)
         world.loop.call_later(0.3, start, world, node)
 
-    succession.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = name_and_kill  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
 
-async def cut_named(world: World, history: History) -> None:
-    """Cut the named successor off from the store as it is named."""
+async def cut_named_successor(world: World, history: History) -> None:
+    """Cut the link from the successor to the state service at the moment it is named."""
     assert world.leader is not None
     succession = world.leader.reachability.succession
     name_successor = succession.name_successor
     cuts: list[asyncio.Task[None]] = []
 
-    def named(node: str, fencing_token: int) -> None:
+    def name_and_cut(node: str, fencing_token: int) -> None:
         name_successor(node, fencing_token)
         cuts.append(world.loop.create_task(world.play_faults([cut(node, "store")])))
 
-    succession.name_successor = named  # type: ignore[method-assign]
+    succession.name_successor = name_and_cut  # type: ignore[method-assign]
     await world.play_faults([cut("leader", "workers")])
     await asyncio.gather(*cuts)
     assert cuts and len(history.terms) >= 2
 
 
-async def name_not_heard(world: World, history: History) -> None:
-    """Keep the others from learning who was named."""
+async def lose_successor_announcement(world: World, history: History) -> None:
+    """Keep the other controllers from learning which successor was named."""
     with mock.patch.object(Succession, "observe_successor", lambda self, node, fencing_token: None):
         await world.play_faults([cut("leader", "workers")])
     assert len(history.terms) >= 2
 
 
-async def in_an_election(world: World, history: History) -> None:
+async def cut_during_election(world: World, history: History) -> None:
     assert world.leader is not None
     name = world.leader.node
     world.kill(name)
@@ -66,8 +66,8 @@
     )
 
 
-async def in_a_rolling_restart(world: World, history: History) -> None:
-    """Each node ends and is back at once, with cuts that come and go meanwhile."""
+async def cut_during_rolling_restart(world: World, history: History) -> None:
+    """Restart each node at once, with intermittent link cuts meanwhile."""
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
         await world.play_faults(
@@ -75,24 +75,31 @@
         )
 
 
-async def leader_hangs(world: World, history: History) -> None:
+async def cut_while_leader_is_suspended(world: World, history: History) -> None:
     assert world.leader is not None
-    still = world.loop.create_task(world.suspend(world.leader.node, 8.0))
+    suspension = world.loop.create_task(world.suspend(world.leader.node, 8.0))
     await world.play_faults([cut("leader", "workers"), cut("follower", "store", at=2.0)])
-    await still
+    await suspension
 
 
-MIDDLE: list[Script] = [kill_named, cut_named, name_not_heard, in_an_election, in_a_rolling_restart, leader_hangs]
+SCRIPTS: list[Script] = [
+    kill_named_successor,
+    cut_named_successor,
+    lose_successor_announcement,
+    cut_during_election,
+    cut_during_rolling_restart,
+    cut_while_leader_is_suspended,
+]
 
 
-@pytest.mark.parametrize("script", MIDDLE)
-def test_a_cut_in_the_middle_of_something(script: Script) -> None:
+@pytest.mark.parametrize("script", SCRIPTS)
+def test_cut_during_another_change(script: Script) -> None:
     cut_day(script)
 
 
-def test_the_feature_turns_on_inside_a_cut_and_beside_the_version_before() -> None:
+def test_feature_is_activated_during_a_cut_and_beside_the_previous_version() -> None:
     async def script(world: World, history: History) -> None:
-        # The version before leads, or follows, until its turn comes; each time the leader is cut off.
+        # A node runs the previous version, leading or following, until it is replaced; each time the leader is cut off.
         for node in NODES:
             replace(world, node, SUPPORTED, 0.3)
             await world.play_faults(
--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -1,4 +1,4 @@
-"""Drawn schedules of cuts, and the proof that each missing guard is seen."""
+"""Random schedules of link cuts, and tests that the checks detect a removed guard."""
 
 import json
 from datetime import timedelta
@@ -20,61 +20,79 @@
 from tests.world.settings import NODES
 from tests.world.world import World
 
-# Drawn schedules
+# Random schedules
 
 
-ENDS = [("leader", "store"), ("follower", "store"), ("leader", "peers"), ("follower", "leader")]
-ENDS += [("leader", "workers"), ("follower", "workers"), ("leader", "workers/east"), ("workers/north", "leader")]
+LINKS = [("leader", "store"), ("follower", "store"), ("leader", "peers"), ("follower", "leader")]
+LINKS += [("leader", "workers"), ("follower", "workers"), ("leader", "workers/east"), ("workers/north", "leader")]
 
 
 @settings(HISTORIES, max_examples=12, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), st.integers(2, 3))
-def test_drawn_schedules_break_no_rule(seed: int, count: int) -> None:
-    cut_day(plays(*draw(seed, ENDS, count, 40.0)), seed=seed)
+def test_random_schedules_break_no_rule(seed: int, count: int) -> None:
+    cut_day(plays(*draw(seed, LINKS, count, 40.0)), seed=seed)
 
 
-def test_a_schedule_is_played_again_from_its_file(tmp_path: Path) -> None:
-    faults = draw(7, ENDS, 3, 30.0)
+def test_schedule_read_from_a_file_is_played_identically(tmp_path: Path) -> None:
+    faults = draw(7, LINKS, 3, 30.0)
     path = tmp_path / "schedule.toml"
     tables = ["\n".join(f"{key} = {json.dumps(value)}" for key, value in fault.items()) for fault in faults]
     path.write_text("".join(f"[[faults]]\n{table}\n" for table in tables))
-    again = read_schedule(path)
-    assert again == faults
-    terms = [cut_day(plays(*one), seed=3).terms for one in (faults, again)]
+    faults_read = read_schedule(path)
+    assert faults_read == faults
+    terms = [cut_day(plays(*one), seed=3).terms for one in (faults, faults_read)]
     assert terms[0] == terms[1]
     path.write_text(path.read_text().replace("for_s", "fro_s", 1))
     with pytest.raises(BadScheduleError, match="schedule.toml: faults.0: .*for_s"):
         read_schedule(path)
 
 
-# Each check is seen to fail with a guard taken out
+# The checks fail if a guard of the code is removed
 
 
-def always_sure(self: Election) -> bool:
+def is_not_follower(self: Election) -> bool:
     return self.role is not Role.FOLLOWER
 
 
 @pytest.mark.parametrize("guard", ["sure lease", "holding time", "vacancy ends a rest"])
-def test_the_checks_see_a_guard_that_is_missing(guard: str) -> None:
-    async def no_store(world: World, history: History) -> None:
+def test_checks_detect_a_removed_guard(guard: str) -> None:
+    async def cut_leader_from_store_and_peers(world: World, history: History) -> None:
         await world.play_faults([cut("leader", "store", length=40.0), cut("leader", "peers", length=40.0)])
 
-    async def alone(world: World, history: History) -> None:
+    async def cut_only_controller_from_workers(world: World, history: History) -> None:
         assert world.leader is not None
         others = [node for node in NODES if node != world.leader.node]
         for node in others:
             world.kill(node)
         await world.play_faults([cut("leader", "workers", length=12.0)])
 
-    def whole_rest(self: LeadershipBackoff, vacant_for: timedelta) -> timedelta:
+    def full_backoff(self: LeadershipBackoff, vacant_for: timedelta) -> timedelta:
         return self._until - self._clock()
 
     guards: dict[str, tuple[Any, str, Any, Script, str]] = {
-        "sure lease": (Election, "holds_lease", always_sure, no_store, "without a sure lease"),
-        "holding time": (Election, "may_answer_workers", always_sure, no_store, "past the holding time"),
-        "vacancy ends a rest": (LeadershipBackoff, "candidacy_delay", whole_rest, alone, "no leader hears most"),
+        "sure lease": (
+            Election,
+            "holds_lease",
+            is_not_follower,
+            cut_leader_from_store_and_peers,
+            "without a sure lease",
+        ),
+        "holding time": (
+            Election,
+            "may_answer_workers",
+            is_not_follower,
+            cut_leader_from_store_and_peers,
+            "past the holding time",
+        ),
+        "vacancy ends a rest": (
+            LeadershipBackoff,
+            "candidacy_delay",
+            full_backoff,
+            cut_only_controller_from_workers,
+            "no leader hears most",
+        ),
     }
-    owner, name, without, script, told = guards[guard]
+    owner, name, replacement, script, expected_message = guards[guard]
     cut_day(script)
-    with mock.patch.object(owner, name, without), pytest.raises(AssertionError, match=told):
+    with mock.patch.object(owner, name, replacement), pytest.raises(AssertionError, match=expected_message):
         cut_day(script)
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts of single links between controllers, state service and workers, with views exchanged."""
+"""Cuts of single links between controllers, state service and workers, while controllers exchange link views."""
 
 import asyncio
 
@@ -20,25 +20,25 @@
     "leader and a zone": ("leader", "workers/east"),
     "follower and workers": ("follower", "workers"),
 }
-SINGLE = {name: [cut(*ends)] for name, ends in LINKS.items()}
-SINGLE |= {f"{name}, one way": [cut(*ends, both=False)] for name, ends in LINKS.items()}
-SINGLE |= {f"{name}, the other way": [cut(target, source, both=False)] for name, (source, target) in LINKS.items()}
-SINGLE["the store refuses the leader"] = [cut("leader", "store", kind="refuse")]
-NAMES = sorted(LINKS)
-PAIRS = {
+SINGLE_CUTS = {name: [cut(*ends)] for name, ends in LINKS.items()}
+SINGLE_CUTS |= {f"{name}, one way": [cut(*ends, both=False)] for name, ends in LINKS.items()}
+SINGLE_CUTS |= {f"{name}, the other way": [cut(target, source, both=False)] for name, (source, target) in LINKS.items()}
+SINGLE_CUTS["the store refuses the leader"] = [cut("leader", "store", kind="refuse")]
+LINK_NAMES = sorted(LINKS)
+CUT_PAIRS = {
     f"{one}; {other}": [cut(*LINKS[one]), cut(*LINKS[other], at=3.0)]
-    for number, one in enumerate(NAMES)
-    for other in NAMES[number + 1 :]
+    for number, one in enumerate(LINK_NAMES)
+    for other in LINK_NAMES[number + 1 :]
 }
 
 
-@pytest.mark.parametrize("faults", [*SINGLE.values(), *PAIRS.values()], ids=[*SINGLE, *PAIRS])
+@pytest.mark.parametrize("faults", [*SINGLE_CUTS.values(), *CUT_PAIRS.values()], ids=[*SINGLE_CUTS, *CUT_PAIRS])
 def test_no_cut_of_one_or_two_links_breaks_a_rule(faults: list[Fault]) -> None:
     cut_day(plays(*faults))
 
 
-def test_a_leader_without_workers_names_a_node_that_hears_them_and_it_wins() -> None:
-    """It is seen as soon as the first workers have given the leader up, and no other node is in the way."""
+def test_leader_without_workers_names_a_successor_that_reaches_them_and_is_elected() -> None:
+    """Detect the cut when the first workers give up on the leader, and elect the successor without a rival."""
 
     async def script(world: World, history: History) -> None:
         assert world.leader is not None
@@ -46,14 +46,14 @@
         await world.play_faults([cut("leader", "workers", length=12.0)])
         term = history.terms[-1]
         assert term[1] != name and len(history.terms) == 2
-        # A worker waits for 4 s, turns to the next node 1 s later, and reports each 3.75 s at the longest.
+        # A worker times out after 4 s, turns to the next node 1 s later, and reports at least every 3.75 s.
         assert term[0] - before < 7.0
 
     for seed in range(3):
         cut_day(script, seed=seed)
 
 
-def test_a_leader_of_two_machines_gives_way_too() -> None:
+def test_leader_of_two_machines_steps_down_too() -> None:
     async def script(world: World, history: History) -> None:
         for name in sorted(world.workers)[2:]:
             world.workers[name].terminate()
@@ -67,23 +67,23 @@
 
 
 @pytest.mark.parametrize("on_s, off_s", [(9.0, 4.0), (3.0, 0.1), (6.0, 10.0)])
-def test_cuts_that_heal_and_return_for_ten_minutes_change_leaders_seldom(on_s: float, off_s: float) -> None:
+def test_intermittent_cuts_for_ten_minutes_rarely_change_the_leader(on_s: float, off_s: float) -> None:
     async def script(world: World, history: History) -> None:
-        # There is work throughout, so there are machines to be cut off from.
+        # Jobs are submitted throughout, so that there are machines to be cut off from.
         users = asyncio.ensure_future(submit_and_cancel(world, 30, 20.0, 100))
         await world.play_faults([cut("leader", "workers", length=600.0, on_s=on_s, off_s=off_s)])
-        # Whoever leads is cut off each time. Once the rests have grown, a node gives way but once in each.
+        # Each leader is cut off. Once the backoffs have grown, a node gives up leadership only once per backoff.
         assert world.leader is not None
-        rest = world.leader.reachability.bounds.max_backoff.total_seconds() * (1 - BACKOFF_JITTER)
-        late = [at for at, _, _ in history.terms if at > 300]
-        assert len(late) <= len(NODES) * (300 / rest + 1), late
+        min_backoff_s = world.leader.reachability.bounds.max_backoff.total_seconds() * (1 - BACKOFF_JITTER)
+        late_terms = [at for at, _, _ in history.terms if at > 300]
+        assert len(late_terms) <= len(NODES) * (300 / min_backoff_s + 1), late_terms
         assert set((await world.until_over(await users, 300)).values()) <= {"done", "cancelled"}
 
     cut_day(script)
 
 
-def test_nothing_is_deleted_or_rented_for_the_silence_of_a_zone_in_doubt() -> None:
-    """Most of a zone, though not nearly all, is out of the leader's sight: it may be the leader's own link."""
+def test_no_machine_is_deleted_or_rented_while_the_cause_of_a_zones_silence_is_unclear() -> None:
+    """Silence most but not nearly all machines of a zone: the fault may be in the leader's own link."""
 
     async def script(world: World, history: History) -> None:
         assert world.leader is not None
@@ -97,17 +97,17 @@
         world.cut_worker_links |= {(worker, node) for worker in silent for node in NODES}
         await asyncio.sleep(8)
         before = len([one for one in world.cloud.machines.values() if one.zone == "west"])
-        # Past the lease their tasks run elsewhere; the machines stay, and there are no others.
+        # After the lease their tasks run elsewhere; the machines are kept, and no others are rented.
         await asyncio.sleep(40)
         assert set(silent) <= set(world.cloud.machines)
         assert len([one for one in world.cloud.machines.values() if one.zone == "west"]) <= before
         assert not {machine for machine, _ in world.rules.running} & set(silent)
-        # After 90 s more they are given up: a machine that is dead must not be paid for ever.
+        # After 90 s more they are deleted: a dead machine must not be paid for indefinitely.
         await asyncio.sleep(75)
         assert not set(silent) & set(world.cloud.machines)
         world.cut_worker_links.clear()
         assert set((await world.until_over(["run-000050"], 300)).values()) == {"done"}
-        # Users come back, so there are machines to hear.
+        # New jobs arrive, so that there are machines that report.
         assert await world.submit(job(51, pieces=8, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(20)
         assert set((await world.until_over(["run-000051"], 100)).values()) == {"done"}
@@ -115,29 +115,30 @@
     cut_day(script)
 
 
-def test_two_controllers_that_each_see_another_half_do_not_fight() -> None:
+def test_two_controllers_that_reach_different_halves_do_not_alternate() -> None:
     async def script(world: World, history: History) -> None:
         faults = [cut("leader", "workers/east", length=60.0), cut("follower", "workers/north", length=60.0)]
         await world.play_faults(faults)
-        # The halves are not the same by then; the one that hears clearly more leads from then on.
+        # By then the halves differ in size; the controller that hears from clearly more workers keeps leading.
         assert len(history.terms) <= 2
 
     for seed in range(3):
         cut_day(script, seed=seed)
 
 
-def test_a_ring_of_cuts_in_which_no_node_sees_all() -> None:
+def test_ring_of_cuts_in_which_no_node_reaches_all_others() -> None:
     one, two, three = NODES
     faults = [cut(one, two), cut(two, "workers/east"), cut(two, three, at=2.0), cut(three, "workers/north", at=2.0)]
     cut_day(plays(*faults, cut(three, one, at=4.0), cut(one, "store", at=4.0)))
 
 
-def test_without_peers_the_node_that_workers_reach_leads() -> None:
-    """Seen on a day: two of three lost the workers, nobody could name anybody, and the other of the two won.
+def test_only_node_that_workers_reach_leads_without_peer_links() -> None:
+    """Guard against the election of a node that no worker reaches when no successor can be named.
 
-    The node that is reached is the one to which workers turn first: of another nobody hears anything in time. It
-    leads on though some of them wait for 4 s at each of the others before they come, and it holds the reports that
-    come just before it leads: sent on, their workers would be back after their leases.
+    It was seen in a simulated run: two of three nodes had lost the workers, and the second of them was elected. The
+    reachable node is the one to which workers turn first: another one would not be heard of in time. It keeps leading
+    although some workers wait for 4 s at each of the other nodes before they reach it, and it holds the heartbeats
+    that arrive just before its election: redirected workers would come back after their leases had expired.
     """
     running = kept = 0
 
