--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -1,4 +1,4 @@
-"""Changes of the leader: crashes, lost links and outages lose no job and double none."""
+"""Failover: crashes, lost links and outages neither lose a job nor run it twice."""
 
 import asyncio
 from functools import partial
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("controllers", [1, 7])
-def test_any_number_of_controllers_serves_through_crashes(controllers: int) -> None:
+def test_any_number_of_controllers_recovers_from_crashes(controllers: int) -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=6, true_s=20.0, expected_s=20.0))
         await asyncio.sleep(8)
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("victims", [["leader"], NODES])
-def test_crashed_controllers_lose_no_job_and_double_none(victims: list[str]) -> None:
+def test_controller_crashes_lose_no_job_and_run_none_twice(victims: list[str]) -> None:
     async def script(world: World) -> None:
         for number in range(4):
             assert await world.submit(job(number, true_s=25.0, expected_s=25.0))
@@ -49,20 +49,20 @@
         assert set(states.values()) == {"done"}
 
     world = day(script)
-    # Leases outlast a crash: no task is started twice for it.
+    # Worker leases outlast the failover, so no task is started twice.
     assert max(world.rules.starts.values()) == 1
 
 
-def test_state_outage_keeps_tasks_alive_and_refuses_users_at_once() -> None:
+def test_state_service_outage_keeps_tasks_running_and_rejects_users_at_once() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(8)
         world.store.outage(True)
         await asyncio.sleep(7)
-        asked = world.loop.now
+        sent_at = world.loop.now
         response = await world.ask("POST", "/submissions", job(2))
         assert response.status == 503 and response.retry_after is not None
-        assert world.loop.now - asked < 0.5
+        assert world.loop.now - sent_at < 0.5
         await asyncio.sleep(9)
         world.store.outage(False)
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
@@ -71,7 +71,7 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_leader_refused_by_the_state_service_alone_gives_way() -> None:
+def test_leader_steps_down_if_the_state_service_refuses_only_it() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
@@ -86,8 +86,8 @@
     day(script)
 
 
-def test_leader_cut_off_with_its_workers_is_waited_out() -> None:
-    """The old leader may answer on; what its machines hold is not started elsewhere meanwhile."""
+def test_new_leader_waits_for_workers_that_only_the_old_leader_reaches() -> None:
+    """Start no task elsewhere while a worker that only the old leader reaches may still run it."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=12, true_s=40.0, expected_s=40.0))
@@ -109,8 +109,8 @@
     day(script)
 
 
-def test_answers_begun_under_an_old_token_are_not_finished_under_a_new_one() -> None:
-    """A node that loses and wins leadership within one answer once broke a team's limit so."""
+def test_responses_begun_under_an_old_token_are_not_completed_under_a_new_one() -> None:
+    """Guard against a team limit exceeded by a node that lost and regained leadership during one request."""
 
     async def script(world: World) -> None:
         ids = []
@@ -128,14 +128,14 @@
         day(script, seed=number, machines=6)
 
 
-def test_cancelled_tasks_out_of_reach_count_for_the_limit_under_a_new_leader() -> None:
-    """The record of a cancelled job once lost its team and size, and with them its tasks' cores."""
+def test_new_leader_counts_unreachable_cancelled_tasks_towards_the_limit() -> None:
+    """Guard against a record of a cancelled job without team and size, which hid its tasks' cores from the limit."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, crew="red", pieces=12, true_s=100.0, expected_s=100.0))
         await asyncio.sleep(8)
         assert len(world.rules.running) == 12
-        # The workers hear nothing more, so what they run goes on until their leases end.
+        # The workers receive nothing more, so their tasks run until their leases expire.
         world.cut_worker_links |= {(worker, node) for worker in world.workers for node in NODES}
         assert await world.withdraw("run-000001") == "cancelled"
         old = world.leader
@@ -149,31 +149,31 @@
     day(script)
 
 
-def test_readiness_tells_a_node_cut_off_from_a_vacancy() -> None:
+def test_readiness_distinguishes_an_isolated_node_from_a_missing_leader() -> None:
     async def script(world: World) -> None:
         await asyncio.sleep(5)
         assert world.leader is not None
         name = world.leader.node
-        cut = next(node for node in NODES if node != name)
+        isolated = next(node for node in NODES if node != name)
 
         async def ready(node: str) -> bool:
             return (await world.ask("GET", "/ready", node=node)).status == 200
 
         assert all([await ready(node) for node in NODES])
         reach = world.reach
-        world.reach = lambda one, other: cut not in (one, other) and reach(one, other)  # type: ignore[method-assign]
-        world.ports[cut].store.faults.cut = True
-        # The user asks again, here while it may be over at once, and then on a connection to another node.
-        response = await world.ask("GET", "/submissions/run-000001", node=cut)
+        world.reach = lambda one, other: isolated not in (one, other) and reach(one, other)  # type: ignore[method-assign]
+        world.ports[isolated].store.faults.cut = True
+        # The user retries: on the same connection while the fault may be brief, later on one to another node.
+        response = await world.ask("GET", "/submissions/run-000001", node=isolated)
         assert (response.status, response.close) == (503, False)
         await asyncio.sleep(6)
-        assert not await ready(cut) and await ready(name)
-        response = await world.ask("GET", "/submissions/run-000001", node=cut)
+        assert not await ready(isolated) and await ready(name)
+        response = await world.ask("GET", "/submissions/run-000001", node=isolated)
         assert (response.status, response.close) == (503, True)
         world.reach = reach  # type: ignore[method-assign]
-        world.ports[cut].store.faults.cut = False
+        world.ports[isolated].store.faults.cut = False
         await asyncio.sleep(3)
-        assert await ready(cut)
+        assert await ready(isolated)
         world.store.outage(True)
         await asyncio.sleep(30)
         assert all([await ready(node) for node in NODES])
@@ -181,12 +181,12 @@
     day(script)
 
 
-def test_users_come_through_the_load_balancer_during_a_rolling_restart() -> None:
+def test_load_balancer_forwards_users_during_a_rolling_restart() -> None:
     async def script(world: World) -> None:
         balancer = Balancer(world)
         await asyncio.sleep(6)
         assert balancer.healthy == set(NODES)
-        answered = missed = 0
+        answered = failed = 0
         for index, node in enumerate(NODES):
             world.kill(node)
             world.loop.call_later(4, partial(start, world, node))
@@ -195,13 +195,13 @@
                 world.rules.submitted(spec)
                 response = await balancer.ask("POST", "/submissions", spec)
                 if response is None or response.status not in (200, 201):
-                    missed += 1
+                    failed += 1
                     assert response is None or response.retry_after is not None
                 else:
                     answered += 1
                 await asyncio.sleep(1)
-        # Without a leader for some 5 s at the most each time, and never without a node.
-        assert answered > 25 and missed < 20
+        # Each restart leaves at most about 5 s without a leader, and there is always a healthy node.
+        assert answered > 25 and failed < 20
         await asyncio.sleep(10)
         assert len(balancer.healthy) >= 2
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -1,8 +1,8 @@
-"""The gap: an earlier leader that can't know of a cancellation, and a store that nobody reaches.
+"""Cancellations that a former leader can't learn of, followed by an outage of the state service.
 
-The state service refuses the leader alone, another controller wins and confirms cancellations,
-then the service is down for all, for longer than `cancel_s`, while workers still report to the
-earlier leader. Those tasks must be gone within `cancel_s` of the confirmation all the same.
+The state service refuses only the leader, another controller is elected and confirms cancellations, then the service
+is down for all controllers, for longer than `cancel_s`, while workers still report to the former leader. The
+cancelled tasks must nevertheless be gone within `cancel_s` of the confirmation.
 """
 
 import asyncio
@@ -19,140 +19,143 @@
 from tests.world.specs import job
 from tests.world.world import World, start
 
-PIECES = 3
+TASKS_PER_JOB = 3
 
 
-async def watch(world: World, seen: Counter[str]) -> None:
-    """Judges presence all the time, and notes how often the gap was really there."""
+async def check_cancellations(world: World, observed: Counter[str]) -> None:
+    """Check the cancelled tasks continuously, and count how often the tested situation occurred."""
     while True:
         await asyncio.sleep(0.2)
         world.rules.check_cancelled()
-        held = [one for one in world.controllers.values() if one.election.role is Role.LEASE_UNCERTAIN]
-        seen["two hold"] += len(held) > 1
+        uncertain_leaders = [one for one in world.controllers.values() if one.election.role is Role.LEASE_UNCERTAIN]
+        observed["two hold"] += len(uncertain_leaders) > 1
         for job_id in world.rules.cancelled_at:
             if any(task.startswith(job_id) for _, task in world.rules.running):
-                seen["present after"] += 1
-                seen["present, held by an earlier leader"] += len(held) > 0
+                observed["present after"] += 1
+                observed["present, held by an earlier leader"] += len(uncertain_leaders) > 0
 
 
-async def gap(world: World, ids: list[str]) -> None:
-    """One round: refused alone, cancelled through another, down for all."""
+async def refuse_leader_then_all(world: World, ids: list[str]) -> None:
+    """Refuse only the leader, cancel jobs through another controller, then take the state service down for all."""
     rng = world.rng
     old = world.leader
     assert old is not None
     name = old.node
-    peers_too = rng.random() < 0.7
+    isolate_from_peers = rng.random() < 0.7
     world.ports[name].store.faults.refused = True
-    if peers_too:
+    if isolate_from_peers:
         world.isolated_nodes.add(name)
-    refused_for = rng.choice([rng.uniform(2, 20), 90.0])
+    refused_for_s = rng.choice([rng.uniform(2, 20), 90.0])
 
-    def heal() -> None:
+    def end_refusal() -> None:
         world.isolated_nodes.discard(name)
         world.ports[name].store.faults.refused = False
 
-    def cut_again() -> None:
-        """Refuse the node's new process for as long as the node is refused."""
+    def refuse_again() -> None:
+        """Refuse the node's restarted process, too, until the refusal ends."""
         if world.loop.now < refused_until and name in world.controllers:
             world.ports[name].store.faults.refused = True
 
-    refused_until = world.loop.now + refused_for
-    world.loop.call_later(refused_for, heal)
+    refused_until = world.loop.now + refused_for_s
+    world.loop.call_later(refused_for_s, end_refusal)
     calls = [
-        world.loop.create_task(delayed(rng.uniform(0.0, 6.0), partial(world.withdraw, job_id, 50.0))) for job_id in ids
+        world.loop.create_task(call_after(rng.uniform(0.0, 6.0), partial(world.withdraw, job_id, 50.0)))
+        for job_id in ids
     ]
     await asyncio.sleep(rng.uniform(0.5, 6.0))
     world.store.outage(True)
     end = world.loop.now + world.cancel + rng.uniform(1, 15)
     if rng.random() < 0.3:
         world.loop.create_task(world.suspend(name, rng.uniform(0.5, 6.0)))
-    crash = rng.choice([rng.uniform(0, 30), None])
+    crash_after_s = rng.choice([rng.uniform(0, 30), None])
     while world.loop.now < end:
         await asyncio.sleep(rng.uniform(1, 8))
-        if crash is not None and world.loop.now > end - world.cancel + crash:
-            crash = None
-            restart_any(world)
-            world.loop.call_later(1.0, cut_again)
+        if crash_after_s is not None and world.loop.now > end - world.cancel + crash_after_s:
+            crash_after_s = None
+            restart_random_controller(world)
+            world.loop.call_later(1.0, refuse_again)
         if rng.random() < 0.2 and world.workers:
-            hang_any(world)
+            hang_random_worker(world)
     world.store.outage(False)
     for call in calls:
         call.cancel()
 
 
-def restart_any(world: World) -> None:
-    """Kill a process, the holding one or any other, and start it again at once."""
+def restart_random_controller(world: World) -> None:
+    """Kill a random controller, maybe the former leader in its grace period, and restart it within a second."""
     victim = world.rng.choice(list(world.controllers))
     world.kill(victim)
     world.loop.call_later(world.rng.uniform(0.05, 0.9), partial(start, world, victim))
 
 
-def hang_any(world: World) -> None:
+def hang_random_worker(world: World) -> None:
     worker = world.rng.choice(list(world.workers.values()))
     worker.hung = True
     world.loop.call_later(world.rng.uniform(1, 20), setattr, worker, "hung", False)
 
 
-async def delayed(pause: float, begin: Callable[[], Awaitable[object]]) -> None:
-    await asyncio.sleep(pause)
-    await begin()
+async def call_after(delay_s: float, action: Callable[[], Awaitable[object]]) -> None:
+    await asyncio.sleep(delay_s)
+    await action()
 
 
 @pytest.mark.parametrize(("controllers", "seeds"), [(3, range(8)), (5, range(8, 14)), (7, range(14, 18))])
-def test_cancelled_tasks_are_gone_in_time_whoever_confirmed_and_whoever_holds(controllers: int, seeds: range) -> None:
-    seen: Counter[str] = Counter()
+def test_cancelled_tasks_end_in_time_whichever_leader_confirmed_and_whichever_answers(
+    controllers: int, seeds: range
+) -> None:
+    observed: Counter[str] = Counter()
 
     async def script(world: World) -> None:
-        watcher = world.loop.create_task(watch(world, seen))
+        checker = world.loop.create_task(check_cancellations(world, observed))
         ids = []
         for number in range(16):
-            spec = job(number, pieces=PIECES, true_s=150.0, expected_s=150.0)
+            spec = job(number, pieces=TASKS_PER_JOB, true_s=150.0, expected_s=150.0)
             assert await world.submit(spec)
             ids.append(spec["name_id"])
         await asyncio.sleep(10)
-        for round_ in range(2):
-            await gap(world, ids[round_ * 6 : round_ * 6 + 6])
+        for round_number in range(2):
+            await refuse_leader_then_all(world, ids[round_number * 6 : round_number * 6 + 6])
             await asyncio.sleep(world.rng.uniform(2, 20))
         restore(world)
         states = await world.until_over(ids, 400)
         assert set(states.values()) <= {"done", "cancelled"}, states
-        watcher.cancel()
+        checker.cancel()
 
     for seed in seeds:
         day(script, seed=seed, controllers=controllers, each=1, machines=6)
-    # The meeting was there: confirmed, on machines still, and an earlier leader answering them.
-    assert seen["present, held by an earlier leader"] > 0, seen
+    # The situation occurred: confirmed cancellations, tasks still on machines, and a former leader answering them.
+    assert observed["present, held by an earlier leader"] > 0, observed
 
 
 @pytest.mark.parametrize("cancel", [6.0, 13.0, 17.0])
-def test_a_cancellation_that_could_not_be_kept_is_not_confirmed_yet(cancel: float) -> None:
-    """Where `cancel_s` leaves no time to hold on, or is shorter than a lease, the confirmation waits."""
+def test_cancellation_is_not_confirmed_before_it_can_be_guaranteed(cancel: float) -> None:
+    """Delay the confirmation if `cancel_s` leaves no time for a grace period, or is shorter than a worker's lease."""
 
     async def script(world: World) -> None:
-        seen: Counter[str] = Counter()
-        watcher = world.loop.create_task(watch(world, seen))
+        observed: Counter[str] = Counter()
+        checker = world.loop.create_task(check_cancellations(world, observed))
         assert await world.submit(job(1, pieces=20, true_s=60.0, expected_s=60.0))
         assert await world.submit(job(2, pieces=2, true_s=200.0, expected_s=200.0))
         await asyncio.sleep(10)
-        # No machine can be asked: until their leases have surely run out, nobody may say `cancelled`.
+        # No worker can be reached: until their leases have certainly expired, no controller may report `cancelled`.
         for worker in list(world.workers):
             world.cut_worker_links |= {(worker, node) for node in world.nodes}
         await asyncio.sleep(0.5)
-        began = world.loop.now
+        requested_at = world.loop.now
         answer = await world.ask("POST", "/submissions/run-000001/withdraw")
         world.rules.asked_to_cancel.add("run-000001")
         if cancel < 12.0:
             assert answer.status == 503 and answer.retry_after is not None
-            assert world.loop.now - began < 1
-            # Nor does any node say it otherwise.
+            assert world.loop.now - requested_at < 1
+            # Nor does any controller report it in response to a query.
             for node in world.nodes:
                 assert (await world.ask("GET", "/submissions/run-000001", node=node)).status == 503
         assert await world.withdraw("run-000001", 40.0) == "cancelled"
-        assert world.loop.now - began < 20
+        assert world.loop.now - requested_at < 20
         await asyncio.sleep(5)
         world.cut_worker_links.clear()
         await asyncio.sleep(40)
-        # A leader is refused alone, with its workers: it does not hold on, or not for longer than it may.
+        # Only the leader is refused, and its workers reach it: it has no grace period, or ends it in time.
         name = world.leader.node if world.leader is not None else ""
         world.ports[name].store.faults.refused = True
         world.isolated_nodes.add(name)
@@ -161,25 +164,25 @@
         await asyncio.sleep(30)
         restore(world)
         await asyncio.sleep(5)
-        watcher.cancel()
+        checker.cancel()
 
     for seed in range(3):
         day(script, seed=seed, cancel=cancel)
 
 
-def test_each_answer_stops_what_is_cancelled_even_a_new_leaders_first() -> None:
-    """Leaders that change faster than reports come would else only renew leases, each with its token."""
+def test_every_response_stops_cancelled_tasks_even_the_first_of_a_new_leader() -> None:
+    """Guard against leaders that change faster than workers report and would only renew leases, each with its token."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=6, true_s=200.0, expected_s=200.0))
         assert await world.submit(job(2, pieces=2, true_s=200.0, expected_s=200.0))
         await asyncio.sleep(8)
         assert await world.withdraw("run-000001") == "cancelled"
-        listed = {name: [task for on, task in world.rules.running if on == name] for name in world.workers}
+        tasks_by_worker = {name: [task for on, task in world.rules.running if on == name] for name in world.workers}
         body = next(
             worker.heartbeat_body()
             for worker in world.workers.values()
-            if any("000001" in task for task in listed[worker.name])
+            if any("000001" in task for task in tasks_by_worker[worker.name])
         )
         old = world.leader
         assert old is not None
@@ -190,21 +193,21 @@
         machine.last_heartbeat_id = NO_HEARTBEAT
         answer = await world.report(body, world.leader.node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
-        told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
+        commands = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
         running = [one for one in body["pieces"] if one["piece"].startswith("run-000001") and one["status"] != "exited"]
-        # Exactly what is cancelled is stopped; what runs on is left alone, as the report may be an old copy.
-        assert running and told == {("halt", one["piece"], one["try"]) for one in running}
+        # Only the cancelled tasks are stopped; the others are left alone, as the heartbeat may be an old duplicate.
+        assert running and commands == {("halt", one["piece"], one["try"]) for one in running}
         world.start(old.node)
 
     day(script, machines=2, each=0)
 
 
-# An outage in which all nodes confirm that they have not won
+# Outages in which all nodes confirm that they have not been elected
 
 
-@pytest.mark.parametrize("all_there", [True, False])
-def test_an_outage_costs_no_work_while_all_nodes_confirm(all_there: bool) -> None:
-    """The store is down for two minutes; a node that can't be asked bounds the time of holding."""
+@pytest.mark.parametrize("all_nodes_up", [True, False])
+def test_outage_stops_no_task_while_all_nodes_confirm(all_nodes_up: bool) -> None:
+    """Keep all tasks in an outage of two minutes; an unreachable node limits this to the grace period."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=20, true_s=200.0, expected_s=200.0))
@@ -215,30 +218,30 @@
         assert leader is not None
         world.store.outage(True)
         await asyncio.sleep(10)
-        if not all_there:
+        if not all_nodes_up:
             world.kill(next(node for node in world.nodes if node != leader.node))
         await asyncio.sleep(110)
-        if all_there:
+        if all_nodes_up:
             assert sorted(world.rules.running) == before and leader.election.role is Role.LEASE_UNCERTAIN
         else:
             assert not world.rules.running and leader.election.role is Role.FOLLOWER
         restore(world)
         await asyncio.sleep(3)
-        if all_there:
-            # The same term goes on: nobody has won meanwhile, and nothing had to be loaded anew.
+        if all_nodes_up:
+            # The same term continues: no other node was elected meanwhile, and no state had to be loaded again.
             assert world.leader is leader
         assert await world.until_over(["run-000001"], 400) == {"run-000001": "done"}
 
     world = day(script, machines=4)
-    assert max(world.rules.starts.values()) == (1 if all_there else 2)
+    assert max(world.rules.starts.values()) == (1 if all_nodes_up else 2)
 
 
-def test_a_process_that_knows_a_term_by_hearsay_confirms_nothing() -> None:
-    """The process before it has won and confirmed a cancellation, of which it knows nothing."""
+def test_restarted_process_that_only_observed_a_term_confirms_nothing() -> None:
+    """Restart a node whose previous process was elected and confirmed a cancellation: the new one knows of neither."""
 
     async def script(world: World) -> None:
-        seen: Counter[str] = Counter()
-        watcher = world.loop.create_task(watch(world, seen))
+        observed: Counter[str] = Counter()
+        checker = world.loop.create_task(check_cancellations(world, observed))
         assert await world.submit(job(1, pieces=10, true_s=300.0, expected_s=300.0))
         await asyncio.sleep(10)
         old = world.leader
@@ -256,10 +259,10 @@
         await asyncio.sleep(3)
         assert world.controllers[other].election.highest_seen_token == old.election.fencing_token
         await asyncio.sleep(60)
-        assert seen["present, held by an earlier leader"] > 20 and not world.rules.running
+        assert observed["present, held by an earlier leader"] > 20 and not world.rules.running
         restore(world)
         await asyncio.sleep(10)
-        watcher.cancel()
+        checker.cancel()
 
     for seed in range(4):
         day(script, seed=seed, controllers=2)
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -1,4 +1,4 @@
-"""What a new leader and a former one may do: nothing is decided, answered or requested twice."""
+"""Changes of the leader: the former and the new one decide, answer and request nothing twice."""
 
 import asyncio
 from functools import partial
@@ -13,31 +13,31 @@
 from tests.world.world import World, start
 
 
-def test_controllers_back_at_once_elect_a_leader_in_seconds() -> None:
+def test_controllers_that_restart_at_once_elect_a_leader_in_seconds() -> None:
     async def script(world: World) -> None:
         ids = []
         for number in range(5):
             assert await world.submit(job(number, pieces=12, true_s=9.0, expected_s=9.0))
             ids.append(f"run-{number:06d}")
-        for turn in range(12):
-            # Two processes of one node never count as one: what the first had sent still arrives.
-            for node in list(world.nodes) if turn % 2 else [world.rng.choice(world.nodes)]:
+        for round_number in range(12):
+            # Messages of a killed process still arrive, and must not pass for messages of the next process of its node.
+            for node in list(world.nodes) if round_number % 2 else [world.rng.choice(world.nodes)]:
                 if node in world.controllers:
                     world.kill(node)
                     world.loop.call_later(world.rng.uniform(0.02, 0.4), partial(start, world, node))
             await asyncio.sleep(world.rng.choice([0.1, 0.5, 3.0]))
-        asked = world.loop.now
+        waiting_since = world.loop.now
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
-        assert world.loop.now - asked < 3
+        assert world.loop.now - waiting_since < 3
         assert set((await world.until_over(ids, 200)).values()) == {"done"}
 
     for seed in range(6):
         day(script, seed=seed)
 
 
-def test_changes_carried_out_a_second_time_change_nothing() -> None:
-    """Transactions, grants given back or extended, rentals, deletions: all come again later."""
+def test_duplicated_requests_to_services_have_no_further_effect() -> None:
+    """Repeat transactions, renewals and releases of leases, and requests and deletions of machines at a later time."""
 
     async def script(world: World) -> None:
         for node in world.nodes:
@@ -62,8 +62,8 @@
         day(script, seed=seed)
 
 
-def test_new_leader_rents_nothing_for_work_that_its_machines_will_take() -> None:
-    """Seen in an incident: before the workers had reported to it, a new leader rented for all that waited."""
+def test_new_leader_rents_nothing_for_tasks_that_existing_machines_will_run() -> None:
+    """Guard against a new leader that rents machines for all waiting tasks before workers report, as in an incident."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=150, true_s=10.0, expected_s=10.0))
@@ -72,22 +72,22 @@
             assert await world.submit(job(number, pieces=20, true_s=10.0, expected_s=10.0))
         await asyncio.sleep(8)
         assert world.leader is not None
-        rented = dict(world.cloud.requests)
+        requests_before = dict(world.cloud.requests)
         world.kill(world.leader.node)
         await asyncio.sleep(8)
-        assert world.leader is not None and world.cloud.requests == rented
+        assert world.leader is not None and world.cloud.requests == requests_before
         ids = [f"run-{number:06d}" for number in range(1, 5)]
         assert set((await world.until_over(ids, 200)).values()) == {"done"}
 
     day(script, machines=8, each=20)
 
 
-# A controller stands still, its clocks run on
+# A controller is suspended while its clocks run on
 
 
-@pytest.mark.parametrize("still", [1.0, 2.6, 3.3, 4.4, 12.0, 28.0])
-def test_leader_that_stood_still_says_and_does_nothing_of_what_it_had_decided(still: float) -> None:
-    """In the middle of answers, records, rentals and forwarded questions, with all that goes on."""
+@pytest.mark.parametrize("suspended_s", [1.0, 2.6, 3.3, 4.4, 12.0, 28.0])
+def test_suspended_leader_carries_out_no_outdated_decision(suspended_s: float) -> None:
+    """Suspend the leader amid responses, store writes, machine requests and forwarded requests, under load."""
 
     async def script(world: World) -> None:
         ids = []
@@ -98,54 +98,54 @@
         old = world.leader
         assert old is not None
         name = old.node
-        asking = [asyncio.create_task(world.poll(job_id, node)) for job_id in ids for node in world.nodes]
-        withdrawn = asyncio.create_task(world.withdraw(ids[0]))
+        polls = [asyncio.create_task(world.poll(job_id, node)) for job_id in ids for node in world.nodes]
+        cancellation = asyncio.create_task(world.withdraw(ids[0]))
         await asyncio.sleep(world.rng.uniform(0.0, 0.1))
-        stood = world.loop.now
-        await world.suspend(name, still)
-        if still > 4:
+        suspended_at = world.loop.now
+        await world.suspend(name, suspended_s)
+        if suspended_s > 4:
             assert world.leader is not None and world.leader is not old
-        await asyncio.gather(*asking)
+        await asyncio.gather(*polls)
         await asyncio.sleep(2)
-        if still > 4:
-            # It has noticed, and a newer leadership is all that anybody hears of.
+        if suspended_s > 4:
+            # The former leader has noticed, and every controller knows only the newer term.
             tokens = {controller.election.highest_seen_token for controller in world.controllers.values()}
             assert len(tokens) == 1 and old.leader is None
-        # The withdrawal may have come after the job's end; either answer stays.
-        end = await withdrawn
+        # The cancellation may have come after the job's end; either way, the reported state must not change.
+        final_state = await cancellation
         states = await world.until_over(ids, 300)
-        assert states.pop(ids[0]) == end in ("cancelled", "done") and set(states.values()) == {"done"}
-        assert world.loop.now - stood < 200
+        assert states.pop(ids[0]) == final_state in ("cancelled", "done") and set(states.values()) == {"done"}
+        assert world.loop.now - suspended_at < 200
 
     for seed in range(4):
         day(script, seed=seed)
 
 
-# Frames of another leadership
+# Messages of another term
 
 
-def test_questions_and_answers_of_another_leadership_are_dropped() -> None:
+def test_forwarded_requests_and_responses_of_another_term_are_rejected() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, true_s=30.0, expected_s=30.0))
         assert world.leader is not None
         leader = world.leader
-        asked = ForwardedRequest(1, "status", "run-000001", leader.election.fencing_token)
-        assert (await leader.api.handle_peer_request(asked)).status == 200
-        for fencing_token in (asked.fencing_token - 1, asked.fencing_token + 1, 0):
+        forwarded = ForwardedRequest(1, "status", "run-000001", leader.election.fencing_token)
+        assert (await leader.api.handle_peer_request(forwarded)).status == 200
+        for fencing_token in (forwarded.fencing_token - 1, forwarded.fencing_token + 1, 0):
             reply = await leader.api.handle_peer_request(ForwardedRequest(1, "status", "run-000001", fencing_token))
             assert reply.status == 503 and reply.retry_after_s
-        # A follower that has heard of a newer leadership passes on nothing of the older one.
-        other = next(one for one in world.controllers.values() if one is not leader)
-        name = other.node
+        # A follower that has observed a newer term returns no response of the older one.
+        follower = next(one for one in world.controllers.values() if one is not leader)
+        name = follower.node
         assert (await world.ask("GET", "/submissions/run-000001", node=name)).status == 200
-        ask = other.peers.request
+        send_request = follower.peers.request
 
-        async def overtaken(*args: Any) -> Any:
-            reply = await ask(*args)
-            other.election.observe_term(asked.fencing_token + 5, leader.node)
+        async def request_overtaken_by_a_newer_term(*args: Any) -> Any:
+            reply = await send_request(*args)
+            follower.election.observe_term(forwarded.fencing_token + 5, leader.node)
             return reply
 
-        other.peers.request = overtaken  # type: ignore[method-assign,assignment]
+        follower.peers.request = request_overtaken_by_a_newer_term  # type: ignore[method-assign,assignment]
         assert (await world.ask("GET", "/submissions/run-000001", node=name)).status == 503
 
     day(script)
