--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -1,7 +1,7 @@
-"""Four thousand machines in the simulated world: nothing fixed in the code ends the growth below that.
+"""Tests with 4,000 simulated machines: no constant in the code limits a cluster to fewer.
 
-Work is counted, not timed. The state service keeps the rates of the settings throughout. Sockets and
-processor share come from the settings and are not part of this world (docs/operations.md, "4,000 machines").
+The tests count work instead of time. The state service enforces the request rates of the settings throughout. Limits
+of sockets and CPU come from the settings and are not simulated (docs/operations.md, "4,000 machines").
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 MACHINES = 4000
 JOBS = 40
 TASKS = 120
-# Steps of placement for each start, as most tasks of a job go along with the first; one by one it were thousands.
-FITS_PER_START = 1
-# The world's rate of changes, its burst, and the requests of other nodes.
-CHANGES_PER_SECOND = 60
+# Placement steps per started task: most tasks of a job are placed with its first. One by one it would be thousands.
+MAX_PLACEMENT_STEPS_PER_START = 1
+# The write rate of the simulated settings, its burst, and the requests of the other nodes.
+MAX_CHANGES_PER_SECOND = 60
 
 
 async def submit_jobs(world: World) -> list[str]:
@@ -38,7 +38,7 @@
     return ids
 
 
-def test_four_thousand_machines_through_an_election_a_load_and_a_reporting_storm(
+def test_four_thousand_machines_through_an_election_under_load_and_simultaneous_heartbeats(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     calls: Counter[str] = Counter()
@@ -54,48 +54,48 @@
         ids = await submit_jobs(world)
         await asyncio.sleep(12)
         assert len(world.rules.running) > 0.9 * JOBS * TASKS
-        # Every machine is known to the leader, which ends; all report to the next one at once.
+        # The leader knows nearly every machine and is killed; all workers report to the next leader at once.
         old = world.leader
         assert old is not None and old.leader is not None
         assert len(old.leader.cluster.machines) >= 0.9 * MACHINES
         world.kill(old.node)
-        ended = world.loop.now
+        killed_at = world.loop.now
         for worker in world.workers.values():
             worker.state_changed.set()
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
-            assert world.loop.now - ended < 8
+            assert world.loop.now - killed_at < 8
             await asyncio.sleep(0.1)
         await asyncio.sleep(6)
         known = world.leader.leader.cluster.machines.values()
-        heard = sum(machine.last_heartbeat_at is not None for machine in known)
-        assert heard >= 0.95 * len(world.workers)
+        reported = sum(machine.last_heartbeat_at is not None for machine in known)
+        assert reported >= 0.95 * len(world.workers)
         for job_id in ids:
             assert await world.poll(job_id) is not None
         assert set((await world.until_over(ids, 150)).values()) == {"done"}
 
     world = day(script, machines=0, each=MACHINES)
     starts = sum(world.rules.starts.values())
-    # Leases outlast the election: next to no task is started again for it.
+    # Worker leases outlast the election, so hardly any task is started again.
     assert starts < 1.02 * len(world.rules.starts)
-    assert calls["fitting_tasks"] < FITS_PER_START * starts, calls["fitting_tasks"] / starts
-    assert max(changes.values()) <= CHANGES_PER_SECOND
+    assert calls["fitting_tasks"] < MAX_PLACEMENT_STEPS_PER_START * starts, calls["fitting_tasks"] / starts
+    assert max(changes.values()) <= MAX_CHANGES_PER_SECOND
     assert calls["handle"] > MACHINES
 
 
-def test_as_many_connections_may_wait_to_be_taken_as_may_be_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With a fixed backlog of 512, a fleet that came back at once waited for the kernel's repeats."""
-    asked: list[int] = []
+def test_listen_backlog_equals_the_connection_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guard against a fixed backlog of 512: workers reconnecting at once had to wait for TCP retries of the kernel."""
+    backlogs: list[int] = []
 
-    async def listening(*arguments: Any, backlog: int, **named: Any) -> Any:
-        asked.append(backlog)
+    async def start_server_stub(*arguments: Any, backlog: int, **options: Any) -> Any:
+        backlogs.append(backlog)
         raise OSError("not opened in this test")
 
-    monkeypatch.setattr(asyncio, "start_server", listening)
+    monkeypatch.setattr(asyncio, "start_server", start_server_stub)
 
     async def handle(request: Any) -> Any:
-        raise AssertionError("no request comes")
+        raise AssertionError("unexpected request")
 
-    for most in (40, 5000):
+    for max_connections in (40, 5000):
         with pytest.raises(OSError, match="not opened"):
-            asyncio.run(HttpServer(handle, most).start("127.0.0.1", 0))
-    assert asked == [40, 5000]
+            asyncio.run(HttpServer(handle, max_connections).start("127.0.0.1", 0))
+    assert backlogs == [40, 5000]
--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -1,4 +1,4 @@
-"""Generated histories of troubles, judged by the plain model of the rules in tests/world/rules.py."""
+"""Generated sequences of faults, checked against the model of the rules in tests/world/rules.py."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
     st.integers(0, 10_000),
     st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
 )
-def test_rules_hold_whatever_fails(number: int, troubles: list[tuple[str, float]]) -> None:
+def test_rules_hold_under_random_faults(seed: int, faults: list[tuple[str, float]]) -> None:
     async def script(world: World) -> None:
         ids = []
         for index in range(8):
@@ -36,7 +36,7 @@
             )
             if await world.submit(spec):
                 ids.append(spec["name_id"])
-        for kind, pause in troubles:
+        for kind, pause in faults:
             await befall(world, kind, ids)
             await asyncio.sleep(pause)
             for job_id in ids:
@@ -45,4 +45,4 @@
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
-    day(script, seed=number)
+    day(script, seed=seed)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that go unanswered, come late, come twice or cannot be read."""
+"""Heartbeats whose responses are lost, and late, duplicated or malformed heartbeats."""
 
 import asyncio
 from functools import partial
@@ -12,45 +12,45 @@
 from tests.world.world import World
 
 
-def machine(world: World, name: str) -> Machine | None:
+def find_machine(world: World, name: str) -> Machine | None:
     assert world.leader is not None and world.leader.leader is not None
     return world.leader.leader.cluster.machines.get(name)
 
 
-def busiest(world: World) -> str:
+def busiest_machine(world: World) -> str:
     names = [name for name, _ in world.rules.running]
     return max(set(names), key=names.count)
 
 
-# A machine's reports arrive, answers and commands don't
+# A machine's heartbeats arrive, but responses and commands don't
 
 
-@pytest.mark.parametrize("heals", [False, True])
-def test_deaf_machine_gets_nothing_new_until_answers_are_seen_to_arrive(heals: bool) -> None:
+@pytest.mark.parametrize("recovers", [False, True])
+def test_machine_without_responses_gets_no_task_until_responses_are_known_to_arrive(recovers: bool) -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=90, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(8)
-        name = busiest(world)
-        lost = {task for on, task in world.rules.running if on == name}
+        name = busiest_machine(world)
+        lost_tasks = {task for on, task in world.rules.running if on == name}
         world.workers_without_responses.add(name)
-        # Its lease runs out, its tasks die, and it reports on with a higher session.
+        # Its lease expires, its tasks are killed, and it continues to report with a higher incarnation.
         await asyncio.sleep(14)
         assert not [task for on, task in world.rules.running if on == name]
         await asyncio.sleep(8)
-        assert lost & {task for _, task in world.rules.running} | (lost & world.rules.finished)
-        if heals:
+        assert lost_tasks & {task for _, task in world.rules.running} | (lost_tasks & world.rules.finished)
+        if recovers:
             world.workers_without_responses.discard(name)
             await asyncio.sleep(3)
-        # However much waits, it has been given nothing.
+        # However many tasks wait, it is assigned none.
         assert await world.submit(job(2, pieces=160, urgency="high", true_s=20.0, expected_s=20.0))
-        seen = set()
+        assigned_jobs = set()
         for _ in range(50):
             await asyncio.sleep(0.2)
-            found = machine(world, name)
-            seen |= {allocation.job.id for allocation in found.allocations.values()} if found else set()
-        assert "run-000002" not in seen
+            found = find_machine(world, name)
+            assigned_jobs |= {allocation.job.id for allocation in found.allocations.values()} if found else set()
+        assert "run-000002" not in assigned_jobs
         await asyncio.sleep(35)
-        if heals:
+        if recovers:
             assert name not in world.cloud.deleted
             assert any(on == name for on, _ in world.rules.running)
         else:
@@ -61,11 +61,11 @@
     day(script, each=0)
 
 
-# Copies of reports come late
+# Late duplicates of heartbeats
 
 
-def test_late_copies_prove_nothing() -> None:
-    """Every report comes again, to any node, from seconds to several leases later."""
+def test_late_duplicates_are_no_sign_of_life() -> None:
+    """Deliver every heartbeat a second time, to any node, seconds to several leases later."""
 
     async def script(world: World) -> None:
         world.duplicate_share, world.duplicate_delay_s = 1.0, (15.0, 40.0)
@@ -75,7 +75,7 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
         await asyncio.sleep(12)
-        # One machine dies, one is deleted, one controller is followed by another.
+        # One machine fails and is later deleted, and the leader is replaced by another controller.
         names = sorted(world.workers)
         world.workers.pop(names[0]).terminate()
         leader = world.leader
@@ -83,15 +83,15 @@
         world.kill(leader.node)
         await asyncio.sleep(10)
         world.start(leader.node)
-        died = world.loop.now
-        while names[0] in world.cloud.machines and world.loop.now < died + 90:
+        failed_at = world.loop.now
+        while names[0] in world.cloud.machines and world.loop.now < failed_at + 90:
             await asyncio.sleep(0.5)
-        # Copies were no sign of life: it is given up in about the time it takes without them.
-        assert world.loop.now - died < 45
+        # Duplicates count as no sign of life: the machine is deleted in about the same time as without them.
+        assert world.loop.now - failed_at < 45
         states = await world.until_over(ids, 300)
         assert set(states.values()) == {"done"}
         await asyncio.sleep(100)
-        # Nor do they make machines that stay.
+        # Nor do duplicates leave records of machines that no longer exist.
         assert world.leader is not None and world.leader.leader is not None
         assert set(world.leader.leader.cluster.machines) <= set(world.cloud.machines)
 
@@ -99,24 +99,24 @@
         day(script, seed=seed)
 
 
-def test_copy_of_an_older_report_calls_off_no_start() -> None:
+def test_duplicate_of_an_older_heartbeat_cancels_no_start() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=3, true_s=30.0, expected_s=30.0))
         requests: list[Any] = []
-        handle = {name: controller.api.handle for name, controller in world.controllers.items()}
+        handlers = {name: controller.api.handle for name, controller in world.controllers.items()}
 
-        async def noting(node: str, request: Any) -> Any:
+        async def record_request(node: str, request: Any) -> Any:
             requests.append(request)
-            return await handle[node](request)
+            return await handlers[node](request)
 
         for node, controller in world.controllers.items():
-            controller.api.handle = partial(noting, node)  # type: ignore[method-assign]
+            controller.api.handle = partial(record_request, node)  # type: ignore[method-assign]
         await asyncio.sleep(10)
         before = list(world.rules.running)
         assert len(before) == 3
         assert world.leader is not None
         for request in [one for one in requests if one.path == "/agent/beat"]:
-            response = await handle[world.leader.node](request)
+            response = await handlers[world.leader.node](request)
             assert response.status == 503
         assert sorted(world.rules.running) == sorted(before)
         assert world.leader.leader is not None
@@ -127,14 +127,14 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_bad_reports_are_answered_at_once_and_disturb_nobody() -> None:
+def test_malformed_heartbeats_are_rejected_without_side_effects() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, true_s=20.0, expected_s=20.0))
         await asyncio.sleep(8)
         leader = world.leader
         assert leader is not None
         before = sorted(world.rules.running)
-        good = next(iter(world.workers.values())).heartbeat_body()
+        valid_body = next(iter(world.workers.values())).heartbeat_body()
         for change in (
             {"baton": 1 << 64},
             {"baton": -1},
@@ -144,12 +144,12 @@
             {"pieces": [{"piece": "run-000001/0", "try": -5, "status": "running"}]},
             {"pieces": "none"},
         ):
-            response = await world.report(good | change, leader.node)
+            response = await world.report(valid_body | change, leader.node)
             assert response.status == 400, change
         assert (await world.report([1, 2], leader.node)).status == 400
-        # Of a machine that nobody knows: it gets the token, and nothing else changes.
-        stranger = good | {"loom": "m-999999", "baton": 0, "pieces": []}
-        assert (await world.report(stranger, leader.node)).status == 200
+        # A heartbeat of an unknown machine is answered with the fencing token and changes nothing else.
+        unknown_machine_body = valid_body | {"loom": "m-999999", "baton": 0, "pieces": []}
+        assert (await world.report(unknown_machine_body, leader.node)).status == 200
         assert world.leader is leader and sorted(world.rules.running) == before
         assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
 
@@ -157,16 +157,16 @@
     assert max(world.rules.starts.values()) == 1
 
 
-# Back at once
+# Immediate restarts
 
 
-@pytest.mark.parametrize("session", [1, 2])
-def test_machine_back_at_once_loses_no_task_and_runs_none_twice(session: int) -> None:
+@pytest.mark.parametrize("incarnation", [1, 2])
+def test_machine_that_restarts_at_once_loses_no_task_and_runs_none_twice(incarnation: int) -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=40, true_s=15.0, expected_s=15.0))
         await asyncio.sleep(8)
-        name = busiest(world)
-        world.workers[name].restart(session)
+        name = busiest_machine(world)
+        world.workers[name].restart(incarnation)
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
