--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -16,7 +16,7 @@
     st.integers(0, 10_000),
     st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
 )
-def test_rules_hold_under_random_faults(seed: int, faults: list[tuple[str, float]]) -> None:
+def test_rules_hold_under_random_faults(world_seed: int, faults: list[tuple[str, float]]) -> None:
     async def script(world: World) -> None:
         ids = []
         for index in range(8):
@@ -45,4 +45,4 @@
         states = await world.until_over(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
-    day(script, seed=seed)
+    day(script, seed=world_seed)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -25,14 +25,12 @@
     return count
 
 
-def run_pytest(
-    pytester: pytest.Pytester, listed: str | None, processes: int, other_passes: bool = True
-) -> pytest.RunResult:
+def run_pytest(pytester: pytest.Pytester, listed: str | None, processes: int, other: bool = True) -> pytest.RunResult:
     """Run three tests in that many worker processes, or with 0 in the process of pytest itself."""
     folder = pytester.mkpydir("tests")
     for name in ("conftest.py", "known_red.py"):
         shutil.copy(TESTS_FOLDER / name, folder)
-    (folder / "test_some.py").write_text(TESTS.format(other=other_passes))
+    (folder / "test_some.py").write_text(TESTS.format(other=other))
     if listed is not None:
         (pytester.path / "KNOWN-RED.txt").write_text(listed)
     pytester.makeini("[pytest]\ntestpaths = tests\npythonpath = .\n")
@@ -56,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "other_passes"),
+    ("listed", "other"),
     [
         ("", True),
         (LISTED_FAILURE, False),
@@ -68,6 +66,6 @@
     ids=["not listed", "another fails", "a listed one passes", "no such test", "no cause", "more than three"],
 )
 def test_any_other_failure_or_entry_fails_the_run(
-    pytester: pytest.Pytester, listed: str, other_passes: bool, processes: int
+    pytester: pytest.Pytester, listed: str, other: bool, processes: int
 ) -> None:
-    assert run_pytest(pytester, listed, processes, other_passes).ret != 0
+    assert run_pytest(pytester, listed, processes, other).ret != 0
