--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -181,7 +181,7 @@
     day(script)
 
 
-def test_load_balancer_forwards_users_during_a_rolling_restart() -> None:
+def test_load_balancer_forwards_user_requests_during_a_rolling_restart() -> None:
     async def script(world: World) -> None:
         balancer = Balancer(world)
         await asyncio.sleep(6)
@@ -200,7 +200,7 @@
                 else:
                     answered += 1
                 await asyncio.sleep(1)
-        # Each restart leaves at most about 5 s without a leader, and there is always a healthy node.
+        # Each restart leaves at most about 5 s without a leader, and a node is always up.
         assert answered > 25 and failed < 20
         await asyncio.sleep(10)
         assert len(balancer.healthy) >= 2
