--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -46,7 +46,7 @@
     async def _send(self, worker: str, node: str, request: Request) -> Response:
         # A worker whose request is not answered ends the connection.
         connected_to, answered_at = self.worker_connections.pop(worker, (node, None))
-        request.previous_answered_at = answered_at if connected_to == node else None
+        request.previous_response_at = answered_at if connected_to == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
         await self._pass_link(worker, zone, node, request)
@@ -80,7 +80,7 @@
         if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
             await asyncio.sleep(60)
         if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
+            self.loop.call_later(3.0, self._copy, node, replace(request, previous_response_at=None))
         if node not in self.controllers:
             raise ConnectionError(node)
 
@@ -89,9 +89,9 @@
         if self.rng.random() < self.duplicate_share:
             for _ in range(self.rng.randint(1, 2)):
                 late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
+                self.loop.call_later(late, self._copy, other, replace(request, previous_response_at=None))
         if self.captured_requests is not None:
-            self.captured_requests.append(replace(request, previous_answered_at=None))
+            self.captured_requests.append(replace(request, previous_response_at=None))
 
     async def _maybe_delay(self) -> None:
         if self.delayed_share and self.rng.random() < self.delayed_share:
