--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -75,7 +75,7 @@
         for number in range(1200):
             harness.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
-        assert len(harness.pages()) <= 20  # a burst of one second's worth, and a second's
+        assert len(harness.pages()) <= 20  # a burst of one second's tokens, and those of one second
         await asyncio.sleep(6)
         assert len(harness.read()) == 1200
         assert harness.store.revision < 60
@@ -100,7 +100,7 @@
 
 
 def test_delayed_duplicate_of_a_transaction_changes_nothing() -> None:
-    """An old value must not come back over a newer one, whenever the store applies it."""
+    """A delayed duplicate must not overwrite a newer value, whenever the store applies it."""
     harness = WriterHarness()
 
     async def script() -> None:
@@ -111,7 +111,7 @@
             harness.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
         harness.faults.late_share = 0.0
-        # The last write is durable at the latest now; delayed duplicates go on arriving.
+        # After this write is durable, delayed duplicates of earlier transactions still arrive.
         await harness.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
             await asyncio.sleep(0.5)
@@ -163,7 +163,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 400)), max_size=300), st.floats(0.0, 0.3))
 def test_pages_hold_the_same_records_as_a_dict(changes: list[tuple[int, int]], lost_share: float) -> None:
-    """Records are written, rewritten and deleted; a new leader reads what a map would hold."""
+    """After writes, rewrites and deletions, a new leader reads the same records as a dict would hold."""
     harness = WriterHarness()
     expected: dict[str, Any] = {}
 
@@ -196,7 +196,7 @@
 
     async def script() -> None:
         for number in range(2000):
-            # Some records are written once and stay, most are written again and again.
+            # Cold records soon stay unchanged, hot ones are rewritten all the time.
             harness.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
             harness.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
             await asyncio.sleep(0.05)
@@ -220,7 +220,9 @@
 
 
 def test_rejected_record_is_isolated_and_blocks_no_other() -> None:
-    """The store accepts less than the settings say: one record can't be stored, and leadership is kept."""
+    """If the store accepts less than the settings say, only the record that can't be stored is dropped.
+
+    The leader keeps leadership, as the next one would send the same transaction."""
     harness = WriterHarness()
     stored: list[str] = []
 
@@ -255,10 +257,10 @@
 
 
 def test_gap_left_by_a_lost_transaction_is_filled_and_no_existing_page_is_selected() -> None:
-    """Of two concurrent transactions, only the one with the later page was executed.
+    """Of two concurrent transactions, only the one with the later page was executed, which leaves a gap.
 
-    A leader that numbers new pages by their count would choose an existing one, and would lose leadership by
-    the comparison of its revision.
+    A leader that numbers new pages by their count would select an existing page, and the failed comparison of
+    its revision would end its leadership.
     """
     harness = WriterHarness()
     writer = harness.writer
@@ -277,7 +279,7 @@
         found = harness.read()
         assert {key: found[key] for key in ("k/0", "k/1", "k/3")} == {"k/0": 0, "k/1": 1, "k/3": 3}
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
-        # The gap is closed, so an earlier version, which counts the pages, finds none either.
+        # The gap is filled, so earlier versions, which number new pages by their count, find none either.
         assert f"{PAGE_PREFIX}0002" in harness.store.items
 
     harness.play(script)
