--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -42,6 +42,7 @@
     ("net.http_client", "NotSentError"): ("Withheld",),
     ("peers.connection", "PeerUnreachableError"): ("NotReached",),
     ("peers.network", "PeerNetwork"): ("Peers",),
+    ("settings.operators", "OperatorSettings"): ("Operators",),
     ("settings.operators", "OperatorsFile"): ("Raw",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
