--- a/tests/world/simulated_cloud.py
+++ b/tests/world/simulated_cloud.py
@@ -1,4 +1,4 @@
-"""The simulated cloud, written from the protocol."""
+"""The simulated cloud, implemented from the protocol."""
 
 import random
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
     machine_type: str
     zone: str
     spot: bool
-    since: float
+    created_at: float
     up_at: float
     state: str = "starting"
     listed_at: float = 0.0
@@ -24,7 +24,7 @@
 
 @dataclass
 class SimulatedCloud(Service):
-    """Provides machines of given types, with a list that lags behind."""
+    """Provides machines of given types; its list of machines lags behind."""
 
     loop: SimLoop
     rng: random.Random
@@ -37,10 +37,10 @@
     requests: dict[str, list[str]] = field(default_factory=dict)
     taken: list[tuple[float, str]] = field(default_factory=list)
     deleted: list[str] = field(default_factory=list)
-    on_running: Any = None  # called with each machine that comes up
-    on_deleted: Any = None  # called with the name of each that is gone
+    on_running: Any = None  # called with each machine that has booted
+    on_deleted: Any = None  # called with the name of each deleted machine
     next_name: int = 1
-    fast_boot: bool = False  # machines are up within two seconds
+    fast_boot: bool = False  # machines boot within two seconds
 
     def add(self, machine_type: str, zone: str, spot: bool, boot: float) -> SimulatedMachine:
         name = f"m-{self.next_name:06d}"
@@ -48,10 +48,10 @@
         machine = SimulatedMachine(name, machine_type, zone, spot, self.loop.now, self.loop.now + boot)
         machine.listed_at = self.loop.now + self.list_lag_s
         self.machines[name] = machine
-        self.loop.call_later(boot, self._up, machine)
+        self.loop.call_later(boot, self._finish_boot, machine)
         return machine
 
-    def _up(self, machine: SimulatedMachine) -> None:
+    def _finish_boot(self, machine: SimulatedMachine) -> None:
         if machine.name in self.machines and machine.state == "starting":
             machine.state = "running"
             self.on_running(machine)
@@ -95,7 +95,7 @@
                 "yard": m.zone,
                 "loaners": m.spot,
                 "status": m.state,
-                "held_s": self.loop.now - m.since,
+                "held_s": self.loop.now - m.created_at,
             }
             for m in self.machines.values()
             if m.listed_at <= self.loop.now and m.name > after
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -1,4 +1,4 @@
-"""A world with users in it: jobs submitted, asked about and cancelled while troubles come."""
+"""Users of a simulated world: they submit, query and cancel jobs while faults are injected."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -8,11 +8,11 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-Trouble = Callable[["Scenario"], Coroutine[Any, Any, None]]
+FaultScript = Callable[["Scenario"], Coroutine[Any, Any, None]]
 
 
 class Scenario:
-    """A world with users in it, and the troubles that befall it."""
+    """A simulated world with its users, into which faults are injected."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -29,7 +29,7 @@
         return task
 
     async def end(self) -> None:
-        """Wait until no user has anything left to do."""
+        """Wait until all work that was begun has ended."""
         while self._tasks:
             await asyncio.wait(set(self._tasks))
 
@@ -44,8 +44,8 @@
             return str(spec["name_id"])
         return None
 
-    async def work(self) -> None:
-        """Submit the first jobs: teams at their limit, zones, arrays, ends far apart."""
+    async def submit_initial_jobs(self) -> None:
+        """Submit the initial jobs: teams at their limit, zone rules, arrays, tasks that end far apart."""
         await self.submit(crew="red", pieces=14, true_s=25.0, expected_s=25.0)
         await self.submit(crew="red", urgency="high", pieces=4, cpus=2.0, true_s=12.0, expected_s=12.0)
         for _ in range(3):
@@ -62,33 +62,33 @@
         states = self.world.rules.reported_states
         return [one for one in self.ids if states.get(one) not in ("done", "cancelled")]
 
-    async def look(self, job_id: str) -> None:
-        """Ask every node repeatedly within milliseconds, and repeat the submission."""
+    async def query_all_nodes(self, job_id: str) -> None:
+        """Query every node repeatedly within milliseconds, and repeat the submission."""
         world = self.world
         for _ in range(3):
             asks = [world.poll(job_id, node) for node in world.nodes if node in world.controllers]
-            await asyncio.gather(*asks, world.offer(world.rules.specs[job_id]))
+            await asyncio.gather(*asks, world.submit_once(world.rules.specs[job_id]))
             await asyncio.sleep(world.rng.uniform(0.001, 0.05))
 
-    async def cancel(self, job_id: str, patience: float = 60.0) -> None:
-        if await self.world.withdraw(job_id, patience) is not None:
-            await self.look(job_id)
+    async def cancel(self, job_id: str, timeout_s: float = 60.0) -> None:
+        if await self.world.withdraw(job_id, timeout_s) is not None:
+            await self.query_all_nodes(job_id)
 
     # Machines and nodes
 
-    def some(self, share: float) -> list[str]:
+    def sample_workers(self, share: float) -> list[str]:
         names = sorted(self.world.workers)
         return self.world.rng.sample(names, max(1, round(len(names) * share))) if names else []
 
     def leader(self) -> str | None:
         return None if self.world.leader is None else self.world.leader.node
 
-    def kill(self, node: str, back: float) -> None:
+    def kill(self, node: str, restart_after_s: float) -> None:
         if node in self.world.controllers:
             self.world.kill(node)
-            self.world.loop.call_later(back, self._back, node)
+            self.world.loop.call_later(restart_after_s, self._restart, node)
 
-    def _back(self, node: str) -> None:
+    def _restart(self, node: str) -> None:
         if node not in self.world.controllers:
             self.world.start(node)
 
@@ -96,7 +96,7 @@
         return [self.world.ports[node].store.faults for node in self.world.nodes]
 
 
-def add_for(stage: Scenario, faulty: set[Any], added: set[Any], for_s: float) -> None:
-    """Add to one of the world's sets of what is faulty, and take it out again after so many seconds."""
+def add_temporarily(scenario: Scenario, faulty: set[Any], added: set[Any], for_s: float) -> None:
+    """Add items to one of the world's sets of faulty parts, and remove them after `for_s` seconds."""
     faulty |= added
-    stage.world.loop.call_later(for_s, faulty.difference_update, added)
+    scenario.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -1,4 +1,4 @@
-"""Upgrades by kills: nodes of the earlier version come back as this one, and the store's limits fall."""
+"""Upgrades by kills: nodes of the earlier version restart as this one, and the store's limits are lowered."""
 
 import asyncio
 import random
@@ -22,11 +22,11 @@
     world.store.set_limits(NEXT_LIMITS["value_kb"], int(NEXT_LIMITS["txn_ops"]), NEXT_LIMITS["write_rps"])
 
 
-async def upgrade(world: World, order: list[str], pause: float, trouble: Any = None) -> None:
-    """Kills a node at a time; it comes back new. One that dies before its turn comes back old."""
+async def upgrade(world: World, order: list[str], pause: float, inject_next: Any = None) -> None:
+    """Kill one node at a time and restart it as the new version; killed before its turn, it restarts as the old."""
     for node in order:
-        if trouble is not None:
-            await trouble()
+        if inject_next is not None:
+            await inject_next()
         if node in world.controllers:
             world.kill(node)
         world.earlier_nodes.discard(node)
@@ -35,56 +35,56 @@
 
 
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
-    """Play the same with a version that really is an earlier one, drawn by the seed alone."""
+    """Run a rollout from an actual earlier version, drawn from the seed alone."""
     rng = random.Random(seed)
-    troubles = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
+    faults = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
     def before(world: World) -> None:
         configure_earlier_version(world)
         world.earlier = earlier
 
-    run_upgrade(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
+    run_upgrade(seed, rng.sample(NODES, len(NODES)), faults, rng.uniform(0.0, 40.0), before)
 
 
 def run_upgrade(
-    number: int,
+    world_seed: int,
     order: list[str],
-    troubles: list[tuple[str, float]],
-    falls: float,
+    faults: list[tuple[str, float]],
+    limits_lowered_after_s: float,
     before: Callable[[World], None],
 ) -> None:
-    """Upgrade in that order beside troubles; the limits fall so many seconds after it."""
+    """Upgrade in this order while faults occur; lower the limits `limits_lowered_after_s` after the upgrade."""
 
     async def script(world: World) -> None:
         for zone in ZONES:
             world.rent("small", zone)
         ids = await _submit_jobs(world)
-        waiting = iter(troubles)
+        remaining = iter(faults)
 
-        async def trouble() -> None:
-            kind, pause = next(waiting)
+        async def inject_next() -> None:
+            kind, pause = next(remaining)
             await inject_fault(world, kind, ids)
             await asyncio.sleep(pause)
 
-        await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
-        # Nothing new is asked for before all nodes are new; then the limits fall, at any moment.
-        world.loop.call_later(falls, lower_store_limits, world)
+        await upgrade(world, order, world.rng.uniform(0.5, 12.0), inject_next)
+        # Features of the new version are used only once all nodes run it; the limits may be lowered any time after.
+        world.loop.call_later(limits_lowered_after_s, lower_store_limits, world)
         services = await _submit_services(world)
-        for kind, pause in waiting:
+        for kind, pause in remaining:
             await inject_fault(world, kind, ids + services)
             await asyncio.sleep(pause)
             for job_id in ids + services:
                 await world.poll(job_id)
         restore(world)
-        await asyncio.sleep(max(0.0, 41 - falls))
+        await asyncio.sleep(max(0.0, 41 - limits_lowered_after_s))
         states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
-        # What was not withdrawn serves again, all of it.
+        # Services that were not cancelled have all their replicas again.
         for job_id in services:
             if world.rules.reported_states.get(job_id) != "cancelled":
                 await _until_serving(world, job_id)
 
-    day(script, seed=number, before=before)
+    day(script, seed=world_seed, before=before)
 
 
 async def _submit_jobs(world: World) -> list[str]:
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -1,4 +1,4 @@
-"""A stand-in worker: reports, obeys, fetches, runs, and kills its tasks when its lease ends."""
+"""A simulated worker: sends heartbeats, executes commands, and kills its tasks when its lease expires."""
 
 import asyncio
 import random
@@ -19,8 +19,8 @@
     name: str
     attempt: int
     state: str = "fetching"
-    why: str | None = None
-    until: float = 0.0
+    exit_cause: str | None = None
+    state_ends_at: float = 0.0
 
 
 # Sends a worker's request to a node.
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class WorkerEnvironment:
-    """What all workers share: the loop, the controllers that they report to, and times in seconds."""
+    """What all workers share: the loop, the controllers that they report to, and the heartbeat interval."""
 
     loop: SimLoop
     rng: random.Random
@@ -45,7 +45,7 @@
     def __init__(
         self, surroundings: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
-        """Begin to report; the lease lasts as long as the worker's own clock says."""
+        """Start sending heartbeats; the lease is measured by the worker's own clock."""
         self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
         self.nodes, self.send = surroundings.nodes, surroundings.send
         self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
@@ -61,7 +61,10 @@
         self.interruption_at: float | None = None
         self.node = self.rng.choice(self.nodes)
         self.state_changed = asyncio.Event()
-        self.background_tasks = [self.loop.create_task(self._report()), self.loop.create_task(self._work())]
+        self.background_tasks = [
+            self.loop.create_task(self._send_heartbeats()),
+            self.loop.create_task(self._run_tasks()),
+        ]
 
     def terminate(self) -> None:
         self.alive = False
@@ -69,10 +72,10 @@
             job.cancel()
         self._drop_tasks()
 
-    def restart(self, session: int) -> None:
+    def restart(self, incarnation: int) -> None:
         """Restart the machine at once, without its tasks, as this incarnation."""
         self._drop_tasks()
-        self.incarnation, self.sequence, self.fencing_token = session, 0, 0
+        self.incarnation, self.sequence, self.fencing_token = incarnation, 0, 0
         self.lease_renewed_at = self.loop.now
         self.state_changed.set()
 
@@ -81,12 +84,12 @@
             self.rules.task_ended(self.name, task.name)
         self.tasks.clear()
 
-    async def _work(self) -> None:
-        """Step the tasks along, and the lease."""
+    async def _run_tasks(self) -> None:
+        """Advance the tasks, and kill them when the lease expires."""
         while True:
             await asyncio.sleep(0.1)
             now = self.loop.now
-            # A machine that hangs may go on within its lease; past that its tasks are dead.
+            # Tasks on a hung machine survive until its lease expires.
             if now - self.lease_renewed_at > self.lease_s:
                 self._drop_tasks()
                 self.incarnation += 1
@@ -95,31 +98,33 @@
             if self.hung:
                 continue
             for task in self.tasks.values():
-                if task.state != "exited" and now >= task.until:
-                    self._step(task)
+                if task.state != "exited" and now >= task.state_ends_at:
+                    self._advance(task)
                     self.state_changed.set()
 
-    def _step(self, task: WorkerTask) -> None:
-        """Take a task to its next state: it runs once its image is there, and ends after its time."""
+    def _advance(self, task: WorkerTask) -> None:
+        """Move a task to its next state: it runs once its image is fetched, and exits after its duration."""
         spec = self.rules.specs[task.name.rpartition("/")[0]]
         if task.state == "fetching":
             self.images.add(spec["kit"])
             task.state = "running"
-            each = spec.get("each_s")
-            takes = spec["true_s"] if each is None else each[int(task.name.rpartition("/")[2])]
-            task.until = self.loop.now + (0 if task.name in self.completed else takes * self.rng.uniform(0.9, 1.1))
+            durations = spec.get("each_s")
+            duration_s = spec["true_s"] if durations is None else durations[int(task.name.rpartition("/")[2])]
+            task.state_ends_at = self.loop.now + (
+                0 if task.name in self.completed else duration_s * self.rng.uniform(0.9, 1.1)
+            )
             self.rules.task_started(self.name, task.name, self.machine_type["name"], self.zone, self.spot)
             if self.faulty:
                 self._exit(task, "error")
         else:
-            ends = spec.get("ends", "done") if task.state == "running" else "halted"
-            if ends == "done" and spec["form"] == "batch":
+            outcome = spec.get("ends", "done") if task.state == "running" else "halted"
+            if outcome == "done" and spec["form"] == "batch":
                 self.completed.add(task.name)
                 self.rules.completed(task.name)
-            self._exit(task, ends)
+            self._exit(task, outcome)
 
-    def _exit(self, task: WorkerTask, why: str) -> None:
-        task.state, task.why = "exited", why
+    def _exit(self, task: WorkerTask, exit_cause: str) -> None:
+        task.state, task.exit_cause = "exited", exit_cause
         self.rules.task_ended(self.name, task.name)
 
     def heartbeat_body(self) -> dict[str, Any]:
@@ -127,8 +132,8 @@
         tasks = []
         for task in self.tasks.values():
             entry: dict[str, Any] = {"piece": task.name, "try": task.attempt, "status": task.state}
-            if task.why:
-                entry["cause"] = task.why
+            if task.exit_cause:
+                entry["cause"] = task.exit_cause
             tasks.append(entry)
         return {
             "loom": self.name,
@@ -143,12 +148,12 @@
             "pieces": tasks,
         }
 
-    async def _report(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if self.hung:
                 await asyncio.sleep(0.1)
                 continue
-            sent, session = self.loop.now, self.incarnation
+            sent, incarnation = self.loop.now, self.incarnation
             self.state_changed.clear()
             request = Request("POST", "/agent/beat", {}, cbor2.dumps(self.heartbeat_body()))
             status, body = 0, None
@@ -161,8 +166,8 @@
             if self.hung or not self.alive:
                 continue
             if status == 200 and self.loop.now - sent < 4:
-                self._handle_response(body, sent, session)
-                # Not more often than each half second, and after report_s at the latest.
+                self._handle_response(body, sent, incarnation)
+                # Heartbeats are at least 0.5 s apart, and sent after about `report_s` at the latest.
                 await asyncio.sleep(0.5)
                 try:
                     async with asyncio.timeout(self.heartbeat_interval_s * self.rng.uniform(0.75, 1.25) - 0.5):
@@ -178,9 +183,9 @@
                 self.node = self.nodes[(self.nodes.index(self.node) + 1) % len(self.nodes)]
                 await asyncio.sleep(1)
 
-    def _handle_response(self, body: Any, sent: float, session: int) -> None:
+    def _handle_response(self, body: Any, sent: float, incarnation: int) -> None:
         fencing_token = body.get("baton")
-        if fencing_token is None or fencing_token < self.fencing_token or session != self.incarnation:
+        if fencing_token is None or fencing_token < self.fencing_token or incarnation != self.incarnation:
             return
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
@@ -198,7 +203,7 @@
         elif order["verb"] == "halt":
             if task is not None and task.state != "exited":
                 if order["wind_down_s"] > 0 and task.state == "running":
-                    task.state, task.until = "saving", self.loop.now + 1
+                    task.state, task.state_ends_at = "saving", self.loop.now + 1
                 elif task.state != "saving" or order["wind_down_s"] == 0:
                     self._exit(task, "halted")
         elif order["verb"] == "reap" and task is not None and task.state == "exited":
@@ -210,12 +215,12 @@
         spec = self.rules.specs.get(name.rpartition("/")[0])
         live = [other for other in self.tasks.values() if other.state != "exited" and other is not task]
         if spec is None:
-            task.state, task.why = "exited", "no_such"
+            task.state, task.exit_cause = "exited", "no_such"
         elif any(other.name == name for other in live):
-            task.state, task.why = "exited", "in_use"
+            task.state, task.exit_cause = "exited", "in_use"
         else:
             used = sum(self.rules.specs[other.name.rpartition("/")[0]]["cpus"] for other in live)
             if used + spec["cpus"] > self.machine_type["cpus"] + 1e-6:
-                task.state, task.why = "exited", "no_room"
+                task.state, task.exit_cause = "exited", "no_room"
             else:
-                task.until = self.loop.now + (0.0 if spec["kit"] in self.images else 2.0)
+                task.state_ends_at = self.loop.now + (0.0 if spec["kit"] in self.images else 2.0)
