--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff of candidacies after a term that ended because links of the leader failed."""
+"""Exponential backoff of candidacies after a term of this node that ended while its process kept running."""
 
 import logging
 import random
@@ -13,8 +13,9 @@
 class LeadershipBackoff:
     """Tracks the backoff after a term. It is kept in memory only, so a restarted process has none.
 
-    During a backoff, a node becomes a candidate only after there has been no leader for `min_backoff`, and a leader
-    does not hand over leadership: leading with some links down is better than changing leaders every few seconds.
+    During a backoff, a node that is not named as successor becomes a candidate only after there has been no leader for
+    `min_backoff`, and a leader does not end its term because of failed links: leading with some links down is better
+    than changing leaders every few seconds.
     """
 
     def __init__(self, bounds: ReachabilityBounds, clock: Clock, rng: random.Random, single_node: bool) -> None:
@@ -51,13 +52,13 @@
         return max(ZERO, min(self._bounds.min_backoff - vacant_for, self._until - self._clock()))
 
     def _next_duration(self) -> timedelta:
-        """Return twice the duration of the last backoff, up to the maximum, shortened by random jitter."""
+        """Return the duration of the next backoff: doubled for each recent one, up to the maximum, less jitter."""
         longest = self._bounds.max_backoff
         duration = min(longest, self._bounds.min_backoff * 2**self._recent_count)
         if duration < longest:
             self._recent_count += 1
         # Jitter must not shorten a backoff below `min_backoff`: leadership may be vacant for that long, so a shorter
-        # first backoff would have no effect.
+        # first backoff could be over before this node leads again, and have no effect on the new term.
         jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
         return max(jittered, self._bounds.min_backoff)
 
--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -11,13 +11,14 @@
 
 # Workers jitter `heartbeat_interval` by up to a quarter in either direction.
 MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25
-# A heartbeat is overdue after this share of the worker's lease at the latest, whatever the interval.
+# The largest heartbeat timeout, as a multiple of the worker lease, however long the heartbeat interval is.
 OVERDUE_LEASE_SHARE = 0.3
-# A worker that gets no response from a controller tries the next one after this delay.
+# A worker whose response timeout has expired waits this much longer before it tries the next controller.
 NEXT_CONTROLLER_DELAY = seconds(1)
 # Allowance for network latency and for the time until this node reads the heartbeat.
 HEARTBEAT_SLACK = seconds(0.5)
-# A link is no longer confirmed after this many consecutive lost announcements, which is unlikely to be chance.
+# A link to another controller is no longer confirmed after this many consecutive lost announcements, which is
+# unlikely to be chance.
 MAX_MISSED_ANNOUNCEMENTS = 3
 # The longest backoff after a term, as a multiple of the worker lease.
 MAX_BACKOFF_LEASES = 8
@@ -63,7 +64,10 @@
 
     @property
     def cut_after(self) -> timedelta:
-        """The age of the last confirmation beyond which a link is cut; it covers a response timeout and a heartbeat."""
+        """The age of the last confirmation beyond which a link counts as cut.
+
+        It allows for a worker's response timeout and the heartbeat that follows it.
+        """
         return self.lease / 2
 
     @property
@@ -86,7 +90,10 @@
 
     @property
     def heartbeat_hold_time(self) -> timedelta:
-        """How long to hold a heartbeat until this node leads; the sender's response timeout is longer."""
+        """How long an isolated node delays its response to a heartbeat, in case it becomes leader meanwhile.
+
+        The worker's response timeout is longer.
+        """
         return HEARTBEAT_RESPONSE_TIMEOUT / 2
 
     @property
@@ -100,11 +107,11 @@
         return max(self.min_backoff, self.lease * MAX_BACKOFF_LEASES)
 
     def max_terms_per_hour(self, nodes: int) -> int:
-        """Return the maximum number of terms per hour caused by link failures, whichever links fail and when.
+        """Return the maximum number of terms per hour that link failures can cause among `nodes` controllers.
 
-        A node that leads without being in backoff enters one afterwards; once grown, these last up to `max_backoff`,
-        less jitter. A node in backoff leads only if it was named as successor, by a node that was not in backoff and
-        enters one then, or if leadership has been vacant for `min_backoff`.
+        After a term that it began outside of a backoff, a node enters a backoff. Repeated backoffs grow until each
+        lasts `max_backoff`, less jitter. A node in backoff becomes leader only if leadership has been vacant for
+        `min_backoff`, or if it was named as successor by a leader that was not in backoff and then enters one itself.
         """
         growth_terms = math.ceil(math.log2(self.max_backoff / self.min_backoff)) + 1
         terms_per_node = math.ceil(HOUR / (self.max_backoff * (1 - BACKOFF_JITTER))) + growth_terms
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -27,7 +27,10 @@
         await self._admission.wait_admitted()
 
     def candidacy_delay(self, vacant_for: timedelta, fencing_token: int) -> timedelta:
-        """Return how long to delay a candidacy; `fencing_token` is that of the latest known term."""
+        """Return how much longer to delay a candidacy when there has been no leader for `vacant_for`.
+
+        `fencing_token` is that of the latest known term.
+        """
         reachability = self._reachability
         backoff_delay = reachability.backoff.candidacy_delay(vacant_for)
         successor = reachability.succession.announced_by_other(fencing_token)
@@ -41,8 +44,9 @@
     def _isolation_delay(self, vacant_for: timedelta) -> timedelta:
         """Return the candidacy delay of a node that confirms no other controller and receives no heartbeats.
 
-        An isolated leader can't name a successor. A node that recently received heartbeats although it did not lead
-        does not wait, since these workers have lost their leader.
+        The delay lets a node that workers reach win first, as an isolated leader can't name such a node as successor.
+        A node that recently received heartbeats although it did not lead does not wait, since these workers have lost
+        their leader.
         """
         reachability = self._reachability
         if not reachability.is_isolated() or reachability.misdirected.has_recent_heartbeats():
--- a/src/elmthread/reachability/decisions.py
+++ b/src/elmthread/reachability/decisions.py
@@ -10,7 +10,7 @@
 from elmthread.reachability.zone_health import MIN_MACHINES_TO_JUDGE
 
 # Another node is clearly better connected if more machines reach it than the leader, by more than both of these
-# margins: a share of all machines, and a number of machines.
+# margins: a share of the machines expected to report, and a number of machines.
 HANDOVER_MARGIN_SHARE = 0.02
 MIN_HANDOVER_MARGIN = 1
 
@@ -76,7 +76,7 @@
     successor = _select_successor(own, peers)
     if successor is not None:
         return HandOver(successor)
-    # For nodes without a valid view, only the number of misdirected heartbeats is known.
+    # Nodes without a valid view can't be named as successor; only the number of machines that reach them is known.
     misdirected = max((peer.misdirected for peer in peers if peer.store is None), default=0)
     if misdirected and majority_reaches_other_node(own.expected, own.silent, misdirected):
         return StepDown(StepDownReason.WORKERS_REACH_ANOTHER)
@@ -102,7 +102,7 @@
 
 
 def _select_successor(own: OwnView, peers: Sequence[PeerView]) -> str | None:
-    """Return the node that most machines reach, of those that reach the store and are clearly better connected."""
+    """Return the node that the most machines reach, of those that are clearly better connected and reach the store."""
     candidates = [
         peer
         for peer in peers
--- a/src/elmthread/reachability/links.py
+++ b/src/elmthread/reachability/links.py
@@ -18,7 +18,7 @@
 LINK_TRANSITIONS = {
     LinkState.CONFIRMED: frozenset({LinkState.DOUBTFUL, LinkState.CUT}),
     LinkState.DOUBTFUL: frozenset({LinkState.CONFIRMED, LinkState.CUT}),
-    # A slow round trip that started before the link was considered cut may complete after that.
+    # Doubtful after a slow round trip, which started before the link was considered cut and completed after that.
     LinkState.CUT: frozenset({LinkState.CONFIRMED, LinkState.DOUBTFUL}),
 }
 
@@ -51,7 +51,7 @@
 
     @property
     def state(self) -> LinkState:
-        """The current state."""
+        """The state, by the time since the last completed round trip started, or since creation if there was none."""
         age = self._clock() - (self._created_at if self.confirmed_at is None else self.confirmed_at)
         if self.confirmed_at is not None and age <= self._confirmed_for:
             self._set_state(LinkState.CONFIRMED)
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -11,14 +11,14 @@
 # The first message number of a process is random and below this, so that echoes of an earlier process's messages can be
 # recognized.
 MAX_FIRST_NUMBER = 1 << 48
-# A view with a longer age is rejected as an error of the sender.
+# A view that contains a link with a longer age is rejected as an error of the sender.
 MAX_AGE_S = 30 * 86400.0
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class LinkStatus(msgspec.Struct, omit_defaults=True):
-    """The state of one link as seen by its node."""
+    """The state of one link as seen by the node that announces it."""
 
     state: LinkState
     # The time since the last confirmed round trip started, by the node's monotonic clock; None if there was none.
@@ -40,7 +40,7 @@
     workers: dict[str, LinkStatus] = {}
     # Whether this node gave up leadership recently.
     in_backoff: bool = False
-    # The node that is to lead after the term with that token, which this node has just ended.
+    # The node that is to lead after the term `successor_fencing_token`, which this node has just ended.
     successor: str | None = None
     successor_fencing_token: Count = 0
 
--- a/src/elmthread/reachability/misdirected.py
+++ b/src/elmthread/reachability/misdirected.py
@@ -124,7 +124,11 @@
         return self._last_arrival_at is not None and self._clock() - self._last_arrival_at <= self._window
 
     def should_announce_now(self) -> bool:
-        """Return whether more machines have arrived since the last announcement than lost responses can explain."""
+        """Return whether to announce the misdirected heartbeats immediately.
+
+        This is so if they came from more machines than lost responses can explain, and from at least twice as many as
+        in the last announcement.
+        """
         threshold = max(MIN_URGENT_COUNT, self._machine_count * MIN_URGENT_SHARE, self._last_announced_count * 2)
         return len(self._arrivals) >= threshold
 
--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -106,7 +106,7 @@
         """Wait briefly if this node is isolated and may lead soon; return whether it leads then.
 
         An isolated node does not know the leader and can't redirect the worker, which would try the other controllers,
-        wait for a timeout at each unreachable one, and return here only after its lease.
+        wait for a timeout at each unreachable one, and return here only after its lease has expired.
         """
         if not self.is_isolated():
             return False
--- a/src/elmthread/reachability/succession.py
+++ b/src/elmthread/reachability/succession.py
@@ -8,7 +8,7 @@
 
 
 class Successor(msgspec.Struct, frozen=True):
-    """The node that is to lead after the term with a token, and until when it has precedence over the others."""
+    """The node that is to lead after the term `fencing_token`, and until when it has precedence over the others."""
 
     node: str
     fencing_token: int
@@ -41,7 +41,7 @@
         self._peer_successor = Successor(node, fencing_token, self._clock() + self._precedence)
 
     def announced_by_other(self, fencing_token: int) -> Successor | None:
-        """Return the successor that another node has named for the term with that token."""
+        """Return the successor that another node has named to lead after the term with that token."""
         named = self._peer_successor
         return named if named is not None and named.fencing_token == fencing_token else None
 
--- a/src/elmthread/reachability/term.py
+++ b/src/elmthread/reachability/term.py
@@ -22,7 +22,7 @@
     """Evaluates the leader's links to its workers and peers, and ends the term if another node should lead."""
 
     def __init__(self, reachability: Reachability, zone_health: ZoneHealth, context: TermContext) -> None:
-        """Use `zone_health` for the machines of each zone that reach this leader."""
+        """Evaluate the links during the term of `context`; `zone_health` counts the machines that reach this leader."""
         self._reachability = reachability
         self.zone_health = zone_health
         self._term = context.term
--- a/src/elmthread/reachability/zone_counts.py
+++ b/src/elmthread/reachability/zone_counts.py
@@ -17,9 +17,9 @@
 
     # Machines that are expected to report.
     expected: int = 0
-    # Of these, machines that have been silent for so long that they are assigned no more tasks.
+    # Expected machines that have been silent for so long that they are assigned no more tasks.
     silent: int = 0
-    # Of these, machines that reported on time over a connection on which a response of this leader had arrived.
+    # Expected machines whose last heartbeat was on time and indicates that this leader's responses arrive.
     confirmed: int = 0
 
 
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -57,7 +57,8 @@
 
     def confirm_links(self) -> None:
         """Confirm the link to each zone in which at least half of the expected machines report."""
-        # The oldest heartbeats that still count as on time arrived then, after this node had sent its responses.
+        # No heartbeat that counts as on time arrived earlier than this. Each of them indicates that an earlier response
+        # of this node had arrived.
         oldest_heartbeat_at = self._clock() - self._bounds.heartbeat_timeout
         for zone, count in self.counts.by_zone().items():
             link = self._links.get(zone)
