--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -27,7 +27,7 @@
     def add(self, sender: str, error: Exception) -> None:
         """Count and log a rejected frame."""
         self.count += 1
-        log.warning("frame from %s rejected (%s so far): %s", sender, self.count, error)
+        log.warning("frame from %s rejected (%s from all senders so far): %s", sender, self.count, error)
 
 
 def encode_frame(message: Message) -> bytes:
@@ -41,8 +41,8 @@
 ) -> AsyncGenerator[bytes, None]:
     """Yield the content of each frame until the other side closes the connection.
 
-    Raises TimeoutError where nothing comes for `idle_timeout`, and ParseError on what is no frame or longer than
-    `max_frame_bytes`: where the next one begins is not known then.
+    Raises TimeoutError if no data arrives for `idle_timeout`, and ParseError for a frame that is malformed or longer
+    than `max_frame_bytes`, after which the start of the next frame is unknown.
     """
     decoder = pynetstring.Decoder(max_frame_bytes)
     idle_timeout_s = None if idle_timeout is None else idle_timeout.total_seconds()
--- a/src/elmthread/peers/messages.py
+++ b/src/elmthread/peers/messages.py
@@ -13,9 +13,10 @@
     SUBMIT = "submit"
     STATUS = "status"
     CANCEL = "withdraw"
-    # Asks whether no process of the node has won a later term than that of the token. Earlier versions never confirm.
+    # Asks the node to confirm that its processes have won no later term than that of the token. Earlier versions of
+    # this program never confirm it.
     CONFIRM_NO_LATER_TERM = "vouch"
-    # Asks for the id of the node's current process. Earlier versions reject the request.
+    # Asks for the id of the node's current process. Earlier versions of this program reject the request.
     GET_PROCESS = "process"
 
 
@@ -39,9 +40,11 @@
     # sample: machine, incarnation and sequence number of each heartbeat.
     misdirected_count: int = 0
     misdirected_sample: Sequence[tuple[str, int, int]] = []
-    # The number of machines that the leader manages; the others derive their thresholds for misdirected ones from it.
+    # The number of machines that the sender manages as leader, 0 if it does not lead. The others derive their
+    # thresholds for misdirected heartbeats from it.
     machine_count: int = 0
-    # The active compatibility level if it is above the first; earlier versions never receive this field.
+    # The active compatibility level, sent by a leader once it is above the first; versions that know only the first
+    # level never receive this field.
     level: int | msgspec.UnsetType = msgspec.UNSET
     # The sender's view of its links (`reachability/messages.py`), once all controllers can read it. It is decoded
     # separately, so that a malformed view does not invalidate the announcement.
@@ -68,7 +71,8 @@
     status: int
     body: dict[str, Any] | None = None
     retry_after_s: float | None = None
-    # The term in which the request was processed; 0 if it was processed in none.
+    # The token of the request, which was processed in that term unless the status is 429 or 503. It is 0 if too many
+    # requests were in progress or processing failed.
     fencing_token: int = 0
 
 
