--- a/src/elmthread/machines/client.py
+++ b/src/elmthread/machines/client.py
@@ -1,4 +1,4 @@
-"""A typed client for the cloud's API, which limits the rate of calls."""
+"""A typed client for the cloud's rate-limited API."""
 
 import logging
 from collections.abc import Callable
@@ -57,7 +57,10 @@
         return _decode(await self._call("GET", "/flavors"), messages.MachineTypeList).types
 
     async def request_instances(self, name: str, kind: InstanceKind, count: int) -> list[str]:
-        """Return the names of the machines provisioned, at most `count`. Raises NoCapacityError and CloudError."""
+        """Request machines and return the names of those provisioned, at most `count`.
+
+        A repeated request with the same `name` is executed only once. Raises NoCapacityError and CloudError.
+        """
         body = messages.ProvisioningBody(
             name, kind.machine_type, kind.zone, kind.spot, min(count, MAX_INSTANCES_PER_REQUEST)
         )
--- a/src/elmthread/machines/failure_detection.py
+++ b/src/elmthread/machines/failure_detection.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# The following times are multiples of the worker lease duration.
+# The next three times are multiples of the worker lease duration.
 # A machine without a heartbeat for this long gets no new tasks.
 HEARTBEAT_OVERDUE_LEASES = 0.4
 # A machine without a heartbeat for this long, while few others are silent, is most likely dead. If it runs
@@ -93,7 +93,7 @@
             request_deletion(machine, reason)
 
     def _deletion_reason(self, machine: Machine, now: timedelta, allowance: timedelta) -> DeletionReason | None:
-        """Return the reason to delete a machine that has booted, or None to keep it."""
+        """Return why to delete a booted machine, or None to keep it; `allowance` extends the heartbeat timeout."""
         lease = self._leases.duration
         lost_since = machine.responses_lost_since
         silence = self._leases.time_since_heartbeat(machine, now)
--- a/src/elmthread/machines/inventory.py
+++ b/src/elmthread/machines/inventory.py
@@ -43,7 +43,7 @@
         return max(self._cloud.list_lag / 2, seconds(CALLS_PER_LIST_CALL * pages / self._cloud.rate_limit.rate))
 
     async def refresh(self) -> None:
-        """Read all pages of the list and reconcile with it; the caller has taken its first rate-limit token."""
+        """Read all pages of the list and reconcile with it; the caller has taken the token for the first page."""
         machines: list[ListedMachine] = []
         after = None
         try:
--- a/src/elmthread/machines/manager.py
+++ b/src/elmthread/machines/manager.py
@@ -29,7 +29,7 @@
 PROCESS_STALL_THRESHOLD = seconds(1.5)
 CATCH_UP_TIME = seconds(1)
 TYPES_REFRESH_INTERVAL = seconds(60)
-# While no machine type is known, as no task can be placed until then.
+# The interval while no machine type is known; no task can be placed until then.
 TYPES_RETRY_INTERVAL = seconds(2)
 
 
--- a/src/elmthread/machines/provisioning.py
+++ b/src/elmthread/machines/provisioning.py
@@ -129,7 +129,7 @@
         return added
 
     def _create(self, kind: InstanceKind, count: int, for_deferrable_pool: bool) -> None:
-        """Create a request and make it durable before it is sent, so that its name is never reused."""
+        """Create a request, whose name is never reused, and make it durable before it is sent."""
         self._request_count += 1
         name = f"r-{self._term.fencing_token}-{self._request_count}"
         request = InstanceRequest(name, kind, count, for_deferrable_pool, self._clock())
@@ -152,7 +152,7 @@
             machine.in_deferrable_pool = request.for_deferrable_pool
 
     def _pause(self, kind: InstanceKind) -> None:
-        """Pause requests for that kind, and trigger autoscaling so that others are requested at once."""
+        """Pause requests for that kind, and trigger autoscaling so that other kinds are requested at once."""
         refusal = self._refusals.get(kind)
         pause = MIN_REFUSAL_PAUSE if refusal is None else min(refusal.pause * 2, MAX_REFUSAL_PAUSE)
         log.info("the cloud has no capacity for %s; none are requested for %.0f s", kind, pause.total_seconds())
