--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -89,7 +89,10 @@
         "tasks": "pieces",
     },
 ):
-    """A worker's status: its machine, the highest fencing token that it has received, and all tasks on it."""
+    """A worker's status: its machine, the highest fencing token that it has received, and all tasks on it.
+
+    A worker whose lease has expired starts a new `incarnation`; `sequence` numbers its heartbeats.
+    """
 
     machine: str
     address: str
@@ -171,7 +174,7 @@
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"leader": "foreman"}):
-    """The response of a node that is not the leader; `leader` is absent if it knows of none."""
+    """The response of a node that is not the leader; `leader` is absent if the worker is to try the next node."""
 
     leader: str | None = None
 
--- a/src/elmthread/workers/reconciliation.py
+++ b/src/elmthread/workers/reconciliation.py
@@ -84,7 +84,7 @@
         start_was_lost = False
         for allocation in _missing_allocations(machine, heartbeat):
             if allocation.state in MUST_BE_LISTED:
-                # The task was killed when its incarnation ended, or was never started by an earlier leader.
+                # The task was killed when the worker's incarnation ended, or was never started by an earlier leader.
                 log.info(
                     "machine %s does not list task %s/%s, which is released",
                     machine.name,
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -1,9 +1,10 @@
 """Detects machines that send heartbeats but do not receive the leader's responses.
 
-A worker starts a new incarnation when no response has arrived for the duration of a worker lease. If the next
-heartbeat does not list a task whose start command was sent, the response was lost. An incarnation that lasts
-longer than a lease proves that responses arrive. So does a heartbeat on a connection on which a response has
-been sent since the incarnation began, unless the machine has repeatedly lost start commands.
+A worker starts a new incarnation when no response has arrived for the duration of a worker lease, and may start
+one when it restarts. If the heartbeat after a start command does not list the task, the response with the command
+was lost. An incarnation that lasts longer than a lease proves that responses arrive. So does a heartbeat on a
+connection on which a response has been sent since the incarnation began, unless the machine has repeatedly lost
+start commands.
 """
 
 import logging
@@ -17,7 +18,7 @@
 
 # After this many consecutive responses with lost start commands, a machine is taken not to receive responses.
 MAX_LOST_STARTS = 3
-# Added to the lease duration as a tolerance for differences between clocks.
+# Added to the lease duration, which is extended for clock drift, as a further tolerance for clock differences.
 RECOVERY_MARGIN = seconds(1)
 
 
@@ -39,7 +40,7 @@
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info(
-                    "machine %s has let its worker lease expire; it gets no new tasks until it receives responses",
+                    "machine %s restarted or let its lease expire; it gets no new tasks until it receives responses",
                     machine.name,
                 )
                 machine.responses_lost_since = machine.responses_lost_since or now
