--- a/src/elmthread/reachability/bounds.py
+++ b/src/elmthread/reachability/bounds.py
@@ -12,7 +12,7 @@
 # Workers jitter `heartbeat_interval` by up to a quarter in either direction.
 MAX_HEARTBEAT_INTERVAL_FACTOR = 1.25
 # The largest heartbeat timeout, as a multiple of the worker lease, however long the heartbeat interval is.
-OVERDUE_LEASE_SHARE = 0.3
+MAX_HEARTBEAT_TIMEOUT_LEASES = 0.3
 # A worker whose response timeout has expired waits this much longer before it tries the next controller.
 NEXT_CONTROLLER_DELAY = seconds(1)
 # Allowance for network latency and for the time until this node reads the heartbeat.
@@ -40,7 +40,7 @@
     def heartbeat_timeout(self) -> timedelta:
         """The time since a machine's last heartbeat after which the next one is considered skipped or lost."""
         longest_interval = self.heartbeat_interval * MAX_HEARTBEAT_INTERVAL_FACTOR + HEARTBEAT_SLACK
-        return min(longest_interval, self.lease * OVERDUE_LEASE_SHARE)
+        return min(longest_interval, self.lease * MAX_HEARTBEAT_TIMEOUT_LEASES)
 
     @property
     def store_confirmed_for(self) -> timedelta:
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -39,7 +39,7 @@
         if successor.node == reachability.node:
             # The previous leader determined that this node is better connected.
             return ZERO
-        return max(backoff_delay, reachability.succession.remaining(successor))
+        return max(backoff_delay, reachability.succession.remaining_precedence(successor))
 
     def _isolation_delay(self, vacant_for: timedelta) -> timedelta:
         """Return the candidacy delay of a node that confirms no other controller and receives no heartbeats.
--- a/src/elmthread/reachability/messages.py
+++ b/src/elmthread/reachability/messages.py
@@ -14,7 +14,7 @@
 # A view that contains a link with a longer age is rejected as an error of the sender.
 MAX_AGE_S = 30 * 86400.0
 
-Count = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class LinkStatus(msgspec.Struct, omit_defaults=True):
@@ -31,9 +31,9 @@
     """A node's view of its links, with the age of each. It never makes a node the leader; only the election does."""
 
     # The sequence number of this message, which the others echo.
-    number: Count
+    number: NonNegativeInt
     # The number of the latest message received from each node.
-    echoes: dict[str, Count]
+    echoes: dict[str, NonNegativeInt]
     store: LinkStatus
     peers: dict[str, LinkStatus]
     # By zone. Empty unless the node leads, since workers report to the leader only.
@@ -42,7 +42,7 @@
     in_backoff: bool = False
     # The node that is to lead after the term `successor_fencing_token`, which this node has just ended.
     successor: str | None = None
-    successor_fencing_token: Count = 0
+    successor_fencing_token: NonNegativeInt = 0
 
 
 class InvalidViewError(ElmthreadError):
--- a/src/elmthread/reachability/succession.py
+++ b/src/elmthread/reachability/succession.py
@@ -45,6 +45,6 @@
         named = self._peer_successor
         return named if named is not None and named.fencing_token == fencing_token else None
 
-    def remaining(self, successor: Successor) -> timedelta:
+    def remaining_precedence(self, successor: Successor) -> timedelta:
         """Return how much longer the successor has precedence."""
         return max(successor.precedence_until - self._clock(), ZERO)
--- a/src/elmthread/reachability/zone_health.py
+++ b/src/elmthread/reachability/zone_health.py
@@ -67,7 +67,7 @@
                 link = self._links[zone] = Link(
                     name, self._clock, self._bounds.workers_confirmed_for, self._bounds.cut_after
                 )
-            if _majority_reports(count):
+            if _at_least_half_report(count):
                 link.confirm(oldest_heartbeat_at)
 
     def statuses(self) -> Mapping[str, LinkStatus]:
@@ -75,5 +75,5 @@
         return {zone: status_of(link) for zone, link in sorted(self._links.items())}
 
 
-def _majority_reports(count: ZoneCount) -> bool:
+def _at_least_half_report(count: ZoneCount) -> bool:
     return count.confirmed * 2 >= count.expected > 0
