--- a/src/elmthread/reachability/monitor.py
+++ b/src/elmthread/reachability/monitor.py
@@ -79,6 +79,7 @@
         first_number = secrets.randbelow(MAX_FIRST_NUMBER)
         self.exchange = ViewExchange(self.node, self.others, bounds, clock, first_number)
         self.succession = Succession(clock, bounds.successor_precedence)
+        # None while this node does not lead.
         self.term: TermEvaluator | None = None
         # Set while this node leads and has loaded the cluster state.
         self.leader_ready = asyncio.Event()
--- a/src/elmthread/workers/messages.py
+++ b/src/elmthread/workers/messages.py
@@ -9,7 +9,7 @@
 from elmthread.common.clock import seconds
 
 HEARTBEAT_PATH = "/agent/beat"
-# A worker sends its heartbeat to another controller after this long without a response.
+# A worker gives up waiting for a response after this long, and then tries another controller.
 HEARTBEAT_RESPONSE_TIMEOUT = seconds(4)
 # Exclusive upper bound of incarnations, sequence numbers, fencing tokens and attempts.
 NUMBER_LIMIT = 1 << 64
