--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -70,7 +70,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command; return 0 on success, 1 without a response or if rejected, 2 for invalid usage or settings."""
+    """Run one command; return 0 on success, 1 if it failed, or 2 if the settings or the job can't be read."""
     args = make_parser().parse_args(argv)
     logs.configure()
     if args.verb in ("serve", "check", "rollout", "links"):
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -48,7 +48,7 @@
     """The external dependencies of a controller; tests replace some of them."""
 
     clock: Clock = steady_clock
-    # None: HTTP clients for the endpoints in the platform settings.
+    # If None, an HTTP client of the endpoint in the platform settings is used; the same holds for `cloud`.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
     peer_network: type[PeerNetwork] = PeerNetwork
@@ -165,7 +165,7 @@
         """Step down, as other controllers may already write formats that this version can't read."""
         self.election.step_down(StepDownReason.INCOMPATIBLE_LEVEL)
 
-    # Messages from the other controllers
+    # Messages from and to the other controllers
 
     async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
         """Return the response to a request that another controller forwarded."""
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -51,13 +51,13 @@
 MIN_SCHEDULING_INTERVAL = seconds(0.1)
 MAX_SCHEDULING_INTERVAL = seconds(1)
 MIN_AUTOSCALING_INTERVAL = seconds(0.5)
-# How many times in a row overload may delay a round before it runs anyway.
+# How many times in a row overload may delay a round, by MIN_SCHEDULING_INTERVAL each, before it runs anyway.
 MAX_OVERLOAD_DELAYS = 20
 # Rounds that take longer are logged.
 SLOW_ROUND = seconds(0.3)
 # Length of the pause after a round, in durations of that round: leaves most of the CPU to all other work.
 PAUSE_PER_ROUND = 3
-# Share of the cloud API's rate limit that is used, and the burst in seconds of that limit.
+# Share of the cloud API's rate limit that the leader uses, and its burst: what the full limit allows in this time.
 CLOUD_RATE_SHARE = 0.9
 CLOUD_BURST_S = 1.5
 
@@ -199,7 +199,7 @@
             await asyncio.sleep(MIN_SCHEDULING_INTERVAL.total_seconds())
 
     async def _pause(self, min_pause: timedelta, started_at: timedelta) -> None:
-        """Sleep for at least `min_pause` after a round, in proportion to the round's duration."""
+        """Sleep after a round in proportion to the round's duration, but for at least `min_pause`."""
         duration = self._services.clock() - started_at
         if duration > SLOW_ROUND:
             log.info("a scheduling or autoscaling round took %.2f s", duration.total_seconds())
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -21,7 +21,7 @@
     def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
         """Begin without a leader.
 
-        `store_requests` limits the rate of this node's requests to the key-value store; a leader gets a larger share.
+        `store_requests` limits this node's requests to the key-value store; its rate is higher while this node leads.
         """
         self.services = services
         self._store_requests = store_requests
@@ -38,7 +38,7 @@
         self._peers.announce()
 
     def on_lost(self) -> None:
-        """Stop the leader of the current term: nothing more is done under its fencing token."""
+        """Stop the leader of the term that has ended: nothing more is done under its fencing token."""
         self._set_store_share(FOLLOWER_STORE_SHARE)
         if self.leader is not None:
             self.leader.stop()
@@ -55,7 +55,7 @@
         except asyncio.CancelledError:
             raise
         except IncompatibleLevelError:
-            # The gate has already logged the reason and made this node step down.
+            # The compatibility gate has already logged the reason and made this node step down.
             pass
         except Exception:
             # Another leader, which loads the cluster state anew, may not run into the same error.
@@ -73,7 +73,7 @@
         return None
 
     async def heartbeat(self, request: Request) -> Response:
-        """Return the leader's response to a worker's heartbeat, or a redirection if another node leads."""
+        """Return the leader's response to a worker's heartbeat, or a redirection if this node has no loaded leader."""
         leader = self.leader
         if leader is None or not leader.loaded:
             election, reachability = self.services.election, self.services.reachability
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -9,21 +9,25 @@
 
 # The duration of the leader's lease.
 LEADER_LEASE = seconds(2)
-# A confirmed cancellation is correct only if even an unreachable machine runs no more tasks after cancel_s:
-# the last responses of an earlier leader and the worker's lease must both fit into that time.
+# A confirmed cancellation is correct only if even an unreachable machine has ended the job's tasks after `cancel_s`.
+# An earlier leader may renew a worker's lease until its grace period ends, so the grace period, the worker's lease
+# and this slack must together fit into `cancel_s`.
 CANCEL_SLACK = seconds(4)
-# Applies even if the settings allow more: a new leader has to wait until an earlier leader's grace period is over.
+# Applies even if the settings allow more: until an earlier leader's grace period is over, a new leader must assume
+# that machines which have not reported still run that leader's tasks.
 MAX_GRACE_PERIOD = seconds(60)
-# Shares of the key-value store's rate limits; the rest is reserved for lease renewals.
+# Shares of the key-value store's rate limits that the leader and each follower may use; the rest is reserved for
+# lease renewals, which these shares do not restrict.
 LEADER_STORE_SHARE = 0.85
 FOLLOWER_STORE_SHARE = 0.1
-# Share of all connections; the rest is for this node's own requests and for the other controllers.
+# Share of the platform's `max_connections` that the HTTP server accepts; the rest is for this node's own requests and
+# for the other controllers.
 SERVER_CONNECTION_SHARE = 0.9
-# Share of the server's connections; the rest is reserved for users, whatever the workers use.
+# Share of the server's connections that workers may use; the rest is reserved for users.
 WORKER_CONNECTION_SHARE = 0.8
 MIN_CONNECTIONS = 10
 MIN_WORKER_CONNECTIONS = 5
-# Keys that the key-value store lets a transaction compare, for each operation that it allows in one.
+# The key-value store lets a transaction compare this many times as many keys as it may change (`txn_ops`).
 COMPARISONS_PER_OPERATION = 4
 
 
@@ -49,7 +53,7 @@
 
 
 def grace_period(platform: PlatformSettings) -> timedelta:
-    """Return how long workers may still be answered once the lease is no longer certain."""
+    """Return how long workers may still be answered once the leader's lease is no longer certain."""
     workers = platform.cluster.workers
     return max(
         seconds(0),
