--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -2,9 +2,9 @@
 
 The leader key is attached to a lease of the key-value store. A lease never expires early, so this node may lead
 until `ttl` after it sent (not: received the response to) the last successful renewal, minus clock drift.
-After that it may answer workers for a bounded grace period (LEASE_UNCERTAIN), so that their tasks survive an
-outage of the store. Every new leader waits for the end of that period before it treats a machine that has not
-reported as empty.
+After that it may answer workers for a grace period (LEASE_UNCERTAIN), so that their tasks survive an outage of the
+store; `grace_period.py` extends it while no other node has won a later term. Every new leader waits for the end of
+that period, and of a worker's lease after it, before it treats a machine that has not reported as empty.
 """
 
 import asyncio
@@ -42,7 +42,7 @@
 # Maximum random delay of a candidacy. If several nodes become candidates at the same time, each candidacy takes a
 # write from the store's rate limit, although only one can succeed.
 MAX_CANDIDACY_JITTER_S = 0.05
-# Renewals within the duration of a lease.
+# The duration of a lease divided by the interval between renewals, and by the timeout of one renewal.
 RENEWALS_PER_LEASE = 5
 RENEWAL_TIMEOUTS_PER_LEASE = 3
 LEADER_PAGE_SIZE = 10
@@ -81,7 +81,7 @@
         self.highest_seen_token = 0
         self.leader: str | None = None
         self._lease_certain_until = ZERO
-        # The latest time at which all other nodes have confirmed that they had won no later term.
+        # When the other nodes were last asked and all confirmed that they had won no later term than this node's.
         self._no_later_term_at = ZERO
         # The last term that this process itself has read from the store or won, and whether it is a candidate now.
         self._last_stored_token = 0
@@ -104,7 +104,7 @@
         return self.role is Role.LEADING
 
     def may_answer_workers(self) -> bool:
-        """Return whether workers may be answered: the lease certainly holds, or the grace period is not over."""
+        """Return whether the lease holds or the grace period lasts, so that workers may be answered; else step down."""
         if self.holds_lease():
             return True
         grace_start = max(self._lease_certain_until, self._no_later_term_at)
@@ -120,16 +120,17 @@
         """Return whether no process of this node can have won a later term than that of the token.
 
         A process knows the terms that it has won itself. An earlier process of the node won its terms before this
-        one started, so they are no later than any term that this process has read from the store or won: the key
-        held the newest term at that time. A process that has found no term yet confirms nothing.
+        one started, so they are no later than any term that this process has read from the store or won: the leader
+        key held the newest term at that time. A process that has found no term yet, or is a candidate and may be
+        winning a term now, confirms nothing.
         """
         return not self._is_candidate and self._last_stored_token > 0 and self.highest_seen_token <= fencing_token
 
     def confirm_no_later_term(self, fencing_token: int, asked_at: timedelta) -> None:
         """Record that all other nodes, asked at `asked_at`, have confirmed that they have won no later term.
 
-        Any later term thus begins after `asked_at`. The time for which a new leader waits for an earlier one, and
-        the time that a confirmed cancellation allows for, count from then on.
+        Any later term thus begins after `asked_at`. So do the time for which its leader waits for an earlier one, and
+        the time in which a cancellation that it confirms must take effect: the grace period may start at `asked_at`.
         """
         if self.fencing_token == fencing_token:
             self._no_later_term_at = max(self._no_later_term_at, asked_at)
@@ -181,8 +182,9 @@
         self._vacant_since = None
         record = read_leader_record(item)
         if record.node == self._node:
-            # A node runs one process at a time, so the process of this record has ended and its lease can be revoked.
-            log.info("revoking the lease of an earlier process of this node")
+            # The record was written by an earlier process of this node, which has ended, as a node runs one process at
+            # a time, or for a term or candidacy of this process that is over.
+            log.info("revoking the lease of an earlier term or candidacy of this node")
             await self._store.revoke_lease(record.lease_id)
             return
         self.observe_term(item.mod_revision, record.node)
@@ -219,7 +221,7 @@
             await self._keep_lease(lease_id)
 
     async def _win_term(self) -> int | None:
-        """Try to write the leader key; return the lease if this node has won the term, else None."""
+        """Try to write the leader key; return the id of its lease if this node has won the term, else None."""
         sent_at = self._clock()
         lease_id = await self._store.grant_lease(self.settings.ttl)
         nonce = secrets.token_hex(8)
--- a/src/elmthread/leadership/grace_period.py
+++ b/src/elmthread/leadership/grace_period.py
@@ -12,14 +12,14 @@
 
 
 class TermConfirmations(Protocol):
-    """Requests that ask other controllers which terms they have won."""
+    """Requests that ask other controllers whether they have won a later term."""
 
     async def confirms_no_later_term(self, node: str, fencing_token: int) -> bool:
         """Return whether a node confirms that it has won no later term than that of the token."""
 
 
 class GracePeriodExtension:
-    """Asks the other nodes for their terms while the lease is uncertain.
+    """Asks the other nodes whether they have won a later term while the lease of this node is uncertain.
 
     As long as all of them confirm that they have won no later term, this node may keep answering workers. During an
     outage of the key-value store no node can win, so this lasts for the whole outage and no work is lost. If one of
--- a/src/elmthread/leadership/listener.py
+++ b/src/elmthread/leadership/listener.py
@@ -10,4 +10,4 @@
         """Start the work of the term of that fencing token."""
 
     def on_lost(self) -> None:
-        """Stop the work of the current term: nothing more may be done under its fencing token."""
+        """Stop the work of the term that has ended: nothing more may be done under its fencing token."""
