--- a/src/elmthread/rollout/activation.py
+++ b/src/elmthread/rollout/activation.py
@@ -1,4 +1,4 @@
-"""Decides whether the active level may be raised and which nodes prevent it; a pure function of a `RolloutView`."""
+"""Decides from a `RolloutView` whether the active compatibility level may be raised, or which nodes prevent it."""
 
 from collections.abc import Iterator
 from enum import Enum
@@ -34,13 +34,13 @@
 
 
 class Wait(msgspec.Struct, frozen=True):
-    """The level is not raised because of these nodes, or because there is no higher level if there are none."""
+    """The level is not raised: because of the obstacles or, without any, because this version has no higher level."""
 
     obstacles: tuple[Obstacle, ...] = ()
 
 
 class Activate(msgspec.Struct, frozen=True):
-    """The level may be raised if the records still have the view's revisions when the transaction is applied."""
+    """The level may be raised to `level`, by a transaction that compares these revisions of the records."""
 
     level: int
     level_mod_revision: int
@@ -48,7 +48,7 @@
 
 
 def plan_activation(view: RolloutView, members: frozenset[str], supported: SupportedLevels) -> Activate | Wait:
-    """Return the highest level that all members support and none is held below, or the obstacles to a higher one."""
+    """Return an activation of the highest level that all members support and allow, or what prevents a higher one."""
     readable: dict[str, Announcement] = {}
     obstacles: list[Obstacle] = []
     for node in sorted(members):
@@ -92,7 +92,7 @@
 
 
 def _level_obstacles(readable: dict[str, Announcement], target_level: int) -> Iterator[Obstacle]:
-    """Yield an obstacle for each node that does not allow the wanted level."""
+    """Yield an obstacle for each node that does not support or allow the target level."""
     for node, announcement in readable.items():
         if announcement.levels.highest < target_level:
             detail = f"levels {announcement.levels.lowest} to {announcement.levels.highest}"
--- a/src/elmthread/rollout/gate.py
+++ b/src/elmthread/rollout/gate.py
@@ -1,9 +1,10 @@
 """Admits a process to the cluster only once its levels are announced and it can read the active one.
 
 The announcement is written before the process serves, is a candidate or reads jobs. Its transaction compares the
-record of the active level, so either the activation sees the announcement, or the process sees the level. It also
-compares the node's previous announcement and is sent at every start, even with the same content: a delayed
-transaction of an earlier process of this node then fails, however late it arrives.
+record of the active level: if a leader raises the level at the same time, either the leader's transaction finds the
+announcement changed, or the process reads the new level. It also compares the node's previous announcement and is
+sent at every start, even with the same content: a delayed transaction of an earlier process of this node then fails,
+however late it arrives.
 """
 
 import asyncio
@@ -134,7 +135,7 @@
         except IncompatibleLevelError:
             return
         else:
-            # The process may have been refused meanwhile, as a leader has announced a higher level.
+            # The process may have been refused meanwhile, as a leader has announced a level that it can't read.
             if self.state is GateState.ANNOUNCING:
                 self._set_state(GateState.ADMITTED)
                 self._admission.set()
@@ -149,7 +150,8 @@
             return
         own_announcement = view.announcements.get(self._membership.node)
         if isinstance(own_announcement, Announcement) and own_announcement.process == self.process:
-            # Written by a transaction whose response was lost. If it is applied again, it fails on this revision.
+            # Written before this process was refused, or by a transaction whose response was lost. If that one is
+            # applied again, it fails, as the revision that it compares has changed.
             return
         await self._write_announcement(view, 0 if own_announcement is None else own_announcement.mod_revision)
         log.info("levels %s to %s are announced", self._supported.lowest, self._supported.highest)
@@ -164,7 +166,7 @@
             hold_at=self._settings.hold_at,
         )
         key = records.node_key(self._membership.node)
-        # Without the first comparison a process could start unnoticed during an activation.
+        # Without the first comparison, this process could be missed by a leader that raises the level meanwhile.
         comparisons = [
             store_messages.compare(records.LEVEL_KEY, view.level_mod_revision),
             store_messages.compare(key, own_mod_revision),
--- a/src/elmthread/rollout/records.py
+++ b/src/elmthread/rollout/records.py
@@ -1,9 +1,9 @@
 """The rollout's records in the key-value store.
 
 `rollout/nodes/NODE` is a controller's announcement and the only record besides the leader key that a
-follower writes. `rollout/level` is the active level, written by the leader. Versions that know no levels
-read neither prefix. The fence is a record that keeps those versions from leading with formats that they would misread:
-it is stored in the record pages under a key that they do read, in a format that they reject.
+follower writes. `rollout/level` is the active level, written by the leader. Versions that know no levels read
+neither. The fence is a record that keeps those versions from leading with formats that they would misread: it is
+stored in the record pages under a key that they do read, in a format that they reject.
 """
 
 from collections.abc import Iterable
@@ -35,6 +35,7 @@
     members: list[str]
     # Identifies the process: distinguishes its record from an earlier one with the same content.
     process: str
+    # Unix time in seconds.
     announced_at: float
     hold_at: Level | None = None
 
--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -1,4 +1,4 @@
-"""The leader's part of a rollout, for one term: reads the active level, raises it, and writes the fence.
+"""The leader's part of a rollout, for one term: reads and raises the active level, and writes the fence (`records.py`).
 
 The level is raised by one transaction that compares the fencing token, the record of the level and each member's
 announcement. New formats are written only after that, and only once the fence is durable. Versions without levels
@@ -43,7 +43,8 @@
     features: ActiveFeatures
     # How many keys one transaction may compare.
     max_comparisons: int
-    # Returns the id of the process that another node runs now; raises PeerUnreachableError.
+    # Returns the id of the process that another node runs now, or None if its version does not support the request;
+    # raises PeerUnreachableError.
     get_process: Callable[[str], Awaitable[str | None]]
 
     @property
@@ -147,7 +148,7 @@
         ]
         if len(comparisons) > self._rollout.max_comparisons:
             log.error(
-                "%s controllers are more than one transaction can compare: the level is not raised",
+                "%s controllers are more than one transaction can compare: the compatibility level is not raised",
                 len(comparisons) - 2,
             )
             await asyncio.sleep(RECHECK_INTERVAL.total_seconds())
--- a/src/elmthread/rollout/view.py
+++ b/src/elmthread/rollout/view.py
@@ -14,6 +14,7 @@
     members: frozenset[str]
     mod_revision: int
     process: str = ""
+    # Unix time in seconds.
     announced_at: float = 0.0
     # Set by an operator: no level above this one may be activated.
     hold_at: int | None = None
