--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -50,7 +50,7 @@
         return await self._forward(leader, request)
 
     async def handle_peer_request(self, request: ForwardedRequest) -> ForwardedResponse:
-        """Return the response to another node's request, which carries the fencing token of its term."""
+        """Return the response to another node's request; a user's request is executed only in the term it names."""
         if request.verb == RequestVerb.CONFIRM_NO_LATER_TERM:
             confirmed = self._node.election.has_won_no_later_term(request.fencing_token)
             return _make_reply(request, Response(200 if confirmed else 503))
--- a/src/elmthread/api/job_service.py
+++ b/src/elmthread/api/job_service.py
@@ -36,7 +36,7 @@
         leases: WorkerLeases,
         limits: RequestLimits,
     ) -> None:
-        """Initialize with `leases`, which bounds when an unreachable machine has ended its tasks."""
+        """Initialize with `leases`, which tells by when an unreachable machine has ended its tasks."""
         self._term = context.term
         writes = JobWrites(context, limits.max_waiting)
         self._status = StatusReporter(context, leases, limits.cancellation_time)
--- a/src/elmthread/api/node.py
+++ b/src/elmthread/api/node.py
@@ -22,5 +22,5 @@
     gate: CompatibilityGate
     overload_control: OverloadControl
     clock: Clock
-    # Returns the service of the current term while this node is the leader and its state is loaded, else None.
+    # Returns the service of the current term if this node's leader lease is valid and its state is loaded, else None.
     leading_service: Callable[[], JobService | None]
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -9,8 +9,8 @@
 
 # A node that can't reach the leader becomes unready after this time, as other nodes may still reach it.
 UNREACHABLE_LEADER_GRACE = seconds(2.8)
-# Without a leader all nodes are equally unable to serve. A node that the load balancer has taken out of service
-# would stay out for a while after a leader is elected.
+# Without a leader all nodes are equally unable to serve, so they stay ready for longer: a node that the load balancer
+# has taken out of service would stay out for a while after a leader is elected.
 NO_LEADER_GRACE = seconds(60)
 
 
--- a/src/elmthread/api/status.py
+++ b/src/elmthread/api/status.py
@@ -41,9 +41,9 @@
     def respond(self, job: Job, status: int, job_status: JobStatus) -> Response:
         """Return the response with the job's status, or one that asks for a retry while the status can't be sent.
 
-        Once a cancellation has been confirmed to a user, all tasks must end within `cancel_s`. The tasks on an
-        unreachable machine have ended once its worker lease has expired, including every renewal by this or an
-        earlier leader. While that may be too late, the cancellation is not confirmed. The previous status is not
+        Once a cancellation has been confirmed to a user, all tasks must end within the cancellation time. The
+        tasks on an unreachable machine have ended once its worker lease has expired, including every renewal by this
+        or an earlier leader. While that may be too late, the cancellation is not confirmed. The previous status is not
         sent either, as an earlier leader may have confirmed the cancellation.
         """
         if job.durable_state is not JobState.CANCELLED:
--- a/src/elmthread/net/connections.py
+++ b/src/elmthread/net/connections.py
@@ -55,7 +55,7 @@
         return len(self._open)
 
     def open(self, writer: asyncio.StreamWriter) -> Connection | None:
-        """Add a connection and return it, or return None if the limit is reached."""
+        """Add a connection and return it, or return None if `max_connections` are open and none of them is stale."""
         now = self._clock()
         if len(self._open) >= self._max_connections and not self._evict_stale(now):
             self._record_refusal(self._max_connections)
@@ -89,7 +89,7 @@
         connection.expires_at = min(connection.expires_at, self._clock() + REQUEST_TIMEOUT)
 
     def request_received(self, connection: Connection) -> None:
-        """Record that a request has been received completely."""
+        """Record that a request has been received completely; the response must be sent within IDLE_TIMEOUT."""
         connection.expires_at = self._clock() + IDLE_TIMEOUT
 
     def response_sent(self, connection: Connection) -> None:
@@ -111,7 +111,7 @@
             connection.writer.transport.abort()
 
     def _evict_stale(self, now: timedelta) -> bool:
-        """Close the limited connection that has been idle longest, if for at least half of its idle timeout.
+        """Close the limited connection idle for longest, if for half its idle timeout or more; return whether it was.
 
         Clients that lost the network or were restarted leave stale connections behind and open new ones.
         """
--- a/src/elmthread/net/http_parser.py
+++ b/src/elmthread/net/http_parser.py
@@ -40,7 +40,7 @@
         self._target = b""
         self._body: list[bytes] = []
         self._body_size = 0
-        # Bytes received since the last complete head.
+        # Bytes received since the last head or request was complete; limited while a head is being received.
         self._head_size = 0
         self._in_body = False
 
--- a/src/elmthread/net/http_server.py
+++ b/src/elmthread/net/http_server.py
@@ -33,7 +33,7 @@
 
     async def start(self, host: str, port: int) -> int:
         """Start listening and return the port. Raises OSError."""
-        # All workers may connect at once while the event loop is busy, so the backlog is as large as the limit.
+        # All workers may connect at once while the event loop is busy, so the backlog is as large as `max_connections`.
         self._server = await asyncio.start_server(
             self._serve, host, port, limit=MAX_READ_BYTES, backlog=self._max_connections
         )
