--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -75,14 +75,14 @@
         self._peer_requests = PeerRequests(self.peers)
         self.reachability = self._make_reachability()
         store_rps = platform.cluster.store.strictest().rps * FOLLOWER_STORE_SHARE
-        store_requests = TokenBucket(store_rps, store_rps, self.clock)
+        store_rate_limit = TokenBucket(store_rps, store_rps, self.clock)
         self.store = KeyValueStore(
-            environment.store or HttpClient(platform.endpoints.store), store_requests, self.reachability.store
+            environment.store or HttpClient(platform.endpoints.store), store_rate_limit, self.reachability.store
         )
         self.rollout = self._make_rollout()
         self.overload_control = OverloadControl(self.clock)
         self.election = self._make_election()
-        self.leader_runner = LeaderRunner(self._make_node_services(), store_requests, self.peers)
+        self.leader_runner = LeaderRunner(self._make_node_services(), store_rate_limit, self.peers)
         self.election.add_listener(self.leader_runner)
         self._grace_period_extension = GracePeriodExtension(
             self.election, [peer.node for peer in platform.peers], self._peer_requests, self.clock
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -18,13 +18,13 @@
 class LeaderRunner:
     """Starts and stops the leader of each of this node's terms; a `leadership.listener.LeadershipListener`."""
 
-    def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
+    def __init__(self, services: NodeServices, store_rate_limit: TokenBucket, peers: PeerConnections) -> None:
         """Begin without a leader.
 
-        `store_requests` limits this node's requests to the key-value store; its rate is higher while this node leads.
+        `store_rate_limit` limits this node's requests to the key-value store; its rate is higher while this node leads.
         """
         self.services = services
-        self._store_requests = store_requests
+        self._store_rate_limit = store_rate_limit
         self._peers = peers
         self.leader: Leader | None = None
         self.task: asyncio.Task[None] | None = None
@@ -64,7 +64,7 @@
 
     def _set_store_share(self, share: float) -> None:
         rate = self.services.platform.cluster.store.strictest().rps * share
-        self._store_requests.rate = self._store_requests.burst = rate
+        self._store_rate_limit.rate = self._store_rate_limit.burst = rate
 
     def leading_service(self) -> JobService | None:
         """Return the leader's job service if its lease certainly holds and the cluster state is loaded, else None."""
