--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -132,7 +132,7 @@
         await self._store.watch(records.PREFIX, stored.revision, pause)
 
     async def _activate(self, plan: Activate) -> None:
-        obstacles = await self._other_processes(plan)
+        obstacles = await self._process_obstacles(plan)
         if obstacles:
             self._planned = None
             self._log_obstacles(obstacles)
@@ -165,7 +165,7 @@
             return
         self._on_activated(plan.level)
 
-    async def _other_processes(self, plan: Activate) -> tuple[Obstacle, ...]:
+    async def _process_obstacles(self, plan: Activate) -> tuple[Obstacle, ...]:
         """Return an obstacle for each node that responds with another process id than it has announced.
 
         A node that was rolled back to a version without levels announces nothing, so its earlier announcement is
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -203,7 +203,7 @@
         mark_tasks_done,
     ),
     "processes are not asked which they are": (
-        lambda: mock.patch.object(TermRollout, "_other_processes", mock.AsyncMock(return_value=())),
+        lambda: mock.patch.object(TermRollout, "_process_obstacles", mock.AsyncMock(return_value=())),
         roll_back_unannounced,
     ),
     "every process is admitted": (
