--- a/src/elmthread/net/connections.py
+++ b/src/elmthread/net/connections.py
@@ -111,7 +111,7 @@
             connection.writer.transport.abort()
 
     def _evict_stale(self, now: timedelta) -> bool:
-        """Close the limited connection idle for longest, if for half its idle timeout or more; return whether it was.
+        """Close the limited connection idle for longest and return True, or False if none is idle for half its timeout.
 
         Clients that lost the network or were restarted leave stale connections behind and open new ones.
         """
