--- a/src/elmthread/rollout/term.py
+++ b/src/elmthread/rollout/term.py
@@ -148,7 +148,7 @@
         ]
         if len(comparisons) > self._rollout.max_comparisons:
             log.error(
-                "%s controllers are more than one transaction can compare: the compatibility level is not raised",
+                "%s controllers are more than one transaction can compare: the level is not raised",
                 len(comparisons) - 2,
             )
             await asyncio.sleep(RECHECK_INTERVAL.total_seconds())
