--- a/src/elmthread/cluster/allocation.py
+++ b/src/elmthread/cluster/allocation.py
@@ -40,8 +40,8 @@
 class StopMode(Enum):
     """How a task is to be stopped."""
 
-    CHECKPOINT = auto()
-    KILL = auto()
+    CHECKPOINT = auto()  # with time to write a checkpoint, if its job makes checkpoints
+    KILL = auto()  # immediately
 
 
 @dataclass(slots=True, eq=False, repr=False)
--- a/src/elmthread/cluster/catalog.py
+++ b/src/elmthread/cluster/catalog.py
@@ -7,6 +7,7 @@
 from elmthread.cluster.state import ClusterState
 from elmthread.store.machine_type import MachineType
 
+# Lower bound of a type's image fetch rate, as placement divides image sizes by it.
 MIN_FETCH_GB_PER_S = 0.001
 
 
--- a/src/elmthread/cluster/events.py
+++ b/src/elmthread/cluster/events.py
@@ -1,9 +1,9 @@
-"""Events that wake the leader's loops: changes that decisions may act on, and shortages of machines."""
+"""Events that wake the leader's scheduling and autoscaling loops."""
 
 import asyncio
 
-# Event loop iterations until the response to a request whose change has just become durable has been sent. The
-# scheduling round that the change triggers takes longer than these iterations, so it is delayed until then.
+# Within this many event loop iterations after a user's change has become durable, the response to the user is sent.
+# The scheduling round that the change triggers takes longer than these iterations, so it starts after them.
 LOOP_ITERATIONS_BEFORE_ROUND = 6
 
 
@@ -25,12 +25,12 @@
         self.capacity_short.set()
 
     def notify_jobs_changed(self) -> None:
-        """Signal that a job was submitted or ended; decisions start once its response has been sent."""
+        """Signal that a job was submitted or cancelled; both loops are woken once the user's response has been sent."""
         self._jobs_changed = True
         self._notify_after(LOOP_ITERATIONS_BEFORE_ROUND)
 
     def take_jobs_changed(self) -> bool:
-        """Return whether a job was submitted or ended since the last call."""
+        """Return whether a job was submitted or cancelled since the last call."""
         changed, self._jobs_changed = self._jobs_changed, False
         return changed
 
--- a/src/elmthread/cluster/health.py
+++ b/src/elmthread/cluster/health.py
@@ -1,10 +1,10 @@
 """Attributes task failures to the machine or to the job.
 
-A machine is quarantined when tasks of different jobs fail on it, or when a job fails on it that runs
-elsewhere. A job that fails on several machines, and runs well on no more machines than it fails on, is itself
-suspect: it is retried with exponential backoff, and no machine is quarantined. In both cases the job avoids, for
-a while, the machines on which it has failed: a machine on which tasks fail immediately always has free capacity
-and would be given the same tasks again.
+A machine is quarantined when tasks of different jobs fail on it, or when a job that runs elsewhere fails on it
+repeatedly. A job that has completed no task, fails on several machines, and runs well on no more machines than it
+fails on, is itself suspect: it is retried with exponential backoff, and no machine is quarantined. In both cases the
+job avoids, for a while, the machines on which it has failed: a machine on which tasks fail immediately always has
+free capacity and would be given the same tasks again.
 """
 
 from datetime import timedelta
@@ -18,9 +18,11 @@
 MIN_BACKOFF = seconds(2)
 MAX_BACKOFF = seconds(120)
 REFUSAL_BACKOFF = seconds(1)
-# A job that has failed on at least this many machines, and runs well on no more than it failed on, is suspect.
+# A job without a completed task is suspect if it has failed on at least this many machines, and runs well on no more
+# machines than it has failed on.
 MACHINES_FOR_SUSPECT_JOB = 3
-# A machine is quarantined once this many jobs have failed on it, or one that runs elsewhere has failed this often.
+# A machine is quarantined once this many jobs have failed on it, or once a job that runs elsewhere has failed on it
+# this many times.
 FAILURES_FOR_QUARANTINE = 2
 # A task that has run for this long counts as started successfully.
 START_UP_TIME = seconds(3)
@@ -63,9 +65,9 @@
 
 
 def record_replica_end(allocation: Allocation, now: timedelta) -> None:
-    """Record that a replica ended without being stopped, which is not attributed to the machine.
+    """Record the end of a replica that completed or had run steadily, which is not attributed to the machine.
 
-    It is restarted immediately, or with backoff if it ended soon after its start.
+    It is restarted immediately if it had run steadily, and otherwise with backoff.
     """
     if has_run_steadily(allocation, now):
         allocation.job.backoff = ZERO
--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -54,6 +54,7 @@
     submission_time: datetime
     submitted_at: timedelta
     policy: InitVar[JobPolicy]
+    # Number of tasks that one stored record of done tasks covers.
     tasks_per_chunk: int
 
     id: str = field(init=False)
@@ -119,7 +120,7 @@
         if new is not JobState.OPEN:
             self.pending_tasks.clear()
         if new is JobState.DONE:
-            # Done jobs are never removed, so the bitmap of their tasks is dropped.
+            # Done jobs are never removed, so the bitmap of their tasks is dropped to save memory.
             self.done_bits = bytearray()
 
     def is_done(self, task: int) -> bool:
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -16,11 +16,11 @@
 
     def __init__(self, objectives: list[Objective]) -> None:
         """Index `objectives` by class, leaving out those without a class or of a kind that sets no time or factor."""
-        # Target times for the completion of jobs.
+        # Target times from the submission to the completion of batch jobs.
         self._end_times_s: dict[str, list[float]] = {}
         # The latest completion of a job, as a multiple of its own deadline.
         self._deadline_factors: dict[str, float] = {}
-        # Target times for the start of replicas.
+        # Target times from the submission to the start of replicas.
         self._start_times_s: dict[str, float] = {}
         for objective in objectives:
             if objective.job_class:
@@ -36,7 +36,7 @@
             self._deadline_factors[job_class] = max(objective.times, self._deadline_factors.get(job_class, 1.0))
 
     def target_time_s(self, spec: JobSpec) -> float:
-        """Return the target time for the start of a service or the completion of a batch job; 0 if there is none."""
+        """Return the time after submission by which a service is to start or a batch job to end; 0 if there is none."""
         if spec.form == SERVICE:
             return self._start_times_s.get(spec.job_class, 0.0)
         return min(self._end_times_s.get(spec.job_class, [0.0]))
@@ -62,7 +62,7 @@
         self._objectives = ClassObjectives(cluster.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Create an open job; `submitted_at` is by this process's clock, `submission_time` defaults to now."""
+        """Create an open job, submitted at `submitted_at` (monotonic) and `submission_time` (wall clock, by default now)."""
         tasks_per_chunk = self._tasks_per_chunk
         if self._features.is_active(Feature.DONE_BITMAPS):
             tasks_per_chunk = self._tasks_per_bitmap_chunk
--- a/src/elmthread/cluster/leases.py
+++ b/src/elmthread/cluster/leases.py
@@ -20,8 +20,8 @@
     def expires_by(self, machine: Machine) -> timedelta:
         """Return the latest time at which the machine's lease can expire, if no response reaches it from now on.
 
-        An earlier leader may have renewed it until that leader's own lease ended. For a machine that has sent
-        no heartbeat to this leader, the worker lease is counted from there.
+        An earlier leader may have renewed it until that leader's own lease ended. For a machine that is not
+        confirmed to be up in this term, the worker lease is counted from that time on.
         """
         if machine.last_response_at is None:
             return self._unconfirmed_until
--- a/src/elmthread/cluster/machine.py
+++ b/src/elmthread/cluster/machine.py
@@ -33,7 +33,8 @@
 }
 
 
-# How long a new leader counts unconfirmed machines as capacity: about the time until their first heartbeat.
+# How long a new leader counts unconfirmed machines as capacity, and not as silent: about the time until their first
+# heartbeat.
 FIRST_HEARTBEAT_GRACE = seconds(8)
 
 
@@ -50,7 +51,10 @@
 
 
 class HeartbeatId(NamedTuple):
-    """Identifies a heartbeat of a machine; a later heartbeat compares as greater."""
+    """Identifies a heartbeat of a machine; a later heartbeat compares as greater.
+
+    A worker whose lease has expired ends its tasks and starts its next incarnation.
+    """
 
     incarnation: int
     sequence: int
@@ -67,6 +71,7 @@
     name: str
     kind: InstanceKind
     state: MachineState
+    # When it was added; for a machine adopted from the cloud's list, when the cloud created it.
     first_seen_at: timedelta
 
     # The fields of `kind`, for fast access.
@@ -98,11 +103,11 @@
     # Images in its cache, with their sizes in GB.
     cached_images: dict[str, float] = field(default_factory=dict)
 
-    # The last heartbeat, and when it was received.
+    # The last heartbeat, when it was received, and when the first one of its incarnation was.
     last_heartbeat_id: HeartbeatId = NO_HEARTBEAT
     last_heartbeat_at: timedelta | None = None
     incarnation_since: timedelta = field(init=False)
-    # The incarnation whose lease has expired: its heartbeats are ignored.
+    # The last incarnation whose lease has expired: heartbeats of it and of earlier ones are ignored.
     expired_incarnation: int = 0
     # Its heartbeat is overdue: it may be hung or down, so it gets no new tasks.
     heartbeat_overdue: bool = False
@@ -115,17 +120,18 @@
     # Since when there is evidence that responses to the machine get lost. Heartbeats alone do not prove that
     # commands arrive, so the machine gets no new tasks until its heartbeats show that responses do.
     responses_lost_since: timedelta | None = None
-    # Number of consecutive start commands that were sent and did not arrive.
+    # Number of consecutive responses whose start commands were lost.
     undelivered_starts: int = 0
 
     idle_since: timedelta = field(init=False)
     # When the cloud is going to interrupt the spot instance.
     interruption_at: timedelta | None = None
+    # Requested for deferrable (not urgent) tasks that would be late; deleted once these no longer need it.
     in_deferrable_pool: bool = False
     # Draining: gets tasks only where no other machine has room.
     draining: bool = False
     draining_since: timedelta | None = None
-    # Kept in reserve for services that may not run on spot instances: not deleted when idle.
+    # Kept in reserve for services that may not run on spot instances: neither drained nor deleted when idle.
     reserved: bool = False
     failures_by_job: dict[str, int] = field(default_factory=dict)
     # Considered faulty: gets no new tasks.
--- a/src/elmthread/cluster/state.py
+++ b/src/elmthread/cluster/state.py
@@ -48,7 +48,7 @@
         machine.record_bytes = self._empty_record_bytes(machine)
 
     def record_bytes_left(self, machine: Machine) -> int:
-        """Return the bytes left for more assignments; negative if the limit on values has been lowered since."""
+        """Return the bytes left in its record for more assignments; negative if the store's value limit was lowered."""
         return self.max_record_bytes - machine.record_bytes
 
     def add_job(self, job: Job) -> None:
@@ -79,7 +79,10 @@
         return allocation
 
     def release(self, allocation: Allocation, now: timedelta) -> None:
-        """Release an allocation whose task is proven to be off the machine; without another, the task is pending."""
+        """Release an allocation whose task is proven not to be on the machine.
+
+        The task is pending again if it has no other allocation and is still to be done.
+        """
         machine, job, task = allocation.machine, allocation.job, allocation.task
         del machine.allocations[allocation.attempt]
         del job.allocations[allocation.attempt]
