--- a/src/elmthread/persistence/assignments.py
+++ b/src/elmthread/persistence/assignments.py
@@ -47,7 +47,7 @@
                 del self._durable_events[machine.name]
 
     def _mark_committed(self, machine: Machine, planned: list[Allocation]) -> None:
-        """Mark the allocations in the written record as committed; newer ones are part of a later record."""
+        """Mark the allocations for which the write was queued as committed; newer ones follow with a later call."""
         for allocation in planned:
             if (
                 allocation.state is AllocationState.PLANNED
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -51,7 +51,7 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether the records of the level are read; the fence is always read."""
+        """Whether the records under `rollout/`, which hold the active level, are read; the fence (`load`) always is."""
 
     def load(self, items: Iterable[messages.KeyValue], packed_records: Mapping[str, Any], /) -> None:
         """Read the active level from `items` and the compatibility fence from `packed_records`.
@@ -104,11 +104,11 @@
 
     async def _read_newest_records(self) -> dict[str, Any]:
         """Return the newest version of each record, by key."""
-        level = await self._read_all(records.ROLLOUT_PREFIX) if self._level.enabled else []
+        rollout_records = await self._read_all(records.ROLLOUT_PREFIX) if self._level.enabled else []
         pages = await self._read_all(PAGE_PREFIX)
         newest_records = self._pages.load((item.key, item.value, item.mod_revision) for item in pages)
         # No other record may be interpreted if this process does not support the level.
-        self._level.load(level, newest_records)
+        self._level.load(rollout_records, newest_records)
         newest_records.pop(records.COMPATIBILITY_FENCE_KEY, None)
         if records.LAYOUT_KEY not in newest_records:
             await self._migrate_earlier_layout(newest_records)
@@ -157,7 +157,7 @@
         return (await read_prefix(self._read_page, prefix, READ_PAGE_SIZE)).items
 
     async def _read_page(self, prefix: str, after: str | None, page_size: int) -> messages.RangePage:
-        """Return one page, retrying until the key-value store responds."""
+        """Return one page of the keys under the prefix, retrying until the key-value store responds."""
         while True:
             try:
                 return await self._store.read_page(prefix, after, page_size)
--- a/src/elmthread/persistence/records.py
+++ b/src/elmthread/persistence/records.py
@@ -18,9 +18,9 @@
         return JobRecord(job.state.value, job.task_count)
     spec = job.spec
     if job.state is JobState.CANCELLED:
-        # Its tasks may stay on machines for a while, so their resources and their team's quota must outlive
-        # the leader. Where they may run no longer matters: without its list of machine types, the record is
-        # small enough to be written even where the limit on values has been lowered.
+        # Its tasks may stay on machines for a while, and a new leader must count their resources and its team's
+        # usage. Where they may run no longer matters: without its list of machine types, the record is small
+        # enough to be written even after the store's limit on values has been lowered.
         spec = msgspec.structs.replace(spec, job_class="-", image="-", machine_types=None, zone=None)
     return JobRecord(job.state.value, job.task_count, job.submission_time.timestamp(), job.tasks_per_chunk, spec)
 
