--- a/src/elmthread/common/clock.py
+++ b/src/elmthread/common/clock.py
@@ -7,7 +7,7 @@
 Clock = Callable[[], timedelta]
 
 ZERO = timedelta()
-# The clock rates of two machines differ by at most 0.05%; twice that covers both directions.
+# The clock rates of two machines differ by at most 0.05% in either direction; the allowance is twice that.
 DRIFT_ALLOWANCE = 0.001
 
 
--- a/src/elmthread/common/overload.py
+++ b/src/elmthread/common/overload.py
@@ -23,9 +23,9 @@
 class WorkClass(IntEnum):
     """Classes of work, in the order in which they are refused."""
 
-    SCHEDULING_ROUND = 0
+    SCHEDULING_ROUND = 0  # also autoscaling rounds; the leader delays them
     SUBMISSION = 1
-    STATUS_REQUEST = 2
+    STATUS_REQUEST = 2  # also cancellations
 
 
 # A class is refused while the loop's delay is above this. Users wait 5 s for a submission and 2 s for
