--- a/src/elmthread/store/bitmaps.py
+++ b/src/elmthread/store/bitmaps.py
@@ -1,7 +1,7 @@
 """Compressed bitmaps as Base64 text: sparse ones as the indexes of their set bits, dense ones bit by bit.
 
-Tasks of a job complete roughly in order, so a chunk is mostly empty at first and mostly full later. The rarer
-of the two bit values is stored, so a full chunk is as small as an empty one.
+Tasks of a job complete roughly in order, so the bitmap of a chunk of them is mostly 0 at first and mostly 1 later.
+The rarer of the two bit values is stored, so a full chunk is as small as an empty one.
 """
 
 import base64
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -174,7 +174,7 @@
             response = await self._caller.call(method, path, body, timeout=timeout)
         except NoResponseError as error:
             raise UnknownOutcomeError(str(error)) from error
-        # A rejection does not prove execution.
+        # A request refused with status 429 or 503 was not executed.
         if self._observer is not None and began is not None and response.status not in (429, 503):
             self._observer.confirm(began)
         if response.status == 429:
--- a/src/elmthread/store/job_spec.py
+++ b/src/elmthread/store/job_spec.py
@@ -64,6 +64,7 @@
     # The machine types and the zone in which tasks may run; any if None.
     machine_types: list[Name] | None = None
     zone: Name | None = None
+    # Time after submission by which the job is to be done.
     deadline_s: Amount | None = None
 
     @property
--- a/src/elmthread/store/machine_records.py
+++ b/src/elmthread/store/machine_records.py
@@ -20,6 +20,7 @@
     machine_type: str
     zone: str
     spot: bool
+    # Whether the machine belongs to the deferrable pool; likewise in `AssignmentRunsRecord`.
     pool: bool = False
     # job id -> task, attempt, task, attempt, ...
     holds: dict[str, list[int]] = {}
--- a/src/elmthread/store/machine_type.py
+++ b/src/elmthread/store/machine_type.py
@@ -9,8 +9,8 @@
 ):
     """A machine type as the cloud describes it.
 
-    Prices are per hour, `boot_s` is the time in seconds until a new machine sends heartbeats, and
-    `cache_gb` is the disk space for cached images.
+    Prices are per hour, `boot_s` is the time in seconds until a new machine sends heartbeats,
+    `fetch_gb_per_s` is the rate at which it fetches images, and `cache_gb` is the disk space for cached images.
     """
 
     name: str
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -12,8 +12,8 @@
 log = logging.getLogger(__name__)
 
 MAX_TRANSACTION_BYTES = 60 * 1024
-# How long each transaction writes one record after a transaction was rejected, or one page after a
-# transaction exceeded the store's rate limit.
+# For this long after the store has rejected a transaction, each transaction writes only one record; after one has
+# exceeded the store's rate limit, each writes only one page.
 ISOLATION_TIME = seconds(30)
 
 
@@ -30,6 +30,7 @@
     """A page that a transaction writes, and its records as JSON by key."""
 
     page: RecordPage
+    # The sequence number that is written into the page.
     number: int
     texts: dict[str, str] = msgspec.field(default_factory=dict)
     size: int = 0
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -2,7 +2,7 @@
 
 A page is a key `s/NNNN` whose value holds a sequence number and the text of many records. Each
 transaction fills pages that hold no current record, so the newest version of a record is the one
-in the page with the highest number. Pages are overwritten and never deleted: the modification
+in the page with the highest sequence number. Pages are overwritten and never deleted: the modification
 revision of a page only grows, so a transaction that compares it is executed at most once.
 
 A deleted record is kept as a null (a tombstone) for as long as any page holds an older version of it:
@@ -23,7 +23,7 @@
 PAGE_OVERHEAD_BYTES = 64
 # The tombstone of a deleted record, as JSON.
 DELETED = "null"
-# Number of pages in use, beyond twice what the current records need, above which pages are compacted.
+# Pages are compacted once the number in use exceeds twice what the current records need by more than this.
 SPARE_PAGES = 24
 
 
@@ -202,7 +202,7 @@
         return used > SPARE_PAGES + 2 * self._current_bytes // self.capacity
 
     def oversized_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
-        """Return as many current records of a page larger than `capacity` as fit into `room` bytes.
+        """Return as many current records of a page larger than `capacity`, but none in `excluded`, as fit into `room`.
 
         A page written under a larger limit on values is emptied a few records at a time, as it never fits as a
         whole. A record that is itself too large stays readable in place until a newer version is written.
@@ -220,7 +220,10 @@
         return moved
 
     def smallest_page_records(self, excluded: AbstractSet[str], room: int) -> dict[str, str]:
-        """Return the current records of the page with the fewest bytes of them, if they fit into `room` bytes."""
+        """Return the current records of the page in which they take the fewest bytes, if that is at most `room`.
+
+        Pages that are allocated, or whose current records include one in `excluded`, are left out.
+        """
         smallest: RecordPage | None = None
         for page in self._pages.values():
             if (
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -71,7 +71,7 @@
         self._packer = BatchPacker(self.queue, pages, limits, clock)
         self._futures: set[asyncio.Future[None]] = set()
         self._stopped = False
-        # Since when the store has accepted no transaction, or None; users' requests are refused if this lasts.
+        # Since when transactions have failed, None if the last succeeded; users' requests are refused if this lasts.
         self.failing_since: timedelta | None = None
 
     @property
