--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -16,7 +16,8 @@
 # Deadlines after submission: the default if the expression has no finite value, and the bounds of its value.
 DEFAULT_DEADLINE_S = 3600.0
 MIN_DEADLINE_S, MAX_DEADLINE_S = 1.0, 30 * 86400.0
-# Names that an expression may use, with their types: the job's fields and its class's objective (0: none).
+# Names that an expression may use, with their types: the job's fields and its class's objective (0: none). `cards` are
+# GPUs, and `saves` tells whether the tasks make checkpoints.
 JOB_FIELD_TYPES = {
     "job_class": "text",
     "team": "text",
@@ -52,6 +53,8 @@
         """Validate all fields. Raises SettingsError."""
         self._urgent = _parse_expression("urgent", file.urgent, "truth")
         self._deadline = _parse_expression("deadline_s", file.deadline_s, "number")
+        # The share of the cores outside the deferrable pool that urgent jobs should take, which is raised while their
+        # demand is steady, and by how much the share may deviate from it.
         self.target_urgent_share = _bounded_number("theta", file.theta, 0.05, 1.0)
         self.urgent_share_tolerance = _bounded_number("delta", file.delta, 0.0, 0.5)
         self.urgent_share_check_interval: timedelta = seconds(_bounded_number("check_s", file.check_s, 0.5, 600.0))
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -1,6 +1,6 @@
 """The platform's settings file and its validation; unknown fields are ignored.
 
-`rename` maps the names in the file to those in the code.
+`rename` maps the names in the code to those in the file.
 """
 
 import math
@@ -55,7 +55,11 @@
 
 
 class Objective(msgspec.Struct, rename={"job_class": "class"}):
-    """A service-level objective for a class of jobs; `up` is the share of replica time served, from `after_s` on."""
+    """A service-level objective for a class of jobs.
+
+    The kind `wait` sets a time until replicas start (`within_s`), `finished` a time until a job is done (`within_s`),
+    `deadline` a multiple (`times`) of the job's deadline, and `up` the share of replica time served from `after_s` on.
+    """
 
     kind: str
     job_class: str | None = None
@@ -79,7 +83,7 @@
 
     @property
     def lease(self) -> timedelta:
-        """How long a worker continues without a response to its heartbeats."""
+        """How long a worker continues its tasks without a response to its heartbeats."""
         return seconds(self.lease_s)
 
     @property
@@ -152,6 +156,7 @@
     limits: ControllerLimits = msgspec.field(default_factory=ControllerLimits)
     teams: list[Team] = []
     objectives: list[Objective] = []
+    # Not used by this version: `initial_size` and `time_bound_ms`.
     initial_size: int = 1
     time_bound_ms: float = 0.0
 
