--- a/src/elmthread/cluster/job.py
+++ b/src/elmthread/cluster/job.py
@@ -40,7 +40,7 @@
     # Time after submission by which the job is to be done.
     deadline: timedelta
     # Multiple of the deadline that applies instead once the deadline can't be met.
-    slack: float
+    latest_deadline_factor: float
     # Whether the job may preempt others, and machines are requested for it immediately.
     urgent: bool
 
@@ -105,7 +105,7 @@
         self.priority_rank = PRIORITY_RANKS[spec.priority]
         self.urgent = policy.urgent
         self.deadline = self.target_deadline = policy.deadline
-        self.latest_deadline = policy.deadline * policy.slack
+        self.latest_deadline = policy.deadline * policy.latest_deadline_factor
         self.done_bits = bytearray((spec.tasks + 7) // 8)
         self.pending_tasks = deque(range(spec.tasks))
 
--- a/src/elmthread/persistence/loading.py
+++ b/src/elmthread/persistence/loading.py
@@ -170,7 +170,7 @@
         state = JobState(record.state)
         if record.spec is None:
             spec = _placeholder_spec(key.removeprefix(records.JOB_PREFIX), record.tasks)
-            policy = JobPolicy(deadline=ZERO, slack=1.0, urgent=False)
+            policy = JobPolicy(deadline=ZERO, latest_deadline_factor=1.0, urgent=False)
             job = Job(spec, datetime.now(UTC), self._clock(), policy, MAX_TASKS_PER_CHUNK)
         else:
             submission_time = record.submission_time
