--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -30,4 +30,4 @@
                 and not machine.reserved
                 and view.now - machine.idle_since > max_idle_time
             ):
-                self._machines.delete_machine(machine, DeletionReason.POOL_IDLE)
+                self._machines.delete_machine(machine, DeletionReason.IDLE_IN_POOL)
--- a/src/elmthread/cluster/machine_deletion.py
+++ b/src/elmthread/cluster/machine_deletion.py
@@ -19,7 +19,7 @@
     INTERRUPTED = "about to be interrupted by the cloud"
     NOT_LISTED = "no longer listed by the cloud"
     LISTED_AS_FAILED = "listed as failed by the cloud"
-    POOL_IDLE = "idle in the deferrable pool"
+    IDLE_IN_POOL = "idle in the deferrable pool"
     NOT_NEEDED = "not needed"
 
 
