--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -62,7 +62,10 @@
         self._objectives = ClassObjectives(cluster.objectives)
 
     def new(self, spec: JobSpec, submitted_at: timedelta, submission_time: datetime | None = None) -> Job:
-        """Create an open job, submitted at `submitted_at` (monotonic) and `submission_time` (wall clock, by default now)."""
+        """Create an open job.
+
+        `submitted_at` is by the monotonic clock, `submission_time` (by default now) by the wall clock.
+        """
         tasks_per_chunk = self._tasks_per_chunk
         if self._features.is_active(Feature.DONE_BITMAPS):
             tasks_per_chunk = self._tasks_per_bitmap_chunk
