--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -1,7 +1,8 @@
 """The autoscaling round, which scales the machines by two pressures (see docs/design.md).
 
-The urgent pressure is the share of urgent cores, which is kept in a band. The deferrable pressure is the
-number of groups of tasks that would miss their deadline, which is reduced to 0 with the fewest machines.
+The urgent pressure is the share that urgent work needs of the cores outside the deferrable pool; it is kept in
+a band. The deferrable pressure is the number of groups of deferrable tasks that would miss their deadline; it is
+reduced to 0 with the fewest machines.
 """
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -23,9 +23,10 @@
 
 # Tasks whose deadlines are in the same interval of this length form one group.
 GROUP_SPAN = seconds(20)
-# A group should end within this fraction of its time to the deadline, as estimates are rough and starts take time.
+# Tasks should end within this fraction of the time from their job's submission to its deadline, as estimates are
+# rough and starts take time.
 DEADLINE_FRACTION = 0.6
-# Work that can no longer meet its deadline should end within this many times its shortest possible time.
+# Work that can no longer meet its deadline should end within this many times the shortest time still possible.
 INFEASIBLE_DEADLINE_FACTOR = 1.5
 # A machine without a heartbeat within this many times its boot time is not counted as supply.
 MAX_BOOT_TIME_FACTOR = 2
@@ -53,7 +54,7 @@
     """Requests the fewest instances with which all groups that can still meet their deadline do so."""
 
     def __init__(self, context: ScalingContext, run_times: RunTimeModel) -> None:
-        """Estimate how long tasks run by `run_times`."""
+        """Use `run_times` to estimate how long tasks run."""
         self._cluster = context.cluster
         self._scheduler = context.scheduler
         self._offers = context.offers
@@ -82,7 +83,7 @@
         for matching in by_requirements.values():
             machines = self._suitable_machines(matching[0], view)
             machine_names = set(machines)
-            # UrgentBand scales out for urgent requests, unless no machine can run them at all; they are placed
+            # UrgentBand scales out for urgent requests that some machine can run; here, they only count as work
             # ahead of the deferrable ones. ServiceScaling scales out for replicas, which have no deadline.
             waiting = [
                 request
@@ -209,7 +210,7 @@
     groups = backlog.groups
     log.info(
         "scaling out by %s instances for %s deadline groups due in %.0f to %.0f s: "
-        "%.0f core-seconds are ahead of them, %.0f in them, %.0f cores serve them",
+        "%.0f core-seconds of work are ahead of them, they need %.0f core-seconds, %.0f cores are up or expected",
         count,
         len(groups),
         groups[0].due_s,
--- a/src/elmthread/autoscaling/draining.py
+++ b/src/elmthread/autoscaling/draining.py
@@ -12,8 +12,8 @@
 
 # Cores kept for each core of demand, as some of the free capacity is too fragmented to be used.
 CAPACITY_FACTOR = 1.1
-# Tasks are moved off machines whose price per core is at least this many times the cheapest, once all of them have
-# run for MIN_RUN_TIME_BEFORE_RELOCATION, as each move costs run time.
+# Tasks are moved off a draining machine whose price per core is at least this many times the lowest, once all its
+# tasks have run for MIN_RUN_TIME_BEFORE_RELOCATION, as each move costs run time.
 RELOCATION_PRICE_RATIO = 1.4
 MIN_RUN_TIME_BEFORE_RELOCATION = seconds(30)
 # How long a machine drains before its replicas are moved to other machines.
@@ -31,9 +31,10 @@
     def run(self, view: RoundView, urgent_cores: float, min_urgent_share: float) -> None:
         """Mark the machines that are not needed, the most expensive first, and empty some of them.
 
-        They get no new tasks while others have room. If all tasks of such a machine make checkpoints and would
-        fit elsewhere, they are moved. This deviates from the design, in which machines empty only as tasks end:
-        long tasks would keep expensive machines running for minutes.
+        They get no new tasks while others have room. If such a machine is much more expensive than the cheapest,
+        and all of its tasks make checkpoints and would fit elsewhere, they are moved. This deviates from the
+        design, in which machines empty only as tasks end: long tasks would keep expensive machines running for
+        minutes.
         """
         schedulable = [m for m in self._cluster.machines.values() if m.is_schedulable]
         # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count as demand.
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -16,7 +16,7 @@
 
 # Ratio of actual boot times to those stated by the cloud.
 BOOT_TIME_FACTOR = 1.2
-# Instances whose price per core is above this many times the cheapest are requested only if no others are available.
+# Instances whose price per core is above this many times the lowest are requested only if no others are available.
 EXPENSIVE_PRICE_RATIO = 1.6
 # Maximum number of instances that one scale-out decision requests; a round may make several such decisions.
 MAX_INSTANCES_PER_DECISION = 500
@@ -77,7 +77,7 @@
     memory_gb: float = math.inf
 
     def is_expensive(self, cheapest: float) -> bool:
-        """Return whether the offer costs much more than `cheapest`, a price per hour and core."""
+        """Return whether the price per core is above EXPENSIVE_PRICE_RATIO times `cheapest`, the lowest one."""
         return self.price_per_hour > EXPENSIVE_PRICE_RATIO * cheapest * self.cores
 
 
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -1,6 +1,6 @@
 """Selection of the instances to request: the fewest that leave no group late, or that cover a shortfall of cores.
 
-Pure functions over offers (Chiron's algorithm 2, section 5.3).
+Pure functions over offers (algorithm 2 of the Chiron paper, section 5.3).
 """
 
 from collections.abc import Sequence
@@ -57,7 +57,7 @@
 
 
 def cover_shortfall(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return the fewest instances that cover that number of cores; the last is the cheapest that suffices."""
+    """Return the fewest instances with at least `cores` cores in total; the last one is the cheapest that suffices."""
     chosen = _largest_first(offers, cores, max_count)
     if not chosen:
         return []
@@ -86,7 +86,7 @@
 
 
 def _largest_first(offers: Sequence[InstanceOffer], cores: float, max_count: int) -> list[InstanceOffer]:
-    """Return instances that cover that number of cores, the largest first, so that they are the fewest.
+    """Return instances with at least `cores` cores in total, the largest first, so that they are the fewest.
 
     Among equally large ones, those that boot faster come first, then the cheaper ones. Zones are used in
     rotation, as the capacity left in each is unknown. Expensive kinds come after all others: fewer machines are
--- a/src/elmthread/autoscaling/lateness.py
+++ b/src/elmthread/autoscaling/lateness.py
@@ -1,4 +1,4 @@
-"""Lateness: which groups of deferrable tasks end after their deadline (Chiron, section 5.3). Pure functions.
+"""Lateness: which groups of deferrable tasks end after their deadline (Chiron paper, section 5.3). Pure functions.
 
 All times are in seconds from now, as no value is kept for longer than one round.
 """
@@ -21,12 +21,12 @@
 
     due_s: float
     core_seconds: float
-    longest_task_s: float  # run time of its longest task, including the image fetch
+    longest_task_s: float  # expected run time of its longest task
     usable_cores: float  # that its tasks can use at once within their teams' quotas
 
     @property
     def min_duration_s(self) -> float:
-        """The shortest possible duration: that of its longest task, or that of all tasks on the cores they may use."""
+        """The shortest possible duration: the longer of its longest task and all its work on the cores it may use."""
         return max(self.longest_task_s, self.core_seconds / self.usable_cores if self.usable_cores > 0 else math.inf)
 
 
@@ -39,7 +39,7 @@
 
 
 def finish_time_s(core_seconds: float, supplies: Sequence[CoreSupply]) -> float:
-    """Return when merged supplies complete that much work; infinite without any cores."""
+    """Return when the supplies, in order of start, complete that much work; infinite without any cores."""
     at_s, cores = 0.0, 0.0
     for supply in supplies:
         if supply.start_s > at_s:
@@ -56,7 +56,7 @@
 def group_end_times_s(
     groups: Sequence[DeadlineGroup], supplies: Sequence[CoreSupply], core_seconds_ahead: float
 ) -> list[float]:
-    """Return when each group ends, after the work ahead of it and its own; `groups` are in order of deadline."""
+    """Return when each group ends; the work ahead runs first, then `groups`, which are in order of deadline."""
     end_times_s = []
     supplies = merge_supplies(supplies)
     wait_s = finish_time_s(core_seconds_ahead, supplies)
--- a/src/elmthread/autoscaling/replica_room.py
+++ b/src/elmthread/autoscaling/replica_room.py
@@ -1,4 +1,4 @@
-"""Room for replicas of services: replicas without room, and instances for them.
+"""Room for replicas of services: which replicas lack it, and which instances to request or reserve for them.
 
 Pure functions, except DemandTrend.
 """
@@ -41,7 +41,7 @@
 def unplaced_requests(
     requests: Iterable[TaskRequest], capacities: Sequence[FreeCapacity], remaining_quotas: dict[str, RemainingQuota]
 ) -> list[TaskRequest]:
-    """Return what the quotas allow but `capacities` have no room for; both are reduced by what fits."""
+    """Return the tasks that the quotas allow but that fit no capacity; those that fit are deducted from both."""
     remaining = [
         replace(request, tasks_by_zone=dict(request.tasks_by_zone), tasks_by_machine=dict(request.tasks_by_machine))
         for request in requests
@@ -60,7 +60,10 @@
     remaining_quotas: dict[str, RemainingQuota],
     max_count: int,
 ) -> list[InstanceOffer]:
-    """Return instances that fit the tasks, also by zone and memory; each is filled before the next one is added."""
+    """Return at most `max_count` instances that have room for the tasks, also by zone, GPUs and memory.
+
+    Each instance is filled before the next one is added.
+    """
     chosen: list[InstanceOffer] = []
     capacities: list[FreeCapacity] = []
     for request in requests:
@@ -122,7 +125,7 @@
 
 
 def machines_to_reserve(machines: Iterable[ReplicaCapacity], cores: float) -> set[str]:
-    """Return the machines to keep in reserve, taken in the given order until they have that number of cores.
+    """Return the machines to keep in reserve, taken in the given order until replicas can use `cores` cores on them.
 
     No zone counts for more than half of the cores, as at most half of the replicas of a spread job may run
     in one zone.
--- a/src/elmthread/autoscaling/running_work.py
+++ b/src/elmthread/autoscaling/running_work.py
@@ -22,10 +22,10 @@
 
 
 class RunningWork:
-    """Caches the sums of one round by job and machine, as sets of machines overlap."""
+    """Computes the remaining work in one round, cached by job and by machine, as sets of machines overlap."""
 
     def __init__(self, cluster: ClusterState, run_times: RunTimeModel, now: timedelta) -> None:
-        """Estimate how long tasks run by `run_times`; compute sums when they are first needed."""
+        """Use `run_times` to estimate how long tasks run; nothing is computed before it is needed."""
         self._cluster = cluster
         self._run_times = run_times
         self._now = now
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -67,7 +67,8 @@
             for request in view.requests
             if (job := self._cluster.jobs[request.job_id]).is_service
         ]
-        # Room is kept for one more service like the largest one, in the zones that it may use.
+        # Room is kept for one more service like the largest one, in the zones that it may use. Services that may not
+        # use spot instances count as larger than all others.
         largest = max(services, key=lambda job: (not job.spec.spot, job.task_count * job.spec.cpus))
         self._scale_out_for_replicas([*waiting, self._request_for_all_tasks(largest)], view.now)
         on_demand_machines = [
@@ -137,7 +138,7 @@
     def _keep_in_band(
         self, on_demand_only: Sequence[Job], need: _OnDemandNeed, on_demand_machines: Sequence[Machine]
     ) -> None:
-        """Request on-demand instances if the share of replicas is above the band, or too few cores are expected."""
+        """Request on-demand instances if replicas use too large a share of the cores, or are projected to need more."""
         theta, delta = self._operators.target_urgent_share, self._operators.urgent_share_tolerance
         cores = sum(m.cpus - (m.urgent_cpus - m.service_cpus) for m in on_demand_machines)
         cores += sum(
@@ -153,7 +154,7 @@
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _mark_reserved(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
-        """Mark the machines to reserve: first those that run the most replica cores, then the cheapest."""
+        """Mark enough machines as reserved for `need`: those with the most replica cores first, then the cheapest."""
         needed = 0.0
         if need is not None:
             current_cores, min_share = (
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -1,6 +1,7 @@
-"""The urgent pressure: keeps the share of urgent cores in a band (Chiron, sections 5.1 and 5.2).
+"""The urgent pressure: keeps the share of urgent cores in a band (Chiron paper, sections 5.1 and 5.2).
 
-Theta is the center of the band and delta half its width; both come from the operators' settings.
+Theta is the center of the band: at first the operators' setting, then the mean-to-peak ratio of recent urgent
+demand, limited to the range from that setting to MAX_THETA. Delta, also a setting, is half the width of the band.
 """
 
 from collections import deque
@@ -101,7 +102,7 @@
             self.theta = min(max(mean / peak, self._min_theta), MAX_THETA)
 
     def _scale_out(self, view: RoundView, urgent_cores: float, cores: float) -> None:
-        """Request the fewest instances that bring the share back into the band.
+        """Request the fewest instances that bring the share back to theta.
 
         If only expensive kinds are available, no more cores are requested than urgent work needs, as it can
         preempt deferrable tasks.
@@ -113,7 +114,7 @@
         self._offers.request(chosen, for_deferrable_pool=False)
 
     def _scale_in(self, unneeded: Sequence[Machine], urgent_cores: float, cores: float) -> None:
-        """Delete machines, the most expensive first, as long as the share stays in the band."""
+        """Delete machines, the most expensive first, as long as the share does not rise above the band."""
         max_share = self.theta + self._delta
         for machine in sorted(unneeded, key=lambda m: -m.price_per_core):
             if urgent_cores <= max_share * (cores - machine.cpus):
--- a/src/elmthread/placement/attempts.py
+++ b/src/elmthread/placement/attempts.py
@@ -1,4 +1,4 @@
-"""Attempt numbers, unique across all leadership terms."""
+"""Numbers of task attempts, unique across all leadership terms."""
 
 # Maximum number of attempts in one leadership term. The fencing token increases with each term, so the ranges of
 # attempt numbers of different terms do not overlap.
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -11,8 +11,8 @@
 
 # Tolerance for rounding errors in sums of fractional cores, GPUs and gigabytes.
 EPSILON = 1e-6
-# Penalty for a price per core above the cheapest, in equivalent seconds of image fetch time for each multiple of the
-# cheapest price by which it is exceeded, and the upper limit of that multiple.
+# The price penalty is one of these weights times the relative excess of the price per core over the lowest one (1.0
+# for twice the lowest price, at most MAX_PRICE_EXCESS). It is added to image fetch times, so it is in seconds.
 PRICE_WEIGHT_S = 10.0
 URGENT_PRICE_WEIGHT_S = 2.0
 MAX_PRICE_EXCESS = 5.0
@@ -39,7 +39,7 @@
 def fitting_tasks(
     request: TaskRequest, capacity: FreeCapacity, remaining_quota: RemainingQuota, spread_replicas: bool = False
 ) -> int:
-    """Return how many of the tasks fit the machine, the team's quota and the limit for its zone.
+    """Return how many of the request's tasks fit the machine, the team's quota and the job's limit per zone.
 
     With `spread_replicas`, the job's tasks on the machine are limited to `preferred_max_per_machine`.
     """
@@ -111,7 +111,7 @@
 
 
 def price_penalty_s(request: TaskRequest, price: float, cheapest: float) -> float:
-    """Return the penalty for the price per core, in equivalent seconds of image fetch time."""
+    """Return the penalty for a price per core above the lowest one, in equivalent seconds of image fetch time."""
     weight = URGENT_PRICE_WEIGHT_S if request.urgent else PRICE_WEIGHT_S
     return weight * min(price / cheapest - 1.0 if cheapest > 0 else 0.0, MAX_PRICE_EXCESS)
 
@@ -195,7 +195,7 @@
         self._groups = [_MachineGroup(members) for members in by_kind.values()]
 
     def pack(self, request: TaskRequest, remaining_quota: RemainingQuota, spread_replicas: bool) -> None:
-        """Place as many of the tasks as fit."""
+        """Place as many of the request's tasks as fit."""
         by_access: dict[int, dict[ImageAccess, list[FreeCapacity]]] = {}
         for _, _, index, access in self._ranks(request):
             group = self._groups[index]
@@ -215,7 +215,7 @@
         """Rank each group that the job allows, once for each kind of image access.
 
         A rank is (draining, cost in seconds, index of the group, image access); the smallest is filled first.
-        It is a plain tuple because many are created in each round.
+        It is a plain tuple because many are created in each scheduling round.
         """
         ranks: list[tuple[bool, float, int, ImageAccess]] = []
         for index, group in enumerate(self._groups):
--- a/src/elmthread/placement/capacity.py
+++ b/src/elmthread/placement/capacity.py
@@ -28,7 +28,7 @@
     cached_images: Collection[str] = frozenset()
     # Images that the machine is fetching, or will fetch for tasks assigned to it.
     images_being_fetched: set[str] = field(default_factory=set)
-    record_bytes_left: float = math.inf  # bytes by which its record in the store may still grow
+    record_bytes_left: float = math.inf  # bytes by which the machine's record in the store may still grow
     draining: bool = False
 
 
--- a/src/elmthread/placement/interruptions.py
+++ b/src/elmthread/placement/interruptions.py
@@ -16,7 +16,10 @@
 
 
 def has_room_elsewhere(cluster: ClusterState, requests: RequestFactory, allocation: Allocation) -> bool:
-    """Return whether another machine would have room for the task after its release from the current one."""
+    """Return whether another machine that is not draining has room for the task.
+
+    The task itself is not counted against the limit of its zone, and quotas are not checked.
+    """
     request = requests.request_for_one_task(allocation.job)
     zone = allocation.machine.zone
     if zone in request.tasks_by_zone:
@@ -61,7 +64,11 @@
                 allocation.stop_mode = StopMode.CHECKPOINT
 
     def _should_stop_replica(self, allocation: Allocation, time_left: timedelta) -> bool:
-        """Return whether to stop a replica now: another machine has room, or the time left is too short to wait."""
+        """Return whether to stop a replica now.
+
+        It is stopped if it has not started yet, if another machine has room for it, or if the time left is too short
+        to wait for room.
+        """
         stop_time = self._max_stop_delay + seconds(allocation.job.spec.checkpoint_duration_s)
         if allocation.started_at is None or time_left < stop_time:
             return True
--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -1,8 +1,8 @@
 """The order in which waiting jobs are placed.
 
 One task of each starving job comes first. Then come urgent jobs by priority and deadline, jobs within their
-team's guarantee, and other jobs by deadline. Jobs that would only cause others to miss their deadlines are
-postponed and come last.
+team's guarantee, and other jobs by deadline. Jobs that are postponed so that as many others as possible meet
+their deadlines come last.
 """
 
 from datetime import timedelta
@@ -18,10 +18,11 @@
 from elmthread.placement.quotas import TeamQuotas
 from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
 
-# Interval at which guaranteed and postponed jobs are recomputed, unless a job is submitted or ends earlier.
+# The sets of guaranteed and postponed jobs are recomputed at this interval, and when a job is submitted or ends.
 REORDER_INTERVAL = seconds(1)
-# A job that has waited for longer than this without starting a task gets one task placed before all others. Tasks of
-# postponed jobs of this age are placed with those of on-time jobs, up to a share of the cores for all such jobs.
+# A job submitted longer ago than this that has completed no task and runs none gets one task placed before all others.
+# Postponed jobs submitted longer ago than this get tasks placed with those of on-time jobs, as long as all such
+# postponed jobs together use at most POSTPONED_CORE_SHARE of the cores.
 STARVATION_AGE = seconds(150)
 POSTPONED_CORE_SHARE = 0.1
 
@@ -45,7 +46,7 @@
     def __init__(
         self, context: TermContext, quotas: TeamQuotas, requests: RequestFactory, run_times: RunTimeModel
     ) -> None:
-        """Estimate how long tasks run by `run_times`."""
+        """Use `run_times` to estimate how long tasks run."""
         self._cluster = context.cluster
         self._events = context.events
         self._quotas = quotas
--- a/src/elmthread/placement/moore_hodgson.py
+++ b/src/elmthread/placement/moore_hodgson.py
@@ -11,14 +11,15 @@
     job_id: str
     due_s: float
     core_seconds: float
-    min_duration_s: float  # the shortest time in which it can end
+    min_duration_s: float  # the shortest time in which the job can be completed
 
 
 def jobs_to_postpone(jobs: Sequence[JobWork], cores: float, core_seconds_ahead: float = 0.0) -> set[str]:
     """Return the jobs to postpone so that as many others as possible end on time, on `cores` shared by all.
 
-    Jobs are scheduled by deadline; whenever one would end late, the scheduled job with the most work is
-    postponed. On a single server, this minimizes the number of late jobs.
+    Jobs are scheduled by deadline, after `core_seconds_ahead` of other work. Whenever one would end late, the
+    scheduled job with the most work is postponed. On a single server, this minimizes the number of late jobs.
+    Jobs whose `min_duration_s` exceeds `due_s` are postponed in any case.
     """
     postponed: set[str] = set()
     scheduled: list[JobWork] = []
--- a/src/elmthread/placement/preemption.py
+++ b/src/elmthread/placement/preemption.py
@@ -55,7 +55,7 @@
     def _candidates(
         self, capacity: FreeCapacity, remaining_quotas: dict[str, RemainingQuota], now: timedelta
     ) -> list[PreemptionCandidate]:
-        """Return the preemptible tasks on the machine, and add tasks that are being stopped to capacity and quotas."""
+        """Return the preemptible tasks on the machine; add what tasks being stopped free to capacity and quotas."""
         candidates = []
         for allocation in self._cluster.machines[capacity.name].allocations.values():
             spec = allocation.job.spec
--- a/src/elmthread/placement/quotas.py
+++ b/src/elmthread/placement/quotas.py
@@ -16,7 +16,7 @@
     gpus: float = math.inf
 
     def reserve_for_urgent(self) -> None:
-        """Reserve the remaining cores for the team's urgent task; smaller tasks would otherwise take them each time."""
+        """Keep the remaining cores free for the team's urgent task; smaller tasks would otherwise always take them."""
         self.cpus = 0.0
 
 
@@ -43,7 +43,7 @@
         }
 
     def guaranteed_jobs(self) -> set[str]:
-        """Return the jobs that fit their team's guarantee together with the team's earlier unfinished ones."""
+        """Return the jobs whose remaining tasks fit their team's guarantee, together with those of its earlier jobs."""
         cpus_by_team: dict[str, float] = {}
         guaranteed: set[str] = set()
         for job in sorted(self._cluster.open_jobs.values(), key=lambda job: job.submitted_at):
--- a/src/elmthread/placement/requests.py
+++ b/src/elmthread/placement/requests.py
@@ -52,7 +52,7 @@
     zone: str | None = None
     spot: bool = True
     one_zone: bool = False
-    # Tasks of the job that may currently be on machines, by zone.
+    # Number of tasks of the job that may currently be on machines, by zone; only for `one_zone` and spread jobs.
     tasks_by_zone: dict[str, int] = field(default_factory=dict)
     max_per_zone: float = math.inf  # for a spread job: maximum number of tasks in one zone
     # Machines on which the job has failed; its tasks are not placed there.
@@ -65,7 +65,7 @@
     # Maximum number of replicas on one machine while other machines have room, so that the loss of a machine
     # does not stop a whole service.
     preferred_max_per_machine: float = math.inf
-    # Tasks of the job that may currently be on machines, by machine; only if `preferred_max_per_machine` is finite.
+    # Number of tasks of the job that may currently be on each machine; only if `preferred_max_per_machine` is finite.
     tasks_by_machine: dict[str, int] = field(default_factory=dict)
 
     def split_off(self, count: int, sort_key: SortKey) -> Self:
@@ -78,7 +78,7 @@
     """Creates requests for tasks of jobs."""
 
     def __init__(self, attempts: AttemptCounter) -> None:
-        """Estimate the record bytes of a task by the next number of `attempts`, whose digits are stored."""
+        """Estimate record bytes for the highest attempt number of the next round, as its digits are stored."""
         self._attempts = attempts
 
     def request_for_one_task(self, job: Job) -> TaskRequest:
--- a/src/elmthread/placement/scheduler.py
+++ b/src/elmthread/placement/scheduler.py
@@ -112,5 +112,5 @@
         return self._quotas.cpu_quota(team)
 
     def has_room_elsewhere(self, allocation: Allocation) -> bool:
-        """Return whether another machine would have room for the task after its release from the current one."""
+        """Return whether another machine that is not draining has room for the task; quotas are not checked."""
         return has_room_elsewhere(self._cluster, self._requests, allocation)
--- a/src/elmthread/placement/victims.py
+++ b/src/elmthread/placement/victims.py
@@ -13,7 +13,7 @@
 
 
 class PreemptionCandidate(msgspec.Struct):
-    """A running task that may be preempted, and the run time lost by stopping it."""
+    """An allocated task that may be preempted, and the run time lost by stopping it."""
 
     attempt: int
     machine: str
@@ -31,10 +31,11 @@
     candidates: dict[str, list[PreemptionCandidate]],
     remaining_quota: RemainingQuota,
 ) -> list[PreemptionCandidate]:
-    """Choose the tasks to preempt for `request`: those with the least loss for the capacity that they free.
+    """Choose the tasks to preempt for `request`, those that lose the least run time first.
 
-    `capacities` includes capacity that is already being freed; `candidates` are by machine, and chosen ones
-    are removed. Machines with the least loss for the capacity of one task come first.
+    If the team's quota is too small, the team's own tasks are preempted first. After that, room is made for one task
+    at a time, on the machine where this loses the least. `capacities` includes capacity that is already being freed;
+    `candidates` are by machine, and chosen ones are removed.
     """
     selection = _VictimSelection(request, capacities, candidates, remaining_quota)
     selection.preempt_own_team()
@@ -46,7 +47,7 @@
 def least_loss_victims(
     request: TaskRequest, capacity: FreeCapacity, candidates: list[PreemptionCandidate]
 ) -> list[PreemptionCandidate] | None:
-    """Return the candidates with the least loss that free capacity for one task, or None if all together do not."""
+    """Return candidates of lower priority, in order of loss, until one task fits; None if all free too little."""
     cpus, gpus, memory_gb = capacity.cpus, capacity.gpus, capacity.memory_gb
     victims: list[PreemptionCandidate] = []
     for candidate in sorted(
@@ -83,11 +84,11 @@
         self._capacities = capacities
         self._candidates = candidates
         self._remaining_quota = remaining_quota
-        # Heap of machines by the loss, weighted by cores, for one task's capacity; ties in the order of `candidates`.
+        # Heap of (core-seconds lost by making room for one task, position in `candidates`, machine).
         self._machines_by_loss: list[tuple[float, int, str]] = []
 
     def preempt_own_team(self) -> None:
-        """Free quota of a team that is at its limit by preempting its own tasks on any machine."""
+        """Preempt tasks of the request's own team, on any machine, if the team's quota is too small for the request."""
         request, quota = self._request, self._remaining_quota
         if quota.cpus + EPSILON >= request.count * request.cpus:
             return
