--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -15,7 +15,7 @@
         self._machines = context.machines
 
     def scale_in(self, view: RoundView) -> None:
-        """Delete all machines of an idle pool, and the machines of a busy pool that stay empty.
+        """Delete all machines of an idle pool, and those of a busy pool that stay empty for longer than a boot takes.
 
         Deleting machines of a busy pool deviates from the design; otherwise, a single long task would keep the
         whole pool running.
--- a/src/elmthread/autoscaling/idle_time.py
+++ b/src/elmthread/autoscaling/idle_time.py
@@ -10,6 +10,6 @@
 
 
 def boot_idle_time(machine: Machine, catalog: MachineTypeCatalog) -> timedelta:
-    """Return the boot time of the machine's type, at least MIN_IDLE_TIME."""
+    """Return how long to keep an empty machine that may be needed again soon: the boot time, at least MIN_IDLE_TIME."""
     machine_type = catalog.types.get(machine.machine_type)
     return max(MIN_IDLE_TIME, seconds(machine_type.boot_s)) if machine_type is not None else MIN_IDLE_TIME
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -76,9 +76,9 @@
     gpus: float = 0.0
     memory_gb: float = math.inf
 
-    def is_expensive(self, cheapest: float) -> bool:
-        """Return whether the price per core is above EXPENSIVE_PRICE_RATIO times `cheapest`, the lowest one."""
-        return self.price_per_hour > EXPENSIVE_PRICE_RATIO * cheapest * self.cores
+    def is_expensive(self, lowest_price_per_core: float) -> bool:
+        """Return whether the price per core and hour is above EXPENSIVE_PRICE_RATIO times the lowest one."""
+        return self.price_per_hour > EXPENSIVE_PRICE_RATIO * lowest_price_per_core * self.cores
 
 
 class InstanceOffers:
@@ -103,12 +103,12 @@
 
     def without_expensive(self, offers: Sequence[InstanceOffer]) -> list[InstanceOffer]:
         """Return the offers that are not expensive compared with the cheapest kind, which may be unavailable."""
-        cheapest = min(
+        lowest_price_per_core = min(
             machine_type.spot_price / machine_type.cpus
             for machine_type in self._catalog.types.values()
             if machine_type.cpus
         )
-        return [offer for offer in offers if not offer.is_expensive(cheapest)]
+        return [offer for offer in offers if not offer.is_expensive(lowest_price_per_core)]
 
     def request(self, chosen: Sequence[InstanceOffer], for_deferrable_pool: bool) -> None:
         """Request one instance for each of the offers."""
--- a/src/elmthread/autoscaling/instance_selection.py
+++ b/src/elmthread/autoscaling/instance_selection.py
@@ -92,10 +92,10 @@
     rotation, as the capacity left in each is unknown. Expensive kinds come after all others: fewer machines are
     not worth their price.
     """
-    cheapest = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
+    lowest_price_per_core = min((offer.price_per_hour / offer.cores for offer in offers), default=0.0)
     ranks: dict[tuple[bool, float, float, float], list[InstanceOffer]] = {}
     for offer in offers:
-        rank = (offer.is_expensive(cheapest), -offer.cores, offer.boot_s, offer.price_per_hour)
+        rank = (offer.is_expensive(lowest_price_per_core), -offer.cores, offer.boot_s, offer.price_per_hour)
         ranks.setdefault(rank, []).append(offer)
     chosen: list[InstanceOffer] = []
     for rank in sorted(ranks):
--- a/src/elmthread/placement/bin_packing.py
+++ b/src/elmthread/placement/bin_packing.py
@@ -110,10 +110,10 @@
     return ImageAccess.FETCH_SHARED if capacity.images_being_fetched else ImageAccess.FETCH_ALONE
 
 
-def price_penalty_s(request: TaskRequest, price: float, cheapest: float) -> float:
+def price_penalty_s(request: TaskRequest, price: float, lowest_price_per_core: float) -> float:
     """Return the penalty for a price per core above the lowest one, in equivalent seconds of image fetch time."""
     weight = URGENT_PRICE_WEIGHT_S if request.urgent else PRICE_WEIGHT_S
-    return weight * min(price / cheapest - 1.0 if cheapest > 0 else 0.0, MAX_PRICE_EXCESS)
+    return weight * min(price / lowest_price_per_core - 1.0 if lowest_price_per_core > 0 else 0.0, MAX_PRICE_EXCESS)
 
 
 def place(
@@ -177,10 +177,10 @@
 
     def __init__(self, capacities: Iterable[FreeCapacity]) -> None:
         self.placements: list[Placement] = []
-        self._cheapest = math.inf
+        self._lowest_price_per_core = math.inf
         by_kind: dict[tuple[bool, str, bool, float, float], list[FreeCapacity]] = {}
         for capacity in capacities:
-            self._cheapest = min(self._cheapest, capacity.price_per_core)
+            self._lowest_price_per_core = min(self._lowest_price_per_core, capacity.price_per_core)
             if capacity.cpus > EPSILON:
                 by_kind.setdefault(
                     (
@@ -229,7 +229,7 @@
             if group.capacities[-1].cpus + EPSILON < request.cpus:
                 continue
             fetch_s = request.image_gb / sample.image_fetch_gb_per_s
-            penalty_s = price_penalty_s(request, sample.price_per_core, self._cheapest)
+            penalty_s = price_penalty_s(request, sample.price_per_core, self._lowest_price_per_core)
             ranks += [
                 (sample.draining, IMAGE_ACCESS_COST[access] * fetch_s + penalty_s, index, access)
                 for access in ImageAccess
