--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -1,4 +1,4 @@
-"""A leader that loses its workers, its peers or a zone: when it gives way and when it leads on."""
+"""When a leader that loses its workers, its peers or a zone steps down, and when it keeps leading."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-# A controller loses the state service and the other controllers, not its workers
+# A leader that is cut off from the state service and the other controllers, but not from its workers
 
 
 @pytest.mark.parametrize("drift", [-0.0005, 0.0005])
@@ -23,14 +23,14 @@
         name = old.node
         world.drift[name] = drift
         set_apart(world, name, True)
-        # Half of the workers hear only the old leader, which answers them for a bounded time.
+        # Half of the workers reach only the old leader, which may answer them for a bounded time.
         with_old = sorted(world.workers)[::2]
         world.cut_worker_links |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
         apart = world.loop.now
         while old.election.role.name != "FOLLOWER":
             await asyncio.sleep(0.1)
         assert world.loop.now - apart < 20
-        # It comes back in the middle of all that, and the workers with it.
+        # The old leader and its workers reconnect at a random time during the fail-over.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
         set_apart(world, name, False)
         world.cut_worker_links.clear()
@@ -43,11 +43,11 @@
         day(script, seed=seed, machines=6)
 
 
-# A leader that loses its workers
+# A leader that its workers do not reach
 
 
 def test_leader_that_workers_do_not_reach_gives_way_before_their_leases_run_out() -> None:
-    """Seen on a day: the leader kept the state service and led on, and all its workers' tasks died."""
+    """Guard against a leader that keeps leading when no worker reaches it: all their tasks were lost that way once."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=200, true_s=60.0, expected_s=60.0))
@@ -60,12 +60,12 @@
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         await asyncio.sleep(20)
-        # One fail-over, not one after the other.
+        # There was a single fail-over.
         assert world.leader.election.fencing_token == max(
             c.election.highest_seen_token for c in world.controllers.values()
         )
         kept = {(machine, task) for machine, task in running if (machine, task) in set(world.rules.running)}
-        # A worker gives a node four seconds; those that were sent back once may come too late.
+        # A worker waits four seconds for a node; one that was redirected to the old leader may be too late.
         assert len(kept) > len(running) * 0.6, len(kept)
         world.cut_worker_links.clear()
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
@@ -75,7 +75,7 @@
 
 
 def test_leader_whose_answers_reach_no_worker_gives_way() -> None:
-    """Their reports go on arriving at it, so it hears them all and never takes them for silent."""
+    """Check the loss of responses alone: heartbeats still arrive, so the leader sees no worker as silent."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=100, true_s=40.0, expected_s=40.0))
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("reaching", ["none", "some"])
 def test_leader_whose_machines_are_dead_or_cut_off_leads_on(reaching: str) -> None:
-    """Silence alone is no reason: nobody else hears them either, or only a few of them are meant."""
+    """Check that a leader keeps leading if no other node hears its workers either, or if only a few are silent."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=40, true_s=20.0, expected_s=20.0))
@@ -121,7 +121,7 @@
 
 
 def test_machines_of_a_zone_that_is_cut_off_are_kept_and_none_rented_there() -> None:
-    """They are back sooner than others would boot, and others there could not report either."""
+    """Check that the machines are kept: they return sooner than new ones boot, which could not report either."""
 
     async def script(world: World) -> None:
         for _ in range(8):
@@ -134,7 +134,7 @@
         world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(8)
         rented = {name for name, one in world.cloud.machines.items() if one.zone == "west"}
-        # Past the lease its tasks run elsewhere; the machines stay.
+        # After the lease, the zone's tasks run elsewhere, but its machines are kept.
         await asyncio.sleep(32)
         assert {name for name, one in world.cloud.machines.items() if one.zone == "west"} == rented >= west
         assert not any(machine in west for machine, _ in world.rules.running)
@@ -142,7 +142,7 @@
         assert await world.submit(job(2, pieces=120, true_s=10.0, expected_s=10.0))
         await asyncio.sleep(8)
         assert any(machine in west for machine, _ in world.rules.running)
-        # Cut off for good, they are given up in the end.
+        # If the zone stays cut off, its machines are deleted in the end.
         world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(130)
         assert not west & set(world.cloud.machines)
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("others_live", [True, False])
 def test_leader_with_nothing_but_the_state_service_gives_way_once(others_live: bool) -> None:
-    """It keeps its lease, but neither workers nor controllers reach it: nobody can tell it so."""
+    """Check a leader that renews its lease, but that no worker or controller reaches to tell it so."""
 
     async def script(world: World) -> None:
         for number in range(4):
@@ -172,7 +172,7 @@
             assert world.leader is not None and world.leader.node != node
             await asyncio.sleep(60)
         else:
-            # Nobody else can lead: after one try it goes on, and is there when the machines are back.
+            # No other node can lead: it steps down once, is elected again and still leads when the machines return.
             await asyncio.sleep(30)
             assert first.election.holds_lease() and first.election.fencing_token > fencing_token
             won = first.election.fencing_token
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -36,7 +36,7 @@
 
 
 def test_silent_machine_gets_nothing_new() -> None:
-    """Seen in an incident: a hung machine was given tasks, and they were taken back, all day long."""
+    """Guard against an incident in which a hung machine was repeatedly given tasks and had them taken back."""
 
     async def script(world: World) -> None:
         await asyncio.sleep(3)
@@ -93,7 +93,7 @@
             worker.interruption_at = world.loop.now + 12
             worker.state_changed.set()
             await asyncio.sleep(10.5)
-            # What could save has gone on elsewhere, and nothing new came.
+            # Tasks that could save a checkpoint continue elsewhere, and no new ones were assigned.
             assert not any(m == name for m, _ in world.rules.running)
             assert set(held) <= {t for _, t in world.rules.running} | world.rules.finished
             await asyncio.sleep(1.5)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,7 +1,7 @@
-"""Where two troubles meet: each meeting that the operators name, and random pairs and triples.
+"""Combinations of faults: those that the operators name, and random pairs and triples.
 
-Judged by the rules of the protocol as users and machines see them (tests/world/rules.py).
-`docs/meetings.md` says which code answers for each meeting.
+Checked against the rules of the protocol as users and machines see them (tests/world/rules.py).
+`docs/meetings.md` lists the code that handles each combination.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from tests.world.stage import Stage
 from tests.world.world import World
 
-# Each meeting: troubles, and how long after the first each begins.
+# By combination, its faults and the seconds after which each begins.
 MEETINGS: dict[str, list[tuple[str, float]]] = {
     "a report is held back until a new leader has acted": [("kept_for_the_next", 0), ("cancel_now", 3)],
     "one-task jobs come by the second, a quarter cancelled": [("stream", 0)],
@@ -83,7 +83,7 @@
 
 
 def play(troubles: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
-    """Play the troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
+    """Inject the faults, then remove them: every accepted job must end, and no rule may be broken."""
 
     async def script(world: World) -> None:
         stage = Stage(world)
@@ -107,7 +107,7 @@
         world.rules.calm_since = world.loop.now
         states = await world.until_over(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
-        # Whoever asks whichever node hears the same for ever.
+        # Every node keeps reporting the same final state.
         for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
             for node in world.nodes:
                 assert await world.poll(job_id, node) == states[job_id]
@@ -133,7 +133,7 @@
 
 
 if __name__ == "__main__":
-    # By hand, over more seeds and more troubles at once: `python -m tests.test_meetings 1000 1400 4 6`.
+    # To run more seeds and more faults at once: `python -m tests.test_meetings 1000 1400 4 6`.
     first, last, *counts = map(int, sys.argv[1:])
     broken = 0
     for seed in range(first, last):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Under overload no job is forgotten and no class, team or size is left out."""
+"""Overload: no job is forgotten, and no class, team or size of jobs starves."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-# No job forgotten, nobody left out
+# Forgotten jobs and starvation
 
 
 def test_every_job_is_answered_at_every_node_after_all_troubles() -> None:
@@ -39,7 +39,7 @@
 
 
 def test_forgetting_is_judged_for_each_job_by_itself() -> None:
-    """The checker itself: one job that goes unanswered is seen, however others fare."""
+    """Check the checker: a job that goes unanswered is reported even if the other job is answered."""
     world = World()
     for number in (1, 2):
         world.rules.submitted(job(number))
@@ -54,7 +54,7 @@
 
 
 def test_large_jobs_begin_in_time_whatever_the_load() -> None:
-    """Urgent work beyond all cores, small jobs without end, and large ones that can't be in time."""
+    """Mix more urgent work than there are cores, an endless stream of small jobs, and large jobs that must be late."""
 
     async def script(world: World) -> None:
         ids, large = [], []
@@ -81,7 +81,7 @@
 
 
 def test_half_of_each_class_team_and_size_is_served_in_overload() -> None:
-    """More work than cores for three minutes, then four to catch up; large jobs among small ones."""
+    """Submit more work than there are cores for three minutes, large jobs among small ones; allow four to catch up."""
 
     async def script(world: World) -> None:
         ids: list[str] = []
@@ -116,7 +116,7 @@
     day(script, machines=6, each=0)
 
 
-# Too much to do
+# Load shedding
 
 
 def test_overload_refuses_users_by_kind_and_never_readiness_or_workers() -> None:
@@ -145,7 +145,7 @@
         behind(leader, 3.0)
         assert await answers(leader) == [429, 429, 200]
         assert await answers(other) == [429, 429, 200]
-        # Longer than a worker's lease: none of the tasks is lost for it.
+        # The overload outlasts a worker's lease, and no task is lost.
         await asyncio.sleep(14)
         assert set(running) <= set(world.rules.running)
         behind(leader, 0.0)
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -1,4 +1,4 @@
-"""Three real controllers on loopback, upgraded one by one with jobs running; one is rolled back after it."""
+"""Three real controllers on loopback: a rolling upgrade with jobs running, then the rollback of one node."""
 
 import os
 import subprocess
@@ -23,7 +23,7 @@
     assert f"{NODES[0]}, new again, answers /ready with 200" in told
     refusals = [line for _, line in upgrade.nodes[NODES[0]].lines if "it does not take part" in line]
     assert len(refusals) == 1 and refusals[0].startswith("ERROR")
-    # Every user was answered in the end, and hardly anything was started again for the upgrade.
+    # Every submission was answered in the end, and the upgrade restarted hardly any task.
     assert all(waits.counts["submissions given up"] == 0 for waits in upgrade.waits.values())
     starts = upgrade.stand_ins.rules.starts
     assert sum(starts.values()) < 1.1 * len(starts)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,8 +1,8 @@
-"""An upgrade while the service serves, and the store's limits that fall after it.
+"""Rolling upgrades under load, after which the limits of the state service are lowered.
 
-A node in `world.old` stands for the earlier version: it knows of no next limits, writes pages
-as large as the present ones allow, and is asked for no service. What it must be able to read
-of the newer version's records is judged by tests/test_versions.py.
+A node in `world.earlier_nodes` stands for the earlier version: its settings name no next limits, it writes
+pages as large as the present limits allow, and no services are submitted while it runs. Whether it can read
+the records of the newer version is checked by tests/test_versions.py.
 """
 
 import asyncio
@@ -51,7 +51,7 @@
 
 
 def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
-    """No task is started again for it, and every question is answered within seconds."""
+    """Check that the upgrade restarts no task and that requests are answered within seconds."""
 
     async def script(world: World) -> None:
         ids = []
@@ -59,7 +59,7 @@
             assert await world.submit(job(number, true_s=60.0, expected_s=60.0, pieces=3))
             ids.append(f"run-{number:06d}")
         await asyncio.sleep(10)
-        # The leader first, and twice: it is back old once before its turn.
+        # The leader goes first, and twice: before its upgrade it restarts with the earlier version.
         leader = world.leader
         assert leader is not None
         node = leader.node
@@ -87,11 +87,11 @@
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
         fall(world)
-        # Whatever is written takes some of the large pages along.
+        # Each write also moves records out of some of the oversized pages.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
-        # Large pages may still stand there until they are overwritten, but nothing in them is current.
+        # Oversized pages may remain until they are overwritten, but hold no current record.
         pages = RecordPages(page_capacity(NEXT["value_kb"]))
         pages.load(stored_pages(world.store))
         assert not pages._oversized
@@ -105,7 +105,7 @@
     names = [f"type-{number:04d}-of-some-length" for number in range(99)]
 
     async def script(world: World) -> None:
-        # A list of machine types that takes 3 KB, and tasks so small that a hundred and more are on a machine.
+        # A list of machine types that takes 3 KB, and tasks so small that more than a hundred fit on a machine.
         long = job(1, builds=["large", *names], pieces=2, true_s=200.0, expected_s=200.0)
         assert await world.submit(long)
         assert await world.submit(job(2, pieces=320, cpus=0.1, ram_gb=0.05, true_s=60.0, expected_s=60.0))
@@ -116,7 +116,7 @@
         fall(world)
         await asyncio.sleep(3)
         assert await world.submit(job(3, pieces=150, cpus=0.1, ram_gb=0.05, true_s=10.0, expected_s=10.0))
-        # What could never be stored is refused at once, not taken and lost.
+        # A job that could never be stored is rejected at once, not accepted and lost.
         answer = await world.ask("POST", "/submissions", long | {"name_id": "run-000004"})
         assert answer.status == 422 and "larger" in answer.body["error"]
         assert await world.poll("run-000001") == "running"
@@ -128,12 +128,12 @@
         assert await world.poll("run-000001") == "cancelled"
 
     world = day(script, before=begin_old)
-    # Machines and done marks were taken over: nothing was run again.
+    # The new leader loaded all assignments and done marks: no task ran again.
     assert max(world.rules.starts.values()) == 1
 
 
 def test_machine_is_filled_as_far_as_the_actual_size_of_its_record_allows() -> None:
-    """A bound by the longest names and numbers would leave large machines half empty at 2 KiB."""
+    """Guard against an estimate from the longest names and numbers: large machines would stay half empty at 2 KiB."""
 
     async def script(world: World) -> None:
         world.rent("large", "east")
@@ -157,7 +157,7 @@
         await asyncio.sleep(5)
         view = records(world)
         assert "t/types" not in view and len([key for key in view if key.startswith("y/")]) == TYPES_MANY + 2
-        # A new leader knows them from the store alone.
+        # A new leader loads them from the store alone.
         world.cloud.down = True
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
@@ -178,7 +178,7 @@
 
 @pytest.mark.parametrize("machines", [300])
 def test_the_stores_load_at_the_lower_limits_and_full_size(machines: int) -> None:
-    """Pages, time of a load, backlog and time to an answer, with the limits enforced throughout."""
+    """Bound the number of pages, load time, write backlog and response time, with the limits enforced throughout."""
 
     async def script(world: World) -> None:
         waits = []
@@ -192,7 +192,7 @@
         assert sorted(waits)[len(waits) * 9 // 10] < 0.5, waits
         leader = world.leader
         assert leader is not None and leader.leader is not None
-        # What waits to be written has not waited for long.
+        # No write has been pending for long.
         backlog = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
         now = leader.clock().total_seconds()
         assert not backlog or now - min(backlog) < 8
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades and rollbacks, and the proof that each missing guard is seen."""
+"""Repeated upgrades and rollbacks, and proof that the checks detect each missing guard."""
 
 import pytest
 from hypothesis import Phase, given, settings
@@ -14,7 +14,7 @@
 from tests.world.world import World
 
 
-# A history that fails is made smaller, unlike those of the other worlds: its steps tell which guard is missing.
+# Unlike the other generated histories, a failing one is shrunk: its steps show which guard is missing.
 @settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
 def test_repeated_upgrades_and_rollbacks_beside_all_troubles(
@@ -35,7 +35,7 @@
     patch, script = FAULTS[fault]
 
     def seen() -> list[str]:
-        """Return what the monitor and the rules find on that day."""
+        """Run the scenario and return the violations that the monitor and the rules report."""
         broken: list[str] = []
 
         async def watched(world: World) -> None:
@@ -49,7 +49,7 @@
             broken.append(str(error))
         return broken
 
-    # The same day with the guard shows nothing, but for the errors of processes that are rightly refused.
+    # With the guard, the same scenario reports only errors of processes that are rightly refused.
     assert all("is active, this version reads" in what for what in seen())
     with patch():
         assert any("is active, this version reads" not in what for what in seen())
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -1,4 +1,4 @@
-"""Staged rollouts beside lost answers, crashes and records that cannot be read."""
+"""Staged rollouts with lost responses, crashes and unreadable records."""
 
 import asyncio
 import logging
@@ -43,14 +43,14 @@
         with monitored(world) as monitor:
             await upgrade_all(world)
             ids = await submit_some(world)
-            # The leader itself is rolled back: the others serve on, and nobody works on what it would misread.
+            # The leader itself is rolled back: the others keep serving, and it does not act on what it would misread.
             assert world.leader is not None
             back = world.leader.node
             replace(world, back, BEFORE, 0.3)
             await asyncio.sleep(8)
             await check_refused(world, back)
             assert world.leader is not None and world.leader.node != back
-            # Alone it does not lead either.
+            # It does not lead as the only running node either.
             for node in NODES:
                 if node != back:
                     world.kill(node)
@@ -140,7 +140,7 @@
         while not ended:
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
-        # Nothing of the level is in use yet: the store is as the version in production reads it.
+        # No record of the new level has been written yet: the version in production can read the store.
         earlier_reader.read(world.store.values())
         ids = await submit_some(world)
         start(world, ended[0])
@@ -172,7 +172,7 @@
         await asyncio.sleep(30)
         assert world.leader is None
         assert (await world.ask("GET", "/ready")).status == 503
-        # Put right by an operator, it is taken up without a restart.
+        # Once an operator has corrected the record, a node leads without a restart.
         world.store.revision += 1
         world.store.items[key] = ({"level": 1, "token": 1}, world.store.revision, None)
         await asyncio.sleep(20)
@@ -202,7 +202,7 @@
             replace(world, node, SUPPORTED, 0.5)
         await asyncio.sleep(4 * SOAK_S)
         assert stored_level(world) == 1
-        # The node itself sets it right, and comes back new.
+        # The node replaces it when it restarts with the new version.
         replace(world, NODES[2], SUPPORTED, 0.5)
         await until_level(world, SUPPORTED.highest)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each check of the plain model is seen to fail: what it lets through would let through the service."""
+"""Proof that each check of the reference model can fail: a violation that it misses goes unnoticed in all tests."""
 
 from collections.abc import Callable
 
@@ -42,7 +42,7 @@
 
 
 def two_ends(one: Rules) -> None:
-    """Even on questions asked at once, a job has one end."""
+    """Report two final states of a job, even though the requests overlap."""
     cancelled(one)
     one.finished |= {f"run-000001/{n}" for n in range(3)}
     one.observe_response("run-000001", 200, "done", asked=-1.0)
@@ -125,7 +125,7 @@
     on(one, "run-000001/1")
     cancelled(one)
     assert not one.late_starts
-    # An answer as old as its question, which was asked before the other was given.
+    # A response may be as old as its request, which was sent before the cancellation was reported.
     one.loop.now = 1.0
     one.observe_response("run-000001", 200, "running", asked=-0.5)
     one.task_ended("m-1", "run-000001/0")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The world at a size near the grown deployments', its work counted in steps, not in seconds."""
+"""Simulations near the size of the grown deployments; their work is bounded in calls, not in seconds."""
 
 import asyncio
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 def test_hundreds_of_machines_and_a_fail_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Thousands of tasks; the work for each stays within bounds that a quadratic slip would break."""
+    """Run thousands of tasks, and bound the work for each so that accidental quadratic work fails the test."""
     changes: Counter[int] = Counter()  # by second
     calls: Counter[str] = Counter()
     count_calls(monkeypatch, calls, bin_packing, "fitting_tasks")
@@ -58,7 +58,7 @@
         crashed = world.loop.now
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
-        # The new leader serves within seconds, with all that there is in the store.
+        # The new leader serves within seconds, with the whole store loaded.
         assert world.loop.now - crashed < 6
         for job_id in ids:
             assert await world.poll(job_id) is not None
@@ -68,10 +68,10 @@
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
     tasks = sum(world.rules.starts.values())
-    # A lease outlasts a crash: hardly a task is started again for it.
+    # Leases outlast the crash: it restarts hardly any task.
     assert tasks < 1.02 * len(world.rules.starts)
     assert sum(changes.values()) < tasks / 10
-    # The rate with its burst, and the other nodes' share.
+    # The rate limit with its burst, and the share of the other nodes.
     assert max(changes.values()) <= 30 * 2
     assert calls["fitting_tasks"] < 10 * tasks, calls["fitting_tasks"] / tasks
 
@@ -87,12 +87,12 @@
 
 
 async def restart_everything(world: World) -> None:
-    """All controllers and workers end in an outage of the store, and are back within seconds."""
+    """Restart all controllers and workers within seconds, during an outage of the store."""
     world.store.outage(True)
     for node in list(world.controllers):
         world.kill(node)
     for index, worker in enumerate(list(world.workers.values())):
-        # Half of them keep their incarnation's number.
+        # Half of them keep their incarnation number.
         worker.restart(worker.incarnation + index % 2)
     for index, node in enumerate(world.nodes):
         world.loop.call_later(0.2 + 0.3 * index, start, world, node)
@@ -101,10 +101,10 @@
 
 
 def note_returns(world: World) -> list[bool]:
-    """Note for each machine that is deleted from now on whether it had nothing to do.
+    """Record for each machine that is deleted from now on whether it was idle and alive.
 
-    Machines that have nothing to do may go back, however many; none may be lost. What a machine
-    had when it was deleted, and whether it was heard until then, tells which it was.
+    Any number of idle machines may be deleted, but none may be lost. The tasks that a machine had when it
+    was deleted, and whether its heartbeats had arrived until then, tell the two apart.
     """
     returned: list[bool] = []
     on_deleted = world.cloud.on_deleted
@@ -120,7 +120,7 @@
 
 
 def test_everything_back_at_once_and_a_second_time_before_the_first_is_over() -> None:
-    """All workers and all controllers restart, in an outage and in the middle of the election after it."""
+    """Restart all workers and controllers in an outage, and once more in the middle of the election after it."""
 
     async def script(world: World) -> None:
         for index in range(MACHINES):
@@ -130,7 +130,7 @@
         await asyncio.sleep(10)
         assert len(world.rules.running) > 1000
         await restart_everything(world)
-        # The second time falls into the election after the first.
+        # The second restart falls into the election after the first.
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
@@ -139,8 +139,8 @@
         while await world.poll(ids[0]) is None:
             assert world.loop.now < over + 6
             await asyncio.sleep(0.2)
-        # Once a leader serves, most questions are answered, and every worker is renewed before its
-        # lease is over: tasks start on nearly all of them.
+        # Once a leader serves, most requests are answered, and every worker's lease is renewed before it
+        # expires: tasks start on nearly all of them.
         answered = 0
         for job_id in ids:
             answered += await world.poll(job_id) is not None
@@ -157,7 +157,7 @@
 
 
 async def cut_zone_off(world: World, more: Callable[[int], Awaitable[None]]) -> None:
-    """Cut a zone off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
+    """Cut off a zone with a controller that reaches only its workers; submit jobs meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
     set_apart(world, cut_off, True)
@@ -171,7 +171,7 @@
 
 
 async def refuse_peer_links(world: World, job_id: str) -> str:
-    """Cut all links between controllers: users at followers are refused at once, the leader serves on; return it."""
+    """Cut all links between controllers: followers refuse users at once, the leader keeps serving; return it."""
     reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
@@ -185,7 +185,7 @@
 
 
 def lose_a_third(world: World) -> None:
-    """Let a third of the machines end, hang or fail their tasks."""
+    """Make a third of the machines end, hang or fail their tasks."""
     names = sorted(world.workers)
     for name in names[::9]:
         world.workers.pop(name).terminate()
@@ -197,7 +197,7 @@
 
 
 def test_a_fleet_through_one_trouble_after_the_other_is_served_on() -> None:
-    """A zone cut off with its controller, refused links, a leader that stands still, a third of all lost."""
+    """Cut off a zone with its controller, cut peer links, suspend the leader, then lose a third of the machines."""
 
     async def script(world: World) -> None:
         zones = ["east", "north", "west"]
@@ -234,7 +234,7 @@
 
 
 def test_a_report_that_says_nothing_new_costs_nothing_for_the_tasks_in_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Most of what reports list runs on as before: neither is it taken in again, nor weighed for a command."""
+    """Check that unchanged tasks, most of a heartbeat, are neither recorded again nor considered for a command."""
     work: Counter[str] = Counter()
 
     count_calls(monkeypatch, work, HeartbeatHandler, "handle")
@@ -259,7 +259,7 @@
 
 
 def test_an_answer_leaves_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A round of decisions takes longer than an answer, and would hold it up on a small share."""
+    """Guard against a scheduling round before the response: it takes longer and delays it on a small CPU share."""
     events: list[str] = []
     submit = JobService.submit
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -1,7 +1,7 @@
-"""Every stored form and controller message against the schema of its level.
+"""Stored records and messages between controllers, validated against the schemas of their level.
 
-`schemas/level-N.json` says what may be written and sent while level N is active; `tools/schemas.py` writes the
-newest one. A published file never changes, so a form that changes needs a new level.
+`schemas/level-N.json` defines what may be written and sent while level N is active; `tools/schemas.py` writes the
+newest one. A published file never changes, so a changed format needs a new level.
 """
 
 import asyncio
@@ -50,7 +50,7 @@
 
 
 def forms_in(store: dict[str, Any]) -> Iterator[tuple[str, str, Any]]:
-    """Form, key and value of all that stands in the state service."""
+    """Yield the schema name, key and value of everything in the state service."""
     for key, value in store.items():
         if key == "leader":
             yield "leader", key, value
@@ -61,7 +61,7 @@
 
 
 def sample(level: int) -> list[dict[str, Any]]:
-    """Form and value of each sample of a level."""
+    """Return the samples of a level, each with its schema name and value."""
     found: list[dict[str, Any]] = json.loads((SAMPLES / f"level-{level}.json").read_text())
     return found
 
@@ -76,7 +76,7 @@
 
 
 def read(form: str, value: Any) -> None:
-    """Read a sample as this version does."""
+    """Decode a sample as this version does."""
     if form.startswith("message "):
         peers.decode(msgspec.json.encode(value))
     elif form == "done":
@@ -92,7 +92,7 @@
 
 
 def test_the_newest_files_are_those_of_the_code() -> None:
-    """Otherwise a form has changed: it needs a new level, a gate and a file of its own."""
+    """Guard against a changed format without a new level, a gate and a schema file of its own."""
     assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == text_of(schemas_of(FORMS))
     assert (ROOT / "schemas" / "rollout.json").read_text() == text_of(schemas_of(ROLLOUT_FORMS))
 
@@ -116,7 +116,7 @@
             check(level, one["form"], one["value"])
             read(one["form"], one["value"])
             seen.add((level, one["form"]))
-    # What the next level changes: the announcement, and the view in it.
+    # The next level changes the leader announcement and the link view in it.
     assert {form for level, form in seen if level == 3} == {"message lead", "link view"}
     forms_before = set(FORMS) - {"rental", "link view"}
     assert {form for level, form in seen if level == 2} == forms_before
@@ -144,14 +144,14 @@
 
 
 def check_what_is_stored_and_sent(world: World) -> Iterator[tuple[int, str]]:
-    """Level and form of all that stands in the store, and of each message that is sent."""
+    """Validate everything in the store and each announcement; yield their levels and schema names."""
     level = world.store.values().get("rollout/level", {"level": 1})["level"]
     for form, _, value in forms_in(world.store.values()):
         check(level, form, value)
         yield level, form
     for one in world.controllers.values():
         frame = json.loads(peers.encode(one.make_announcement()))
-        # The leader may know of a level that it has raised a moment ago.
+        # The leader may already know a level that it has just raised.
         check(level, "message lead", frame)
         if "links" in frame:
             check(level, "link view", frame["links"])
@@ -167,7 +167,7 @@
 
 
 def test_all_that_is_written_while_a_level_is_active_is_of_that_level() -> None:
-    """Checked all the time through an upgrade: what stands in the store, and each message that is sent."""
+    """Validate the store and the announcements throughout an upgrade."""
     sent: set[tuple[int, str]] = set()
 
     async def script(world: World) -> None:
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -1,4 +1,4 @@
-"""Which services are taken, and how their replicas count and are placed."""
+"""Admission of services, and how their replicas count against limits and are placed."""
 
 import asyncio
 from typing import Any
@@ -22,7 +22,7 @@
     async def script(world: World) -> None:
         await asyncio.sleep(3)
         never: list[dict[str, Any]] = [
-            # All replicas count at once: 4 of 4 cores are more than the 12 of the team.
+            # All replicas run at once: 4 with 4 cores each exceed the team's limit of 12.
             {"crew": "red", "pieces": 4, "cpus": 4.0, "scatter": False},
             {"crew": "green"},
             {"cpus": 17.0},
@@ -31,7 +31,7 @@
         ]
         for change in never:
             assert (await world.ask("POST", "/submissions", daemon(1) | change)).status == 422, change
-        # A batch of the same size runs by turns.
+        # A batch job of the same size is accepted: its tasks can run one after another.
         batch = job(2, crew="red", pieces=4, cpus=4.0)
         assert (await world.ask("POST", "/submissions", batch)).status == 201
         bad: list[tuple[str, Any]] = [
@@ -68,7 +68,7 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=60, true_s=40.0, expected_s=40.0))
         await asyncio.sleep(12)
-        # Spot machines may come, but no ordinary one: the service must get room that is taken.
+        # Only spot machines can be launched: the service needs capacity that other tasks occupy.
         world.cloud.capacity = {kind: 0 if not kind[2] else 9 for kind in world.cloud.capacity}
         assert await world.submit(daemon(2, pieces=6, scatter=False))
         assert await served(world, "run-000002", 15, 6) < 15
@@ -84,7 +84,7 @@
 
 
 def test_ordinary_machines_come_in_the_zones_that_a_spread_service_needs() -> None:
-    """Cores enough are up, but of spot machines, or of one zone."""
+    """Start with enough cores, but on spot machines or in a single zone."""
 
     async def script(world: World) -> None:
         for _ in range(3):
@@ -152,7 +152,7 @@
 
 
 def test_services_are_urgent_whatever_the_operators_say() -> None:
-    """Deferrable work is judged by its deadline; a service has none, and would wait beside all of it."""
+    """Guard against starvation of services: deferrable jobs are ordered by deadline, and a service has none."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
     spec = sent(daemon(1))
@@ -161,19 +161,19 @@
 
 
 def test_a_machine_is_not_kept_for_replicas_that_others_could_take() -> None:
-    """They move one at a time, so a service is never without more than one of them."""
+    """Check that replicas move one at a time, so that a service never lacks more than one."""
 
     async def script(world: World) -> None:
         ordinary(world, 2)
         await asyncio.sleep(5)
-        # Work of three cores on each machine leaves room for one replica on each.
+        # A three-core task on each machine leaves room for one replica there.
         assert await world.submit(job(1, urgency="high", pieces=6, cpus=3.0, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
         assert await world.submit(daemon(2, pieces=6, scatter=False))
         await served(world, "run-000002", 15, 6)
         assert len({name for name, task in world.rules.running if task.startswith("run-000002")}) == 6
         await asyncio.sleep(300)
-        # A move costs replica time: nothing is emptied lightly.
+        # A move costs replica time, so no machine has been drained yet.
         assert len({name for name, _ in world.rules.running}) == 6
         least = 6
         for _ in range(2000):
@@ -181,7 +181,7 @@
             least = min(least, world.rules.serving("run-000002"))
         assert least == 5
         assert max(world.rules.starts[f"run-000002/{task}"] for task in range(6)) <= 2
-        # What stays is what the band keeps; one machine less could be chance, as answers get lost.
+        # The urgent band keeps the remaining machines; a single one fewer could be chance, as responses get lost.
         assert len({name for name, _ in world.rules.running}) <= 4
         assert len(world.cloud.machines) <= 4
         assert world.rules.serving("run-000002") == 6
@@ -197,5 +197,5 @@
     for kind, within, after in aims:
         facts.objectives.append(platform.Objective(kind, "gateway", within_s=within, after_s=after))
         due.append(JobFactory(facts, operators.load(None), ActiveFeatures()).new(spec, seconds(0)).deadline)
-    # An end is nothing that a service could be judged by.
+    # Objectives for the end of a job do not apply to services.
     assert due == [seconds(3600), seconds(20), seconds(12), seconds(12)]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas run until they are withdrawn, and return after whatever ends them."""
+"""Services: replicas run until the service is withdrawn, and are restarted whatever ends them."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
         answer = await world.ask("GET", "/submissions/run-000001")
         assert answer.body == {"name_id": "run-000001", "status": "running", "done": 0, "running": 3}
         await asyncio.sleep(300)
-        # Nothing was stopped or started again for all that time, and no machine was given back under it.
+        # No replica was stopped or restarted in all that time, and no machine was deleted under one.
         assert world.rules.serving("run-000001") == 3
         assert max(world.rules.starts.values()) == 1
         assert await world.withdraw("run-000001") == "cancelled"
@@ -40,7 +40,7 @@
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=40.0, ends=ends))
         await asyncio.sleep(250)
-        # Each ended five times or so; the breaks are short, and no end was taken for the last.
+        # Each replica ended about five times; restarts are quick, and no end counts as final.
         assert sum(world.rules.starts.values()) >= 15
         assert await served(world, "run-000001", 15) < 15
         assert await world.poll("run-000001") == "running"
@@ -72,7 +72,7 @@
         for number in (1, 2):
             tries = sum(count for task, count in world.rules.starts.items() if task.startswith(f"run-00000{number}"))
             assert 8 <= tries <= 60, tries
-        # The good service was not disturbed, and no machine was rented to try another.
+        # The healthy service was not disturbed, and retries launched at most one machine.
         assert all(world.rules.starts[f"run-000003/{n}"] == 1 for n in range(3))
         assert len(world.cloud.requests) <= rented + 1
 
@@ -101,7 +101,7 @@
     async def script(world: World) -> None:
         ordinary(world, 3)
         await asyncio.sleep(5)
-        # Replicas that may run on whatever machine, spread or not, and deferrable work beside them.
+        # Services whose replicas may run on any machine, one spread and one not, beside deferrable tasks.
         assert await world.submit(daemon(1))
         assert await world.submit(daemon(2, pieces=4, scatter=False))
         assert await world.submit(job(3, pieces=20, true_s=30.0, expected_s=30.0))
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -1,4 +1,4 @@
-"""A staged rollout in the simulated world: off until every controller has it, then on once for all."""
+"""Simulated staged rollouts: a feature is off until every controller supports it, then turned on once."""
 
 import asyncio
 from typing import Any
@@ -31,13 +31,13 @@
             replace(world, node, SUPPORTED, 1.0)
             await asyncio.sleep(8)
             if node != NODES[-1]:
-                # Whoever leads, and whatever it writes: the version before could read it.
+                # Whichever node leads, the previous version can read what it writes.
                 earlier_reader.read(world.store.values())
         await until_level(world, SUPPORTED.highest)
         assert len(monitor.activations) == 1
         for one in world.controllers.values():
             assert one.rollout.features.is_active(Feature.DONE_BITMAPS)
-        # The version in production reads what stands before the fence, and refuses what stands after it.
+        # The version in production reads the store until the fence is written, and refuses it from then on.
         with pytest.raises(earlier_reader.UnreadableError):
             earlier_reader.read(world.store.values())
         ids += await submit_some(world, 4, 10)
@@ -52,7 +52,7 @@
 
 
 def test_the_rollout_costs_a_transaction_a_start_and_few_requests() -> None:
-    """Counted: two requests at a start, one at a load, two each ten seconds while the leader waits, then none."""
+    """Count two requests per start, one per load, two every ten seconds while the leader waits, then none."""
     requests: list[str] = []
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
@@ -74,7 +74,7 @@
         await upgrade_all(world)
         # Three starts and the activation.
         assert requests.count("write") == 4
-        # A read a start and a load, and each time an announcement wakes the leader.
+        # One read per start, per load, and per announcement that wakes the leader.
         assert requests.count("read") <= 3 + 3 + 8 and requests.count("watch") <= 8
         requests.clear()
         await asyncio.sleep(60)
@@ -102,8 +102,8 @@
     staged_day(script, before)
 
 
-# A node's process is replaced: by this version, by the version before, by this one with an operator's hold; or it
-# ends. `wait` is longer than the soak time, and `off` means that the level has not risen.
+# `new`, `back` and `held` replace a node's process by this version, by the previous one, or by this one with an
+# operator's hold; `end` kills it. `wait` is longer than the soak time; `off` checks that the level has not risen.
 SCENARIOS = {
     "rolled back halfway": "new 0, new 1, wait, back 0, new 2, wait, off, new 0",
     "down meanwhile, and back as before": "end 2, new 0, new 1, wait, off, back 2, wait, off, new 2",
@@ -145,7 +145,7 @@
         ids = await submit_some(world)
         await asyncio.sleep(6)
         assert not any(key.startswith("rollout/") for key in world.store.items)
-        # The rollout is switched on node by node, with the new version.
+        # The rollout is enabled node by node, together with the new version.
         world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
         for node in NODES:
             assert stored_level(world) == 1
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""Loading the store: an earlier layout is migrated, unreadable records are named, many jobs cause no delay."""
+"""Loading the store: migration of the earlier layout, unreadable records, and thousands of finished jobs."""
 
 import asyncio
 from typing import Any
@@ -27,7 +27,7 @@
         assert await world.poll("run-000003") is None
         # Tasks 0 to 2 were done before.
         assert {task for task in world.rules.starts if task.startswith("run-000001")} == {"run-000001/3"}
-        # From now on the old keys are not looked at, whatever becomes of them.
+        # From now on the keys of the earlier layout are ignored, even if they change.
         await asyncio.sleep(8)
         put(world, "j/run-000002", {"state": "cancelled", "tasks": 4})
         assert world.leader is not None
@@ -75,12 +75,12 @@
     with errors_logged() as lines:
         play(main(), world.loop)
     assert lines and all(named in line for line in lines)
-    # Nor do the nodes overload the store with attempts.
+    # The nodes do not overload the store with retries either.
     assert len(lines) < 30
 
 
 def test_thousands_of_finished_jobs_delay_no_new_leader() -> None:
-    """Their ends are kept for ever: a fail-over loads them all, and every job is answered for at once."""
+    """Check that a new leader loads all final states, which are kept for ever, and answers for every job at once."""
     count = 4000
 
     async def script(world: World) -> None:
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,7 +1,7 @@
-"""Two versions on each other's data: what each stores and says, read by the other.
+"""Compatibility of two versions: each reads the records and messages that the other writes.
 
-The samples were made by running the version in production in the simulated world of its own
-tests. What the newer version writes is read by a strict model of that version's reader.
+The samples were written by the version in production, run in the simulation of its own tests. A strict
+model of that version's reader reads what the newer version writes.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
     for job_id, told in SAMPLES["told"].items():
         assert view.jobs[job_id]["state"] in ([told] if told in ("done", "cancelled") else ["open", "done"])
     assert view.types and view.machines
-    # All that ran then is accounted for, but for what had just ended.
+    # Every task that ran then is assigned to its machine, except for those that had just ended.
     done = set(SAMPLES["done"])
     assert {(machine, task) for machine, task in SAMPLES["where"] if task not in done} <= view.holds
     for job_id, marked in view.done.items():
@@ -45,7 +45,7 @@
 
 
 def test_the_model_refuses_what_the_earlier_version_could_not_read() -> None:
-    """A reader that reads anything would find nothing."""
+    """Guard against a model that accepts everything and would detect nothing."""
     spec = sent(daemon(1))
     bad: list[dict[str, Any]] = [
         {"j/run-000001": {"state": "open", "tasks": 3, "at": 1.0, "chunk": 64, "spec": spec}},
@@ -91,7 +91,7 @@
         world.rules.asked_to_cancel |= {job_id for job_id, one in view.jobs.items() if one["state"] == "cancelled"}
 
     async def quickly(world: World) -> None:
-        # Before leases are judged: what is loaded, not what has become of it since.
+        # Check the state as loaded, before the leader acts on expired leases.
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.05)
         await script(world)
@@ -113,14 +113,14 @@
 
 
 def check_earlier_reader(world: World) -> None:
-    """Check that an earlier leader would miss and mistake nothing of what is stored now."""
+    """Check that a leader of the earlier version would read all that is stored now, and read it correctly."""
     view = earlier_reader.read(world.store.values())
     for job_id, told in world.rules.reported_states.items():
         state = view.jobs[job_id]["state"]
         assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
     for job_id, marked in view.done.items():
         assert {f"{job_id}/{task}" for task in marked} <= world.rules.finished
-    # No task is on a machine that the store does not name for it, unless its end is stored.
+    # Each running task is stored as assigned to its machine, unless its end is stored.
     for machine, task in world.rules.running:
         job_id, _, index = task.rpartition("/")
         over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
@@ -150,7 +150,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_an_earlier_leader_finds_all_that_the_newer_version_stored(seed: int) -> None:
-    """At any moment before all nodes are new, whoever leads: nothing is missed or mistaken."""
+    """Check at many moments before all nodes are upgraded that the earlier version reads the store correctly."""
 
     async def script(world: World) -> None:
         checks = 0
@@ -168,7 +168,7 @@
             await befall(world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids)
             await check_often(20, 0.3)
 
-        # Up to the last but one: whichever leads, an earlier version may be next.
+        # Up to the last node but one: whichever leads, the next leader may run the earlier version.
         await upgrade(world, world.nodes[:2], 3.0, trouble)
         await check_often(60, 0.5)
         restore(world)
@@ -182,13 +182,13 @@
 
 
 def test_the_first_service_is_written_only_when_one_is_asked_for() -> None:
-    """Users ask for none before all nodes are new, so the first that is stored says that they are."""
+    """Check that no service is stored unasked: users submit the first one only once all nodes are upgraded."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
         earlier_reader.read(world.store.values())
-        # A node that is down at that moment keeps nobody from it.
+        # A node that is down at that moment does not prevent it.
         world.kill(next(node for node in world.nodes if world.controllers[node] is not world.leader))
         assert await world.submit(daemon(2), 5)
         with pytest.raises(earlier_reader.UnreadableError):
