--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -13,23 +13,23 @@
 
 
 @pytest.mark.parametrize("drift", [-0.0005, 0.0005])
-def test_leader_apart_with_some_workers_is_followed_without_running_anything_twice(drift: float) -> None:
+def test_isolated_leader_with_some_workers_is_replaced_without_running_a_task_twice(drift: float) -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, crew="red", pieces=12, true_s=60.0, expected_s=60.0))
         assert await world.submit(job(2, pieces=14, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(8)
-        old = world.leader
-        assert old is not None
-        name = old.node
+        old_leader = world.leader
+        assert old_leader is not None
+        name = old_leader.node
         world.drift[name] = drift
         set_apart(world, name, True)
         # Half of the workers reach only the old leader, which may answer them for a bounded time.
-        with_old = sorted(world.workers)[::2]
-        world.cut_worker_links |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
-        apart = world.loop.now
-        while old.election.role.name != "FOLLOWER":
+        old_workers = sorted(world.workers)[::2]
+        world.cut_worker_links |= {(worker, node) for worker in old_workers for node in world.nodes if node != name}
+        isolated_at = world.loop.now
+        while old_leader.election.role.name != "FOLLOWER":
             await asyncio.sleep(0.1)
-        assert world.loop.now - apart < 20
+        assert world.loop.now - isolated_at < 20
         # The old leader and its workers reconnect at a random time during the fail-over.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
         set_apart(world, name, False)
@@ -46,19 +46,19 @@
 # A leader that its workers do not reach
 
 
-def test_leader_that_workers_do_not_reach_gives_way_before_their_leases_run_out() -> None:
+def test_leader_that_workers_do_not_reach_steps_down_before_their_leases_expire() -> None:
     """Guard against a leader that keeps leading when no worker reaches it: all their tasks were lost that way once."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=200, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(10)
         running = set(world.rules.running)
-        old = world.leader
-        assert old is not None and len(running) == 200
-        name = old.node
+        old_leader = world.leader
+        assert old_leader is not None and len(running) == 200
+        name = old_leader.node
         world.cut_worker_links |= {(worker, name) for worker in world.workers}
         await asyncio.sleep(10)
-        assert world.leader is not None and world.leader is not old
+        assert world.leader is not None and world.leader is not old_leader
         await asyncio.sleep(20)
         # There was a single fail-over.
         assert world.leader.election.fencing_token == max(
@@ -74,41 +74,41 @@
         day(script, seed=seed, machines=24, each=0)
 
 
-def test_leader_whose_answers_reach_no_worker_gives_way() -> None:
+def test_leader_whose_responses_reach_no_worker_steps_down() -> None:
     """Check the loss of responses alone: heartbeats still arrive, so the leader sees no worker as silent."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=100, true_s=40.0, expected_s=40.0))
         await asyncio.sleep(10)
-        old = world.leader
-        assert old is not None
-        world.nodes_without_responses.add(old.node)
+        old_leader = world.leader
+        assert old_leader is not None
+        world.nodes_without_responses.add(old_leader.node)
         await asyncio.sleep(14)
-        assert world.leader is not None and world.leader is not old
+        assert world.leader is not None and world.leader is not old_leader
         assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(2):
         day(script, seed=seed, machines=24, each=0)
 
 
-@pytest.mark.parametrize("reaching", ["none", "some"])
-def test_leader_whose_machines_are_dead_or_cut_off_leads_on(reaching: str) -> None:
+@pytest.mark.parametrize("reached_nodes", ["none", "some"])
+def test_leader_whose_machines_are_dead_or_cut_off_keeps_leading(reached_nodes: str) -> None:
     """Check that a leader keeps leading if no other node hears its workers either, or if only a few are silent."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=40, true_s=20.0, expected_s=20.0))
         await asyncio.sleep(10)
-        old = world.leader
-        assert old is not None
+        old_leader = world.leader
+        assert old_leader is not None
         workers = sorted(world.workers)
-        if reaching == "none":
+        if reached_nodes == "none":
             for worker in workers[:5]:
                 world.workers[worker].hung = True
                 world.cut_worker_links |= {(worker, node) for node in world.nodes}
         else:
-            world.cut_worker_links |= {(worker, old.node) for worker in workers[:2]}
+            world.cut_worker_links |= {(worker, old_leader.node) for worker in workers[:2]}
         await asyncio.sleep(25)
-        assert world.leader is old
+        assert world.leader is old_leader
         world.cut_worker_links.clear()
         for one in world.workers.values():
             one.hung = False
@@ -120,7 +120,7 @@
 # A zone that is cut off
 
 
-def test_machines_of_a_zone_that_is_cut_off_are_kept_and_none_rented_there() -> None:
+def test_machines_of_a_zone_that_is_cut_off_are_kept_and_none_launched_there() -> None:
     """Check that the machines are kept: they return sooner than new ones boot, which could not report either."""
 
     async def script(world: World) -> None:
@@ -133,10 +133,10 @@
         assert len(west) >= 8 and any(machine in west for machine, _ in world.rules.running)
         world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(8)
-        rented = {name for name, one in world.cloud.machines.items() if one.zone == "west"}
+        west_machines = {name for name, one in world.cloud.machines.items() if one.zone == "west"}
         # After the lease, the zone's tasks run elsewhere, but its machines are kept.
         await asyncio.sleep(32)
-        assert {name for name, one in world.cloud.machines.items() if one.zone == "west"} == rented >= west
+        assert {name for name, one in world.cloud.machines.items() if one.zone == "west"} == west_machines >= west
         assert not any(machine in west for machine, _ in world.rules.running)
         world.cut_worker_links.clear()
         assert await world.submit(job(2, pieces=120, true_s=10.0, expected_s=10.0))
@@ -151,8 +151,8 @@
     day(script, machines=4, each=2)
 
 
-@pytest.mark.parametrize("others_live", [True, False])
-def test_leader_with_nothing_but_the_state_service_gives_way_once(others_live: bool) -> None:
+@pytest.mark.parametrize("other_nodes_up", [True, False])
+def test_leader_that_reaches_only_the_state_service_steps_down_once(other_nodes_up: bool) -> None:
     """Check a leader that renews its lease, but that no worker or controller reaches to tell it so."""
 
     async def script(world: World) -> None:
@@ -162,27 +162,27 @@
         first = world.leader
         assert first is not None
         node, fencing_token = first.node, first.election.fencing_token
-        if not others_live:
+        if not other_nodes_up:
             for other in [name for name in world.nodes if name != node]:
                 world.kill(other)
         world.isolated_nodes.add(node)
         world.cut_worker_links |= {(worker, node) for worker in world.workers}
         await asyncio.sleep(11)
-        if others_live:
+        if other_nodes_up:
             assert world.leader is not None and world.leader.node != node
             await asyncio.sleep(60)
         else:
             # No other node can lead: it steps down once, is elected again and still leads when the machines return.
             await asyncio.sleep(30)
             assert first.election.holds_lease() and first.election.fencing_token > fencing_token
-            won = first.election.fencing_token
+            token_after_reelection = first.election.fencing_token
             await asyncio.sleep(40)
-            assert first.election.fencing_token == won
+            assert first.election.fencing_token == token_after_reelection
         restore(world)
         world.cut_worker_links.clear()
         states = await world.until_over([f"run-{number:06d}" for number in range(4)], 200)
         assert set(states.values()) == {"done"}
-        if others_live:
+        if other_nodes_up:
             assert max(world.rules.starts.values()) == 1
 
     day(script, machines=6)
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -9,7 +9,7 @@
 from tests.world.world import World
 
 
-def test_idle_machines_go_back_and_late_work_rents() -> None:
+def test_idle_machines_are_deleted_and_late_jobs_launch_more() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=200, expected_s=20.0, true_s=20.0))
         await asyncio.sleep(60)
@@ -22,20 +22,20 @@
     day(script, machines=1)
 
 
-def test_sick_machine_is_returned_and_bad_job_blames_none() -> None:
+def test_faulty_machine_is_deleted() -> None:
     async def script(world: World) -> None:
         await asyncio.sleep(2)
-        sick = next(iter(world.workers))
-        world.workers[sick].faulty = True
+        faulty_machine = next(iter(world.workers))
+        world.workers[faulty_machine].faulty = True
         for number in range(14):
             assert await world.submit(job(number))
         await world.until_over([f"run-{n:06d}" for n in range(14)], 120)
-        assert sick in world.cloud.deleted
+        assert faulty_machine in world.cloud.deleted
 
     day(script)
 
 
-def test_silent_machine_gets_nothing_new() -> None:
+def test_silent_machine_gets_no_new_tasks() -> None:
     """Guard against an incident in which a hung machine was repeatedly given tasks and had them taken back."""
 
     async def script(world: World) -> None:
@@ -55,39 +55,39 @@
     day(script)
 
 
-def test_machine_that_never_comes_up_is_given_up() -> None:
+def test_machine_that_never_becomes_ready_is_deleted() -> None:
     async def script(world: World) -> None:
         await asyncio.sleep(2)
-        stuck = world.cloud.add("small", "east", True, 10_000.0)
+        stuck_machine = world.cloud.add("small", "east", True, 10_000.0)
         await asyncio.sleep(60)
-        assert stuck.name in world.cloud.deleted
+        assert stuck_machine.name in world.cloud.deleted
 
     day(script)
 
 
-def test_deletions_are_repeated_until_answered() -> None:
+def test_deletions_are_retried_until_confirmed() -> None:
     async def script(world: World) -> None:
         await asyncio.sleep(2)
         assert world.leader is not None
-        cloud = world.ports[world.leader.node].cloud.faults
-        stuck = world.cloud.add("small", "east", True, 10_000.0)
+        cloud_faults = world.ports[world.leader.node].cloud.faults
+        stuck_machine = world.cloud.add("small", "east", True, 10_000.0)
         await asyncio.sleep(25)
-        cloud.lost_response_share = 0.9
+        cloud_faults.lost_response_share = 0.9
         await asyncio.sleep(60)
-        cloud.lost_response_share = 0.0
+        cloud_faults.lost_response_share = 0.0
         await asyncio.sleep(15)
-        assert stuck.name not in world.cloud.machines
-        assert stuck.name not in world.leader.leader.cluster.machines  # type: ignore[union-attr]
+        assert stuck_machine.name not in world.cloud.machines
+        assert stuck_machine.name not in world.leader.leader.cluster.machines  # type: ignore[union-attr]
 
     day(script)
 
 
 @pytest.mark.parametrize("notice", [True, False])
-def test_taken_machine_loses_no_job(notice: bool) -> None:
+def test_interrupted_machine_loses_no_job(notice: bool) -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=20, true_s=20.0, expected_s=20.0, snapshot_every_s=5.0, snapshot_s=1.0))
         await asyncio.sleep(8)
-        name, held = next((m, [t for n, t in world.rules.running if n == m]) for m, _ in world.rules.running)
+        name, its_tasks = next((m, [t for n, t in world.rules.running if n == m]) for m, _ in world.rules.running)
         worker = world.workers[name]
         if notice:
             worker.interruption_at = world.loop.now + 12
@@ -95,7 +95,7 @@
             await asyncio.sleep(10.5)
             # Tasks that could save a checkpoint continue elsewhere, and no new ones were assigned.
             assert not any(m == name for m, _ in world.rules.running)
-            assert set(held) <= {t for _, t in world.rules.running} | world.rules.finished
+            assert set(its_tasks) <= {t for _, t in world.rules.running} | world.rules.finished
             await asyncio.sleep(1.5)
         if name in world.cloud.machines:
             del world.cloud.machines[name]
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -18,7 +18,7 @@
 from tests.world.world import World
 
 # By combination, its faults and the seconds after which each begins.
-MEETINGS: dict[str, list[tuple[str, float]]] = {
+FAULT_COMBINATIONS: dict[str, list[tuple[str, float]]] = {
     "a report is held back until a new leader has acted": [("kept_for_the_next", 0), ("cancel_now", 3)],
     "one-task jobs come by the second, a quarter cancelled": [("stream", 0)],
     "the same, and the leader ends": [("stream", 0), ("leader_ends", 8), ("leader_stands_still", 16)],
@@ -82,7 +82,7 @@
 }
 
 
-def play(troubles: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
+def play(faults: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
     """Inject the faults, then remove them: every accepted job must end, and no rule may be broken."""
 
     async def script(world: World) -> None:
@@ -90,13 +90,13 @@
         watcher = world.loop.create_task(watch(world))
         await stage.work()
         await asyncio.sleep(6)
-        began = world.loop.now
+        started_at = world.loop.now
 
-        async def befall(name: str, at: float) -> None:
-            await asyncio.sleep(began + at - world.loop.now)
+        async def inject_later(name: str, delay_s: float) -> None:
+            await asyncio.sleep(started_at + delay_s - world.loop.now)
             await TROUBLES[name](stage)
 
-        await asyncio.gather(*(befall(name, at) for name, at in troubles))
+        await asyncio.gather(*(inject_later(name, delay_s) for name, delay_s in faults))
         await stage.end()
         await asyncio.sleep(world.rng.uniform(0, 10))
         restore(world)
@@ -116,31 +116,31 @@
     return day(script, seed=seed, controllers=controllers, each=2, machines=6)
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
-def test_rules_hold_where_troubles_meet(meeting: str) -> None:
+@pytest.mark.parametrize("combination", FAULT_COMBINATIONS)
+def test_rules_hold_for_each_named_combination(combination: str) -> None:
     for seed in range(2):
-        play(MEETINGS[meeting], seed)
+        play(FAULT_COMBINATIONS[combination], seed)
 
 
-def mixture(seed: int, counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
+def draw_faults(seed: int, fault_counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
     rng = random.Random(seed)
-    return [(rng.choice(sorted(TROUBLES)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
+    return [(rng.choice(sorted(TROUBLES)), rng.uniform(0, 12)) for _ in range(rng.choice(fault_counts))]
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_rules_hold_for_pairs_and_triples(seed: int) -> None:
-    play(mixture(seed), seed, 3 if seed % 3 else 5)
+def test_rules_hold_for_random_pairs_and_triples(seed: int) -> None:
+    play(draw_faults(seed), seed, 3 if seed % 3 else 5)
 
 
 if __name__ == "__main__":
     # To run more seeds and more faults at once: `python -m tests.test_meetings 1000 1400 4 6`.
-    first, last, *counts = map(int, sys.argv[1:])
-    broken = 0
+    first, last, *fault_counts = map(int, sys.argv[1:])
+    failures = 0
     for seed in range(first, last):
-        troubles = mixture(seed, counts or (2, 2, 3))
+        faults = draw_faults(seed, fault_counts or (2, 2, 3))
         try:
-            play(troubles, seed, 3 if seed % 3 else 5)
+            play(faults, seed, 3 if seed % 3 else 5)
         except AssertionError as error:
-            broken += 1
-            print(seed, troubles, str(error).splitlines()[0][:300], flush=True)
-    print(f"{last - first} played, {broken} broken")
+            failures += 1
+            print(seed, faults, str(error).splitlines()[0][:300], flush=True)
+    print(f"{last - first} played, {failures} broken")
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -18,9 +18,9 @@
         loop.run_until_complete(upgrade.run())
     assert upgrade.stand_ins.rules.broken == []
     assert upgrade.level() == SUPPORTED.highest
-    told = [what for _, what in upgrade.happened]
-    assert f"{NODES[0]}, rolled back, answers /ready with 503" in told
-    assert f"{NODES[0]}, new again, answers /ready with 200" in told
+    events = [event for _, event in upgrade.happened]
+    assert f"{NODES[0]}, rolled back, answers /ready with 503" in events
+    assert f"{NODES[0]}, new again, answers /ready with 200" in events
     refusals = [line for _, line in upgrade.nodes[NODES[0]].lines if "it does not take part" in line]
     assert len(refusals) == 1 and refusals[0].startswith("ERROR")
     # Every submission was answered in the end, and the upgrade restarted hardly any task.
@@ -29,7 +29,7 @@
     assert sum(starts.values()) < 1.1 * len(starts)
 
 
-def test_libraries_that_few_controllers_need_are_not_loaded_at_the_start() -> None:
+def test_rarely_needed_libraries_are_not_imported_at_startup() -> None:
     script = "import sys, elmthread.cli, elmthread.controller; print(*sys.modules)"
     environment = os.environ | {"PYTHONPATH": str(ROOT / "src")}
     loaded = subprocess.run([sys.executable, "-c", script], env=environment, capture_output=True, text=True, check=True)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -22,10 +22,10 @@
 from tests.world.upgrades import begin_old, fall, rollout, upgrade
 from tests.world.world import World, start
 
-TYPES_MANY = 12
+EXTRA_MACHINE_TYPES = 12
 
 
-def sizes(world: World) -> list[int]:
+def page_sizes(world: World) -> list[int]:
     return [
         len(json.dumps(value, separators=(",", ":")))
         for key, (value, _, _) in world.store.items.items()
@@ -44,13 +44,13 @@
     st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
     st.floats(0.0, 40.0),
 )
-def test_rules_hold_through_an_upgrade_and_falling_limits(
-    number: int, order: list[str], troubles: list[tuple[str, float]], falls: float
+def test_rules_hold_through_an_upgrade_and_lowered_limits(
+    seed: int, order: list[str], faults: list[tuple[str, float]], limits_lowered_after_s: float
 ) -> None:
-    rollout(number, order, troubles, falls, begin_old)
+    rollout(seed, order, faults, limits_lowered_after_s, begin_old)
 
 
-def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
+def test_an_upgrade_disturbs_users_no_more_than_a_rolling_restart() -> None:
     """Check that the upgrade restarts no task and that requests are answered within seconds."""
 
     async def script(world: World) -> None:
@@ -78,11 +78,11 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_records_that_larger_values_held_are_moved_to_smaller_pages() -> None:
+def test_records_in_oversized_pages_are_moved_to_smaller_ones() -> None:
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        assert max(sizes(world)) > NEXT["value_kb"] * 1024
+        assert max(page_sizes(world)) > NEXT["value_kb"] * 1024
         await world.until_over([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
@@ -101,23 +101,25 @@
     day(script, before=begin_old, controllers=2)
 
 
-def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
+def test_records_above_the_size_limit_stay_readable_and_their_jobs_can_be_cancelled() -> None:
     names = [f"type-{number:04d}-of-some-length" for number in range(99)]
 
     async def script(world: World) -> None:
         # A list of machine types that takes 3 KB, and tasks so small that more than a hundred fit on a machine.
-        long = job(1, builds=["large", *names], pieces=2, true_s=200.0, expected_s=200.0)
-        assert await world.submit(long)
+        large_spec = job(1, builds=["large", *names], pieces=2, true_s=200.0, expected_s=200.0)
+        assert await world.submit(large_spec)
         assert await world.submit(job(2, pieces=320, cpus=0.1, ram_gb=0.05, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
-        most = max(len([task for name, task in world.rules.running if name == machine]) for machine in world.workers)
-        assert most > 100
+        most_tasks = max(
+            len([task for name, task in world.rules.running if name == machine]) for machine in world.workers
+        )
+        assert most_tasks > 100
         await upgrade(world, list(world.nodes), 6.0)
         fall(world)
         await asyncio.sleep(3)
         assert await world.submit(job(3, pieces=150, cpus=0.1, ram_gb=0.05, true_s=10.0, expected_s=10.0))
         # A job that could never be stored is rejected at once, not accepted and lost.
-        answer = await world.ask("POST", "/submissions", long | {"name_id": "run-000004"})
+        answer = await world.ask("POST", "/submissions", large_spec | {"name_id": "run-000004"})
         assert answer.status == 422 and "larger" in answer.body["error"]
         assert await world.poll("run-000001") == "running"
         assert await world.withdraw("run-000001", 5) == "cancelled"
@@ -151,57 +153,59 @@
     day(script, machines=0, before=before)
 
 
-def test_machine_types_larger_than_a_value_are_stored_in_parts() -> None:
+def test_machine_types_above_the_size_limit_are_stored_in_parts() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
-        view = records(world)
-        assert "t/types" not in view and len([key for key in view if key.startswith("y/")]) == TYPES_MANY + 2
+        stored = records(world)
+        assert (
+            "t/types" not in stored and len([key for key in stored if key.startswith("y/")]) == EXTRA_MACHINE_TYPES + 2
+        )
         # A new leader loads them from the store alone.
         world.cloud.down = True
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
         assert await world.submit(job(2, pieces=1), 5)
         assert world.leader is not None and world.leader.leader is not None
-        assert len(world.leader.leader.catalog.types) == TYPES_MANY + 2
+        assert len(world.leader.leader.catalog.types) == EXTRA_MACHINE_TYPES + 2
         world.cloud.down = False
 
     def before(world: World) -> None:
         world.limits = dict(NEXT)
         fall(world)
         world.cloud.types = [*world.cloud.types] + [
-            world.cloud.types[0] | {"name": f"small-{number}"} for number in range(TYPES_MANY)
+            world.cloud.types[0] | {"name": f"small-{number}"} for number in range(EXTRA_MACHINE_TYPES)
         ]
 
     day(script, before=before)
 
 
 @pytest.mark.parametrize("machines", [300])
-def test_the_stores_load_at_the_lower_limits_and_full_size(machines: int) -> None:
+def test_store_load_at_the_lower_limits_and_full_size(machines: int) -> None:
     """Bound the number of pages, load time, write backlog and response time, with the limits enforced throughout."""
 
     async def script(world: World) -> None:
-        waits = []
+        latencies_s = []
         ids = []
         for number in range(40):
-            asked = world.loop.now
+            submitted_at = world.loop.now
             assert await world.submit(job(number, pieces=60, true_s=12.0, expected_s=12.0, kit=f"img-{number % 5}"))
-            waits.append(world.loop.now - asked)
+            latencies_s.append(world.loop.now - submitted_at)
             ids.append(f"run-{number:06d}")
             await asyncio.sleep(1.0)
-        assert sorted(waits)[len(waits) * 9 // 10] < 0.5, waits
+        assert sorted(latencies_s)[len(latencies_s) * 9 // 10] < 0.5, latencies_s
         leader = world.leader
         assert leader is not None and leader.leader is not None
         # No write has been pending for long.
-        backlog = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
+        pending_since = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
         now = leader.clock().total_seconds()
-        assert not backlog or now - min(backlog) < 8
-        assert len(sizes(world)) < 250
+        assert not pending_since or now - min(pending_since) < 8
+        assert len(page_sizes(world)) < 250
         world.kill(leader.node)
-        crashed = world.loop.now
+        killed_at = world.loop.now
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.1)
-        assert world.loop.now - crashed < 6
+        assert world.loop.now - killed_at < 6
         states = await world.until_over(ids, 300)
         assert set(states.values()) == {"done"}
 
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -17,39 +17,39 @@
 # Unlike the other generated histories, a failing one is shrunk: its steps show which guard is missing.
 @settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
-def test_repeated_upgrades_and_rollbacks_beside_all_troubles(
-    number: int, steps: list[tuple[str, str, float]], falls: float
+def test_repeated_upgrades_and_rollbacks_under_all_faults(
+    seed: int, steps: list[tuple[str, str, float]], limits_lowered_after_s: float
 ) -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
-        await upgrades_and_rollbacks(world, monitor, steps, falls)
+        await upgrades_and_rollbacks(world, monitor, steps, limits_lowered_after_s)
 
     def before(world: World) -> None:
         begin_before(world)
         world.limits = dict(NEXT)
 
-    staged_day(script, before, seed=number)
+    staged_day(script, before, seed=seed)
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_the_checks_see_a_rollout_that_lacks_a_guard(fault: str) -> None:
+def test_checks_detect_a_rollout_that_lacks_a_guard(fault: str) -> None:
     patch, script = FAULTS[fault]
 
-    def seen() -> list[str]:
+    def detected_violations() -> list[str]:
         """Run the scenario and return the violations that the monitor and the rules report."""
-        broken: list[str] = []
+        violations: list[str] = []
 
-        async def watched(world: World) -> None:
+        async def monitored_script(world: World) -> None:
             with monitored(world) as monitor:
                 await script(world)
-            broken.extend(monitor.broken)
+            violations.extend(monitor.broken)
 
         try:
-            day(watched, before=begin_before, machines=2)
+            day(monitored_script, before=begin_before, machines=2)
         except AssertionError as error:
-            broken.append(str(error))
-        return broken
+            violations.append(str(error))
+        return violations
 
     # With the guard, the same scenario reports only errors of processes that are rightly refused.
-    assert all("is active, this version reads" in what for what in seen())
+    assert all("is active, this version reads" in violation for violation in detected_violations())
     with patch():
-        assert any("is active, this version reads" not in what for what in seen())
+        assert any("is active, this version reads" not in violation for violation in detected_violations())
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -29,38 +29,38 @@
 
 
 async def check_refused(world: World, node: str) -> None:
-    one = world.controllers[node]
-    assert one.rollout.gate.state is GateState.REFUSED and one.election.role.name == "FOLLOWER"
+    controller = world.controllers[node]
+    assert controller.rollout.gate.state is GateState.REFUSED and controller.election.role.name == "FOLLOWER"
     assert (await world.ask("GET", "/ready", node=node)).status == 503
     answer = await world.ask("GET", "/submissions/run-000000", node=node)
     assert answer.status == 503 and answer.retry_after is not None and answer.close
 
 
-def test_a_version_that_does_not_read_the_active_level_stays_out_and_says_what_to_do(
+def test_a_version_that_does_not_read_the_active_level_takes_no_part_and_logs_what_to_do(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    async def watched(world: World) -> None:
+    async def scenario(world: World) -> None:
         with monitored(world) as monitor:
             await upgrade_all(world)
             ids = await submit_some(world)
             # The leader itself is rolled back: the others keep serving, and it does not act on what it would misread.
             assert world.leader is not None
-            back = world.leader.node
-            replace(world, back, BEFORE, 0.3)
+            rolled_back = world.leader.node
+            replace(world, rolled_back, BEFORE, 0.3)
             await asyncio.sleep(8)
-            await check_refused(world, back)
-            assert world.leader is not None and world.leader.node != back
+            await check_refused(world, rolled_back)
+            assert world.leader is not None and world.leader.node != rolled_back
             # It does not lead as the only running node either.
             for node in NODES:
-                if node != back:
+                if node != rolled_back:
                     world.kill(node)
             await asyncio.sleep(40)
-            await check_refused(world, back)
+            await check_refused(world, rolled_back)
             assert world.leader is None
             for node in NODES:
                 replace(world, node, SUPPORTED, 0.5)
             await until_done(world, ids)
-            assert (await world.ask("GET", "/ready", node=back)).status == 200
+            assert (await world.ask("GET", "/ready", node=rolled_back)).status == 200
         assert monitor.broken == [] and len(monitor.activations) == 1
 
     world = World(3)
@@ -70,7 +70,7 @@
         world.rent("large", "east")
         for node in world.nodes:
             world.start(node)
-        await watched(world)
+        await scenario(world)
 
     with caplog.at_level(logging.ERROR, "elmthread"):
         play(main(), world.loop)
@@ -81,7 +81,7 @@
     assert f"level {SUPPORTED.highest} is active" in errors[0] and "start a version that reads" in errors[0]
 
 
-def test_what_an_earlier_process_of_the_node_has_on_its_way_cannot_speak_for_the_present_one() -> None:
+def test_late_requests_of_a_nodes_ended_process_cannot_replace_the_present_announcement() -> None:
     staged_day(lambda world, monitor: announce_late(world))
 
 
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_an_activation_without_an_answer_is_found_in_the_store_and_not_repeated(seed: int) -> None:
+def test_an_activation_whose_response_is_lost_is_found_in_the_store_and_not_repeated(seed: int) -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world)
         for node in NODES:
@@ -123,27 +123,27 @@
     staged_day(script, seed=seed)
 
 
-def test_a_leader_that_ends_between_activation_and_fence_leaves_it_to_the_next() -> None:
+def test_a_leader_that_ends_between_activation_and_fence_leaves_the_fence_to_the_next() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
-        ended: list[str] = []
-        written = monitor._level_written
+        killed_nodes: list[str] = []
+        level_written = monitor._level_written
 
-        def end_the_leader(before: int, level: int) -> None:
-            written(before, level)
+        def kill_the_leader(before: int, level: int) -> None:
+            level_written(before, level)
             node = next(one.node for one in world.controllers.values() if one.election.holds_lease())
-            ended.append(node)
+            killed_nodes.append(node)
             world.loop.call_soon(world.kill, node)
 
-        monitor._level_written = end_the_leader  # type: ignore[method-assign]
+        monitor._level_written = kill_the_leader  # type: ignore[method-assign]
         for node in NODES:
             replace(world, node, SUPPORTED, 0.5)
-        while not ended:
+        while not killed_nodes:
             await asyncio.sleep(0.05)
         await asyncio.sleep(0.1)
         # No record of the new level has been written yet: the version in production can read the store.
         earlier_reader.read(world.store.values())
         ids = await submit_some(world)
-        start(world, ended[0])
+        start(world, killed_nodes[0])
         await until_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "said"),
+    ("key", "value", "expected_text"),
     [
         ("rollout/level", {"level": "two", "token": 1}, "rollout/level"),
         ("rollout/level", {"level": 0, "token": 1}, "rollout/level"),
@@ -159,8 +159,8 @@
         ("rollout/level", {"level": 9, "token": 1}, "level 9 is active"),
     ],
 )
-def test_nothing_is_led_on_a_level_that_cannot_be_read(
-    key: str, value: Any, said: str, caplog: pytest.LogCaptureFixture
+def test_no_node_leads_while_the_active_level_cannot_be_read(
+    key: str, value: Any, expected_text: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     world = World()
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
@@ -180,7 +180,7 @@
 
     with caplog.at_level(logging.ERROR, "elmthread"):
         play(main(), world.loop)
-    assert any(said in record.getMessage() for record in caplog.records)
+    assert any(expected_text in record.getMessage() for record in caplog.records)
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
         {"lowest": 1, "highest": 2, "members": NODES[:2], "process": "x", "announced_at": 1.0},
     ],
 )
-def test_an_announcement_that_cannot_be_read_or_names_other_members_counts_as_none(value: Any) -> None:
+def test_an_announcement_that_is_unreadable_or_names_other_members_counts_as_none(value: Any) -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         await asyncio.sleep(1)
         world.kill(NODES[2])
@@ -209,5 +209,5 @@
     staged_day(script)
 
 
-def test_a_node_rolled_back_to_a_version_without_levels_is_noticed_while_it_answers() -> None:
+def test_a_node_rolled_back_to_a_version_without_levels_is_detected_while_it_answers() -> None:
     staged_day(lambda world, monitor: roll_back_unannounced(world))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,129 +9,135 @@
 from tests.world.specs import job
 
 
-def rules() -> Rules:
+def make_rules() -> Rules:
     loop = SimLoop()
-    one = Rules(loop, {"red": 4.0, "blue": float("inf")}, 30.0)
-    one.submitted(job(1, crew="red", pieces=3, cpus=2.0, one_zone=True))
-    one.submitted(job(2, pieces=4, scatter=True, yard=None, loaners=False, builds=["large"]))
-    one.observe_response("run-000001", 201, "queued")
-    one.observe_response("run-000002", 201, "queued")
-    return one
+    rules = Rules(loop, {"red": 4.0, "blue": float("inf")}, 30.0)
+    rules.submitted(job(1, crew="red", pieces=3, cpus=2.0, one_zone=True))
+    rules.submitted(job(2, pieces=4, scatter=True, yard=None, loaners=False, builds=["large"]))
+    rules.observe_response("run-000001", 201, "queued")
+    rules.observe_response("run-000002", 201, "queued")
+    return rules
 
 
-def on(one: Rules, task: str, machine: str = "m-1", zone: str = "east", spot: bool = False) -> None:
-    one.task_started(machine, task, "large", zone, spot)
+def start_task(rules: Rules, task: str, machine: str = "m-1", zone: str = "east", spot: bool = False) -> None:
+    rules.task_started(machine, task, "large", zone, spot)
 
 
-def cancelled(one: Rules) -> None:
-    one.asked_to_cancel.add("run-000001")
-    one.observe_response("run-000001", 200, "cancelled")
+def report_cancelled(rules: Rules) -> None:
+    rules.asked_to_cancel.add("run-000001")
+    rules.observe_response("run-000001", 200, "cancelled")
 
 
-def late_presence(one: Rules) -> None:
-    on(one, "run-000001/0")
-    cancelled(one)
-    one.loop.now = 30.5
-    one.check_cancelled()
+def run_past_cancellation(rules: Rules) -> None:
+    start_task(rules, "run-000001/0")
+    report_cancelled(rules)
+    rules.loop.now = 30.5
+    rules.check_cancelled()
 
 
-def older_answer(one: Rules) -> None:
-    cancelled(one)
-    one.loop.now = 5.0
-    one.observe_response("run-000001", 200, "running", asked=4.9)
+def report_older_state(rules: Rules) -> None:
+    report_cancelled(rules)
+    rules.loop.now = 5.0
+    rules.observe_response("run-000001", 200, "running", asked=4.9)
 
 
-def two_ends(one: Rules) -> None:
+def report_two_final_states(rules: Rules) -> None:
     """Report two final states of a job, even though the requests overlap."""
-    cancelled(one)
-    one.finished |= {f"run-000001/{n}" for n in range(3)}
-    one.observe_response("run-000001", 200, "done", asked=-1.0)
+    report_cancelled(rules)
+    rules.finished |= {f"run-000001/{n}" for n in range(3)}
+    rules.observe_response("run-000001", 200, "done", asked=-1.0)
 
 
-def impossible(one: Rules) -> None:
-    one.submitted(job(3, cpus=99.0))
-    one.impossible.add("run-000003")
-    one.observe_response("run-000003", 201, "queued")
+def accept_impossible_job(rules: Rules) -> None:
+    rules.submitted(job(3, cpus=99.0))
+    rules.impossible.add("run-000003")
+    rules.observe_response("run-000003", 201, "queued")
 
 
-def waits(one: Rules) -> None:
-    one.calm_since = 0.0
+def keep_job_waiting(rules: Rules) -> None:
+    rules.calm_since = 0.0
     for now in (0.0, 50.0, 91.0):
-        one.loop.now = now
-        one.check_waiting(lambda spec: True)
+        rules.loop.now = now
+        rules.check_waiting(lambda spec: True)
 
 
-def forgotten(one: Rules) -> None:
-    one.calm_since = 0.0
+def forget_job(rules: Rules) -> None:
+    rules.calm_since = 0.0
     for now in (0.0, 76.0):
-        one.loop.now = now
-        one.observe_response("run-000001", 503, None)
+        rules.loop.now = now
+        rules.observe_response("run-000001", 503, None)
 
 
-def twice(one: Rules) -> None:
-    on(one, "run-000001/0")
-    on(one, "run-000001/0", "m-2")
+def run_task_twice(rules: Rules) -> None:
+    start_task(rules, "run-000001/0")
+    start_task(rules, "run-000001/0", "m-2")
 
 
-def over_limit(one: Rules) -> None:
-    for number in range(3):
-        on(one, f"run-000001/{number}")
+def exceed_quota(rules: Rules) -> None:
+    for index in range(3):
+        start_task(rules, f"run-000001/{index}")
 
 
-def two_zones(one: Rules) -> None:
-    on(one, "run-000001/0")
-    on(one, "run-000001/1", "m-2", "west")
+def use_two_zones(rules: Rules) -> None:
+    start_task(rules, "run-000001/0")
+    start_task(rules, "run-000001/1", "m-2", "west")
 
 
-def not_apart(one: Rules) -> None:
-    for number in range(3):
-        on(one, f"run-000002/{number}")
+def leave_unspread(rules: Rules) -> None:
+    for index in range(3):
+        start_task(rules, f"run-000002/{index}")
 
 
-BREAKS: dict[str, list[Callable[[Rules], object]]] = {
-    "ran_twice": [twice],
-    "quota": [over_limit],
+VIOLATIONS: dict[str, list[Callable[[Rules], object]]] = {
+    "ran_twice": [run_task_twice],
+    "quota": [exceed_quota],
     "wrong_place": [
-        two_zones,
-        lambda one: on(one, "run-000002/0", spot=True),
-        not_apart,
-        lambda one: one.task_started("m-1", "run-000002/0", "small", "east", False),
+        use_two_zones,
+        lambda rules: start_task(rules, "run-000002/0", spot=True),
+        leave_unspread,
+        lambda rules: rules.task_started("m-1", "run-000002/0", "small", "east", False),
     ],
-    "ran_cancelled": [late_presence],
+    "ran_cancelled": [run_past_cancellation],
     "forgotten": [
-        forgotten,
-        lambda one: one.observe_response("run-000001", 404, None),
-        lambda one: one.observe_response("run-000002", 422, None),
+        forget_job,
+        lambda rules: rules.observe_response("run-000001", 404, None),
+        lambda rules: rules.observe_response("run-000002", 422, None),
     ],
-    "invented": [lambda one: one.observe_response("run-000009", 200, "queued")],
-    "not_done": [lambda one: one.observe_response("run-000001", 200, "done")],
-    "went_back": [older_answer, two_ends, lambda one: one.observe_response("run-000001", 200, "cancelled")],
-    "accepted": [impossible],
-    "waits": [waits],
+    "invented": [lambda rules: rules.observe_response("run-000009", 200, "queued")],
+    "not_done": [lambda rules: rules.observe_response("run-000001", 200, "done")],
+    "went_back": [
+        report_older_state,
+        report_two_final_states,
+        lambda rules: rules.observe_response("run-000001", 200, "cancelled"),
+    ],
+    "accepted": [accept_impossible_job],
+    "waits": [keep_job_waiting],
 }
 
 
-@pytest.mark.parametrize(("rule", "number"), [(rule, n) for rule, ways in BREAKS.items() for n in range(len(ways))])
-def test_each_check_is_seen_to_fail(rule: str, number: int) -> None:
-    one = rules()
-    BREAKS[rule][number](one)
-    one.loop.close()
-    assert {entry.split()[1].rstrip(":") for entry in one.broken} == {rule}
+@pytest.mark.parametrize(
+    ("rule", "index"), [(rule, n) for rule, violations in VIOLATIONS.items() for n in range(len(violations))]
+)
+def test_each_check_detects_its_violations(rule: str, index: int) -> None:
+    rules = make_rules()
+    VIOLATIONS[rule][index](rules)
+    rules.loop.close()
+    assert {entry.split()[1].rstrip(":") for entry in rules.broken} == {rule}
 
 
-def test_what_keeps_the_rules_breaks_none() -> None:
-    one = rules()
-    on(one, "run-000001/0")
-    on(one, "run-000001/1")
-    cancelled(one)
-    assert not one.late_starts
+def test_valid_events_break_no_rule() -> None:
+    rules = make_rules()
+    start_task(rules, "run-000001/0")
+    start_task(rules, "run-000001/1")
+    report_cancelled(rules)
+    assert not rules.late_starts
     # A response may be as old as its request, which was sent before the cancellation was reported.
-    one.loop.now = 1.0
-    one.observe_response("run-000001", 200, "running", asked=-0.5)
-    one.task_ended("m-1", "run-000001/0")
-    one.task_ended("m-1", "run-000001/1")
-    one.loop.now = 40.0
-    one.check_cancelled()
-    on(one, "run-000001/2")
-    one.loop.close()
-    assert one.broken and one.broken[0].split()[1] == "ran_cancelled:" and len(one.late_starts) == 1
+    rules.loop.now = 1.0
+    rules.observe_response("run-000001", 200, "running", asked=-0.5)
+    rules.task_ended("m-1", "run-000001/0")
+    rules.task_ended("m-1", "run-000001/1")
+    rules.loop.now = 40.0
+    rules.check_cancelled()
+    start_task(rules, "run-000001/2")
+    rules.loop.close()
+    assert rules.broken and rules.broken[0].split()[1] == "ran_cancelled:" and len(rules.late_starts) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,17 +52,17 @@
         await asyncio.sleep(15)
         running = set(world.rules.running)
         assert len(running) > 1500
-        old = world.leader
-        assert old is not None
-        world.kill(old.node)
-        crashed = world.loop.now
+        old_leader = world.leader
+        assert old_leader is not None
+        world.kill(old_leader.node)
+        killed_at = world.loop.now
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
         # The new leader serves within seconds, with the whole store loaded.
-        assert world.loop.now - crashed < 6
+        assert world.loop.now - killed_at < 6
         for job_id in ids:
             assert await world.poll(job_id) is not None
-        world.start(old.node)
+        world.start(old_leader.node)
         states = await world.until_over(ids, 100)
         assert set(states.values()) == {"done"}
 
@@ -100,26 +100,26 @@
     world.store.outage(False)
 
 
-def note_returns(world: World) -> list[bool]:
+def record_deletions(world: World) -> list[bool]:
     """Record for each machine that is deleted from now on whether it was idle and alive.
 
     Any number of idle machines may be deleted, but none may be lost. The tasks that a machine had when it
     was deleted, and whether its heartbeats had arrived until then, tell the two apart.
     """
-    returned: list[bool] = []
+    were_idle: list[bool] = []
     on_deleted = world.cloud.on_deleted
 
-    def note(name: str) -> None:
+    def record_deletion(name: str) -> None:
         worker = world.workers[name]
-        empty = all(task.state == "exited" for task in worker.tasks.values())
-        returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
+        idle = all(task.state == "exited" for task in worker.tasks.values())
+        were_idle.append(idle and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
         on_deleted(name)
 
-    world.cloud.on_deleted = note
-    return returned
+    world.cloud.on_deleted = record_deletion
+    return were_idle
 
 
-def test_everything_back_at_once_and_a_second_time_before_the_first_is_over() -> None:
+def test_simultaneous_restart_of_everything_and_another_one_during_the_recovery() -> None:
     """Restart all workers and controllers in an outage, and once more in the middle of the election after it."""
 
     async def script(world: World) -> None:
@@ -134,57 +134,57 @@
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
-        over = world.rules.calm_since = world.loop.now
-        returned = note_returns(world)
+        recovered_at = world.rules.calm_since = world.loop.now
+        were_idle = record_deletions(world)
         while await world.poll(ids[0]) is None:
-            assert world.loop.now < over + 6
+            assert world.loop.now < recovered_at + 6
             await asyncio.sleep(0.2)
         # Once a leader serves, most requests are answered, and every worker's lease is renewed before it
         # expires: tasks start on nearly all of them.
-        answered = 0
+        answered_count = 0
         for job_id in ids:
-            answered += await world.poll(job_id) is not None
-        assert answered > 0.9 * len(ids)
+            answered_count += await world.poll(job_id) is not None
+        assert answered_count > 0.9 * len(ids)
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
         await asyncio.sleep(15)
-        sessions = [worker.incarnation for worker in world.workers.values()]
-        assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
+        incarnations = [worker.incarnation for worker in world.workers.values()]
+        assert max(incarnations) <= 4 and len(world.workers) + len(were_idle) == MACHINES and all(were_idle)
         assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
         assert set((await world.until_over(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
 
 
-async def cut_zone_off(world: World, more: Callable[[int], Awaitable[None]]) -> None:
+async def cut_zone_off(world: World, submit_more: Callable[[int], Awaitable[None]]) -> None:
     """Cut off a zone with a controller that reaches only its workers; submit jobs meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
     set_apart(world, cut_off, True)
     world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
     await asyncio.sleep(10)
-    await more(5)
+    await submit_more(5)
     await asyncio.sleep(20)
     set_apart(world, cut_off, False)
     world.cut_worker_links.clear()
     await asyncio.sleep(5)
 
 
-async def refuse_peer_links(world: World, job_id: str) -> str:
+async def cut_peer_links(world: World, job_id: str) -> str:
     """Cut all links between controllers: followers refuse users at once, the leader keeps serving; return it."""
     reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
     for node in world.nodes:
-        asked = world.loop.now
+        sent_at = world.loop.now
         status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
-        assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
+        assert status == (200 if node == leader else 503) and world.loop.now - sent_at < 0.1
     await asyncio.sleep(10)
     world.reach = reach  # type: ignore[method-assign]
     return leader
 
 
-def lose_a_third(world: World) -> None:
+def lose_a_third_of_machines(world: World) -> None:
     """Make a third of the machines end, hang or fail their tasks."""
     names = sorted(world.workers)
     for name in names[::9]:
@@ -196,7 +196,7 @@
         world.workers[name].faulty = True
 
 
-def test_a_fleet_through_one_trouble_after_the_other_is_served_on() -> None:
+def test_a_large_cluster_keeps_serving_through_consecutive_faults() -> None:
     """Cut off a zone with its controller, cut peer links, suspend the leader, then lose a third of the machines."""
 
     async def script(world: World) -> None:
@@ -206,22 +206,22 @@
         await asyncio.sleep(2)
         ids: list[str] = []
 
-        async def more(count: int) -> None:
+        async def submit_more(count: int) -> None:
             for _ in range(count):
                 number = len(ids)
                 spec = job(number, pieces=25, true_s=10.0, expected_s=10.0, urgency=["high", "normal"][number % 2])
                 assert await world.submit(spec)
                 ids.append(spec["name_id"])
 
-        await more(30)
+        await submit_more(30)
         await asyncio.sleep(6)
-        await cut_zone_off(world, more)
-        leader = await refuse_peer_links(world, ids[0])
-        await more(5)
+        await cut_zone_off(world, submit_more)
+        leader = await cut_peer_links(world, ids[0])
+        await submit_more(5)
         await world.suspend(leader, 6.0)
         assert world.leader is not None and world.leader.node != leader
-        lose_a_third(world)
-        await more(10)
+        lose_a_third_of_machines(world)
+        await submit_more(10)
         await asyncio.sleep(20)
         for worker in world.workers.values():
             worker.hung = False
@@ -233,13 +233,13 @@
     day(script, machines=0, each=MACHINES)
 
 
-def test_a_report_that_says_nothing_new_costs_nothing_for_the_tasks_in_it(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_heartbeat_without_changes_causes_no_work_for_its_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     """Check that unchanged tasks, most of a heartbeat, are neither recorded again nor considered for a command."""
-    work: Counter[str] = Counter()
+    calls: Counter[str] = Counter()
 
-    count_calls(monkeypatch, work, HeartbeatHandler, "handle")
-    count_calls(monkeypatch, work, HeartbeatReconciler, "_observe_state")
-    count_calls(monkeypatch, work, messages, "task_name")
+    count_calls(monkeypatch, calls, HeartbeatHandler, "handle")
+    count_calls(monkeypatch, calls, HeartbeatReconciler, "_observe_state")
+    count_calls(monkeypatch, calls, messages, "task_name")
 
     async def script(world: World) -> None:
         for _ in range(4):
@@ -248,27 +248,27 @@
         assert await world.submit(job(1, pieces=40, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
         assert len(world.rules.running) == 40
-        assert work["_observe_state"] >= 40 and work["task_name"] >= 40
-        work.clear()
+        assert calls["_observe_state"] >= 40 and calls["task_name"] >= 40
+        calls.clear()
         await asyncio.sleep(15)
         assert len(world.rules.running) == 40
-        assert work["handle"] >= 10
-        assert work["_observe_state"] == work["task_name"] == 0
+        assert calls["handle"] >= 10
+        assert calls["_observe_state"] == calls["task_name"] == 0
 
     day(script, machines=0)
 
 
-def test_an_answer_leaves_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_is_sent_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guard against a scheduling round before the response: it takes longer and delays it on a small CPU share."""
     events: list[str] = []
     submit = JobService.submit
 
-    async def answered(*arguments: Any) -> Any:
+    async def submit_and_record(*arguments: Any) -> Any:
         response = await submit(*arguments)
         events.append("answer")
         return response
 
-    monkeypatch.setattr(JobService, "submit", answered)
+    monkeypatch.setattr(JobService, "submit", submit_and_record)
     observe_calls(monkeypatch, ClusterEvents, "notify_jobs_changed", partial(events.append, "durable"))
     observe_calls(monkeypatch, Scheduler, "run_round", partial(events.append, "round"))
     observe_calls(monkeypatch, Autoscaler, "run_round", partial(events.append, "round"))
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -36,20 +36,20 @@
     "level-3.json": "9c86c2ad510276ff",
     "rollout.json": "951481e11b3b2a17",
 }
-KEYS = {"j/": "job", "d/": "done", "m/": "machine", "r/": "rental", "y/": "types", "t/types": "types"}
-KEYS |= {"layout": "layout", "t/compatibility": "fence"}
+SCHEMA_BY_KEY_PREFIX = {"j/": "job", "d/": "done", "m/": "machine", "r/": "rental", "y/": "types", "t/types": "types"}
+SCHEMA_BY_KEY_PREFIX |= {"layout": "layout", "t/compatibility": "fence"}
 
 
-def schemas(name: str) -> dict[str, Any]:
+def load_schemas(name: str) -> dict[str, Any]:
     loaded: dict[str, Any] = json.loads((ROOT / "schemas" / name).read_text())
     return loaded
 
 
-def check(level: int, form: str, value: Any) -> None:
-    jsonschema.Draft202012Validator(schemas(f"level-{level}.json")[form]).validate(value)
+def validate(level: int, schema_name: str, value: Any) -> None:
+    jsonschema.Draft202012Validator(load_schemas(f"level-{level}.json")[schema_name]).validate(value)
 
 
-def forms_in(store: dict[str, Any]) -> Iterator[tuple[str, str, Any]]:
+def stored_values(store: dict[str, Any]) -> Iterator[tuple[str, str, Any]]:
     """Yield the schema name, key and value of everything in the state service."""
     for key, value in store.items():
         if key == "leader":
@@ -57,47 +57,51 @@
         elif key.startswith("s/"):
             yield "slot", key, value
     for key, value in newest(store).items():
-        yield next(form for prefix, form in KEYS.items() if key.startswith(prefix)), key, value
+        yield (
+            next(schema_name for prefix, schema_name in SCHEMA_BY_KEY_PREFIX.items() if key.startswith(prefix)),
+            key,
+            value,
+        )
 
 
-def sample(level: int) -> list[dict[str, Any]]:
+def load_samples(level: int) -> list[dict[str, Any]]:
     """Return the samples of a level, each with its schema name and value."""
     found: list[dict[str, Any]] = json.loads((SAMPLES / f"level-{level}.json").read_text())
     return found
 
 
-def samples_of_production() -> Iterator[tuple[str, Any]]:
+def production_samples() -> Iterator[tuple[str, Any]]:
     production = json.loads((SAMPLES / "production.json").read_text())
-    for form, _, value in forms_in({key: value for key, value, _ in production["store"]}):
-        yield form, value
+    for schema_name, _, value in stored_values({key: value for key, value, _ in production["store"]}):
+        yield schema_name, value
     for text in production["frames"]:
         frame = json.loads(text)
         yield f"message {frame['kind']}", frame
 
 
-def read(form: str, value: Any) -> None:
+def decode_sample(schema_name: str, value: Any) -> None:
     """Decode a sample as this version does."""
-    if form.startswith("message "):
+    if schema_name.startswith("message "):
         peers.decode(msgspec.json.encode(value))
-    elif form == "done":
+    elif schema_name == "done":
         list(done_tasks(read_done(value, SUPPORTED), MAX_TASKS_PER_CHUNK))
-    elif form == "machine":
+    elif schema_name == "machine":
         read_machine(value, SUPPORTED)
-    elif form == "fence":
+    elif schema_name == "fence":
         read_level(FENCE_KEY, value, FenceRecord)
-    elif form == "link view":
+    elif schema_name == "link view":
         read_view(msgspec.Raw(msgspec.json.encode(value)), "loom-0", "loom-1", value["echoes"].get("loom-1", 0))
     else:
-        msgspec.convert(value, FORMS[form])
+        msgspec.convert(value, FORMS[schema_name])
 
 
-def test_the_newest_files_are_those_of_the_code() -> None:
+def test_the_newest_schema_files_match_the_code() -> None:
     """Guard against a changed format without a new level, a gate and a schema file of its own."""
     assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == text_of(schemas_of(FORMS))
     assert (ROOT / "schemas" / "rollout.json").read_text() == text_of(schemas_of(ROLLOUT_FORMS))
 
 
-def test_published_files_have_not_changed_and_each_level_has_one() -> None:
+def test_published_schema_files_have_not_changed_and_each_level_has_one() -> None:
     found = {
         path.name: hashlib.sha256(path.read_bytes()).hexdigest()[:16] for path in (ROOT / "schemas").glob("*.json")
     }
@@ -105,26 +109,26 @@
     assert {f"level-{level}.json" for level in range(FIRST_LEVEL, SUPPORTED.highest + 1)} < set(PUBLISHED)
 
 
-def test_samples_are_of_their_level_and_can_be_read() -> None:
-    seen: set[tuple[int, str]] = set()
-    for form, value in samples_of_production():
-        check(1, form, value)
-        read(form, value)
-        seen.add((1, form))
+def test_samples_match_the_schemas_of_their_level_and_can_be_read() -> None:
+    validated: set[tuple[int, str]] = set()
+    for schema_name, value in production_samples():
+        validate(1, schema_name, value)
+        decode_sample(schema_name, value)
+        validated.add((1, schema_name))
     for level in (2, 3):
-        for one in sample(level):
-            check(level, one["form"], one["value"])
-            read(one["form"], one["value"])
-            seen.add((level, one["form"]))
+        for sample in load_samples(level):
+            validate(level, sample["form"], sample["value"])
+            decode_sample(sample["form"], sample["value"])
+            validated.add((level, sample["form"]))
     # The next level changes the leader announcement and the link view in it.
-    assert {form for level, form in seen if level == 3} == {"message lead", "link view"}
-    forms_before = set(FORMS) - {"rental", "link view"}
-    assert {form for level, form in seen if level == 2} == forms_before
-    assert {form for level, form in seen if level == 1} >= forms_before - {"fence", "layout"}
+    assert {schema_name for level, schema_name in validated if level == 3} == {"message lead", "link view"}
+    earlier_names = set(FORMS) - {"rental", "link view"}
+    assert {schema_name for level, schema_name in validated if level == 2} == earlier_names
+    assert {schema_name for level, schema_name in validated if level == 1} >= earlier_names - {"fence", "layout"}
 
 
 @pytest.mark.parametrize(
-    ("level", "form", "value"),
+    ("level", "schema_name", "value"),
     [
         (1, "done", {"bits": "AAAA"}),
         (2, "done", {"bits": "AAAA", "marks": "00"}),
@@ -138,57 +142,57 @@
         (1, "machine", {"type": "small", "zone": "east", "spot": False, "base": 7, "runs": {"run-000001": [0, 0, 4]}}),
     ],
 )
-def test_a_form_of_another_level_is_refused(level: int, form: str, value: Any) -> None:
+def test_a_value_of_another_level_is_rejected(level: int, schema_name: str, value: Any) -> None:
     with pytest.raises(jsonschema.ValidationError):
-        check(level, form, value)
+        validate(level, schema_name, value)
 
 
-def check_what_is_stored_and_sent(world: World) -> Iterator[tuple[int, str]]:
+def validate_stored_and_sent(world: World) -> Iterator[tuple[int, str]]:
     """Validate everything in the store and each announcement; yield their levels and schema names."""
     level = world.store.values().get("rollout/level", {"level": 1})["level"]
-    for form, _, value in forms_in(world.store.values()):
-        check(level, form, value)
-        yield level, form
+    for schema_name, _, value in stored_values(world.store.values()):
+        validate(level, schema_name, value)
+        yield level, schema_name
     for one in world.controllers.values():
         frame = json.loads(peers.encode(one.make_announcement()))
         # The leader may already know a level that it has just raised.
-        check(level, "message lead", frame)
+        validate(level, "message lead", frame)
         if "links" in frame:
-            check(level, "link view", frame["links"])
+            validate(level, "link view", frame["links"])
             yield level, "link view"
 
 
-def check_rollout_records(world: World) -> None:
+def validate_rollout_records(world: World) -> None:
     for key, value in world.store.values().items():
         if key.startswith("rollout/"):
             name = "level" if key == "rollout/level" else "announcement"
-            jsonschema.Draft202012Validator(schemas("rollout.json")[name]).validate(value)
+            jsonschema.Draft202012Validator(load_schemas("rollout.json")[name]).validate(value)
             msgspec.convert(value, LevelRecord if name == "level" else AnnouncementRecord)
 
 
-def test_all_that_is_written_while_a_level_is_active_is_of_that_level() -> None:
+def test_everything_written_while_a_level_is_active_matches_its_schema() -> None:
     """Validate the store and the announcements throughout an upgrade."""
-    sent: set[tuple[int, str]] = set()
+    validated: set[tuple[int, str]] = set()
 
     async def script(world: World) -> None:
-        async def check_for(seconds: float) -> None:
+        async def validate_for(seconds: float) -> None:
             for _ in range(int(seconds / 0.25)):
-                sent.update(check_what_is_stored_and_sent(world))
+                validated.update(validate_stored_and_sent(world))
                 await asyncio.sleep(0.25)
 
         for number in range(3):
             assert await world.submit(job(number, pieces=30, cpus=0.2, ram_gb=0.1, true_s=9.0, expected_s=9.0))
-        await check_for(12)
+        await validate_for(12)
         for node in world.nodes:
             replace(world, node, SUPPORTED, 0.5)
-            await check_for(4)
+            await validate_for(4)
         await until_level(world, SUPPORTED.highest)
         assert await world.submit(job(10, pieces=300, cpus=0.1, ram_gb=0.1, true_s=9.0, expected_s=9.0))
         assert await world.submit(daemon(11))
-        await check_for(20)
-        check_rollout_records(world)
+        await validate_for(20)
+        validate_rollout_records(world)
 
     day(script, before=begin_before, machines=6)
     newest_level = SUPPORTED.highest
-    assert {(1, "done"), (1, "job")} <= sent
-    assert {(newest_level, form) for form in ("done", "fence", "machine", "link view")} <= sent
+    assert {(1, "done"), (1, "job")} <= validated
+    assert {(newest_level, schema_name) for schema_name in ("done", "fence", "machine", "link view")} <= validated
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -18,10 +18,10 @@
 from tests.world.world import World
 
 
-def test_what_no_service_can_be_is_refused() -> None:
+def test_invalid_and_infeasible_services_are_rejected() -> None:
     async def script(world: World) -> None:
         await asyncio.sleep(3)
-        never: list[dict[str, Any]] = [
+        infeasible: list[dict[str, Any]] = [
             # All replicas run at once: 4 with 4 cores each exceed the team's limit of 12.
             {"crew": "red", "pieces": 4, "cpus": 4.0, "scatter": False},
             {"crew": "green"},
@@ -29,12 +29,12 @@
             {"builds": ["huge"]},
             {"builds": ["large"], "yard": "west"},
         ]
-        for change in never:
-            assert (await world.ask("POST", "/submissions", daemon(1) | change)).status == 422, change
+        for changes in infeasible:
+            assert (await world.ask("POST", "/submissions", daemon(1) | changes)).status == 422, changes
         # A batch job of the same size is accepted: its tasks can run one after another.
         batch = job(2, crew="red", pieces=4, cpus=4.0)
         assert (await world.ask("POST", "/submissions", batch)).status == 201
-        bad: list[tuple[str, Any]] = [
+        invalid_fields: list[tuple[str, Any]] = [
             ("form", "group"),
             ("form", None),
             ("expected_s", None),
@@ -44,7 +44,7 @@
             ("scatter", "wide"),
             ("cpus", 0.0),
         ]
-        for field, value in bad:
+        for field, value in invalid_fields:
             answer = await world.ask("POST", "/submissions", daemon(1) | {field: value})
             assert answer.status == 400 and field in answer.body["error"], (field, answer.body)
         missing = daemon(1)
@@ -56,7 +56,7 @@
     day(script)
 
 
-def test_cards_of_all_replicas_count_against_the_limit() -> None:
+def test_gpus_of_all_replicas_count_against_the_limit() -> None:
     types = [MachineType("g8", 96.0, 8.0, 768.0, 100.0, 1.0, 10.0, 4.0, 30.0, ["east"])]
     sort_key = SortKey(PlacementClass.URGENT)
     limit = platform.Team("red", gpus_max=8.0)
@@ -64,7 +64,7 @@
     assert infeasibility(TaskRequest("u", "red", sort_key, 3, 1.0, 4.0, 1.0), limit, types) is not None
 
 
-def test_services_get_room_that_deferrable_work_holds_and_never_give_it_back() -> None:
+def test_services_preempt_deferrable_tasks_and_are_never_preempted() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=60, true_s=40.0, expected_s=40.0))
         await asyncio.sleep(12)
@@ -72,18 +72,18 @@
         world.cloud.capacity = {kind: 0 if not kind[2] else 9 for kind in world.cloud.capacity}
         assert await world.submit(daemon(2, pieces=6, scatter=False))
         assert await served(world, "run-000002", 15, 6) < 15
-        mine = dict(world.rules.machines_of)
+        service_machines = dict(world.rules.machines_of)
         assert await world.submit(job(3, pieces=60, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(60)
         for number in range(6):
-            assert world.rules.machines_of[f"run-000002/{number}"] == mine[f"run-000002/{number}"]
+            assert world.rules.machines_of[f"run-000002/{number}"] == service_machines[f"run-000002/{number}"]
         states = await world.until_over(["run-000001", "run-000003"], 400)
         assert set(states.values()) == {"done"}
 
     day(script)
 
 
-def test_ordinary_machines_come_in_the_zones_that_a_spread_service_needs() -> None:
+def test_on_demand_machines_are_launched_in_the_zones_that_a_spread_service_needs() -> None:
     """Start with enough cores, but on spot machines or in a single zone."""
 
     async def script(world: World) -> None:
@@ -100,7 +100,7 @@
     day(script, machines=0)
 
 
-def test_one_machine_takes_few_replicas_of_a_service() -> None:
+def test_one_machine_runs_few_replicas_of_a_service() -> None:
     async def script(world: World) -> None:
         for zone in ZONES[:2]:
             world.rent("large", zone)
@@ -114,7 +114,7 @@
     day(script, machines=0)
 
 
-def test_others_wait_no_longer_than_their_bound_while_services_hold_cores_all_day() -> None:
+def test_jobs_start_within_their_bound_while_services_occupy_cores() -> None:
     async def script(world: World) -> None:
         ordinary(world)
         await asyncio.sleep(4)
@@ -126,10 +126,10 @@
             spec = job(number, crew=team, pieces=30, true_s=15.0, expected_s=15.0, urgency="best_effort")
             assert await world.submit(spec)
             ids.append(spec["name_id"])
-        came = world.loop.now
+        submitted_at = world.loop.now
         await asyncio.sleep(240)
         for job_id in ids:
-            assert world.rules.first_start[job_id] - came < 240
+            assert world.rules.first_start[job_id] - submitted_at < 240
         states = await world.until_over(ids, 400)
         assert set(states.values()) == {"done"}
         for number in range(4):
@@ -138,20 +138,20 @@
     day(script, machines=0)
 
 
-def test_expected_time_of_nothing_teaches_the_work_model_nothing() -> None:
+def test_services_do_not_train_the_run_time_model() -> None:
     async def script(world: World) -> None:
         ordinary(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=35.0))
         await asyncio.sleep(150)
         assert world.leader is not None and world.leader.leader is not None
-        work = world.leader.leader.run_times
-        assert work.correction_factor("gateway") == 1.0 and work.correction_factor("nightly") == 1.0
+        run_times = world.leader.leader.run_times
+        assert run_times.correction_factor("gateway") == 1.0 and run_times.correction_factor("nightly") == 1.0
 
     day(script, machines=0)
 
 
-def test_services_are_urgent_whatever_the_operators_say() -> None:
+def test_services_are_urgent_whatever_the_operators_expression_says() -> None:
     """Guard against starvation of services: deferrable jobs are ordered by deadline, and a service has none."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
@@ -160,7 +160,7 @@
     assert not jobs.new(read_submission(spec | {"form": "batch"}), seconds(0)).urgent
 
 
-def test_a_machine_is_not_kept_for_replicas_that_others_could_take() -> None:
+def test_replicas_move_off_machines_that_are_not_needed() -> None:
     """Check that replicas move one at a time, so that a service never lacks more than one."""
 
     async def script(world: World) -> None:
@@ -175,11 +175,11 @@
         await asyncio.sleep(300)
         # A move costs replica time, so no machine has been drained yet.
         assert len({name for name, _ in world.rules.running}) == 6
-        least = 6
+        min_serving = 6
         for _ in range(2000):
             await asyncio.sleep(0.5)
-            least = min(least, world.rules.serving("run-000002"))
-        assert least == 5
+            min_serving = min(min_serving, world.rules.serving("run-000002"))
+        assert min_serving == 5
         assert max(world.rules.starts[f"run-000002/{task}"] for task in range(6)) <= 2
         # The urgent band keeps the remaining machines; a single one fewer could be chance, as responses get lost.
         assert len({name for name, _ in world.rules.running}) <= 4
@@ -189,13 +189,13 @@
     day(script, machines=0)
 
 
-def test_aims_for_a_class_of_services_say_how_soon_its_replicas_are_to_serve() -> None:
+def test_objectives_for_a_class_of_services_set_the_deadline_of_its_replicas() -> None:
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     spec = read_submission(sent(daemon(1)))
-    due = []
-    aims = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
-    for kind, within, after in aims:
+    deadlines = []
+    objectives = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
+    for kind, within, after in objectives:
         facts.objectives.append(platform.Objective(kind, "gateway", within_s=within, after_s=after))
-        due.append(JobFactory(facts, operators.load(None), ActiveFeatures()).new(spec, seconds(0)).deadline)
+        deadlines.append(JobFactory(facts, operators.load(None), ActiveFeatures()).new(spec, seconds(0)).deadline)
     # Objectives for the end of a job do not apply to services.
-    assert due == [seconds(3600), seconds(20), seconds(12), seconds(12)]
+    assert deadlines == [seconds(3600), seconds(20), seconds(12), seconds(12)]
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("ends", ["done", "error", "halted"])
-def test_replica_that_ends_is_started_again_whatever_it_says(ends: str) -> None:
+def test_replica_that_ends_is_restarted_whatever_its_exit_state(ends: str) -> None:
     async def script(world: World) -> None:
         ordinary(world)
         await asyncio.sleep(5)
@@ -56,7 +56,7 @@
     return [list(json.loads(value["text"])) for key, (value, _, _) in world.store.items.items() if key[:2] == "s/"]
 
 
-def test_replica_that_ends_at_once_is_not_started_in_a_loop_and_blames_no_machine() -> None:
+def test_replica_that_ends_at_once_is_not_restarted_in_a_loop_and_quarantines_no_machine() -> None:
     async def script(world: World) -> None:
         ordinary(world)
         await asyncio.sleep(5)
@@ -64,17 +64,19 @@
         assert await world.submit(daemon(2, pieces=2, true_s=0.0, ends="error"))
         assert await world.submit(daemon(3))
         await served(world, "run-000003", 10)
-        rented = len(world.cloud.requests)
+        requests_before = len(world.cloud.requests)
         for _ in range(240):
             await asyncio.sleep(1)
             assert world.leader is not None and world.leader.leader is not None
             assert not any(one.quarantined for one in world.leader.leader.cluster.machines.values())
         for number in (1, 2):
-            tries = sum(count for task, count in world.rules.starts.items() if task.startswith(f"run-00000{number}"))
-            assert 8 <= tries <= 60, tries
+            start_count = sum(
+                count for task, count in world.rules.starts.items() if task.startswith(f"run-00000{number}")
+            )
+            assert 8 <= start_count <= 60, start_count
         # The healthy service was not disturbed, and retries launched at most one machine.
         assert all(world.rules.starts[f"run-000003/{n}"] == 1 for n in range(3))
-        assert len(world.cloud.requests) <= rented + 1
+        assert len(world.cloud.requests) <= requests_before + 1
 
     day(script, machines=0)
 
@@ -83,21 +85,21 @@
     world.workers.pop(name).terminate()
 
 
-def recall(world: World, name: str) -> None:
+def interrupt_machine(world: World, name: str) -> None:
     worker = world.workers[name]
     worker.interruption_at = world.loop.now + 12
     worker.state_changed.set()
 
 
-def cut_zone(world: World, name: str) -> None:
+def cut_off_zone(world: World, name: str) -> None:
     zone = world.workers[name].zone
     for other, worker in world.workers.items():
         if worker.zone == zone:
             world.cut_worker_links |= {(other, node) for node in world.nodes}
 
 
-@pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (recall, 11.0), (cut_zone, 20.0)])
-def test_replicas_return_after_loss(loss: Callable[[World, str], None], within: float) -> None:
+@pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (interrupt_machine, 11.0), (cut_off_zone, 20.0)])
+def test_replicas_are_restarted_after_a_loss(loss: Callable[[World, str], None], within: float) -> None:
     async def script(world: World) -> None:
         ordinary(world, 3)
         await asyncio.sleep(5)
@@ -108,19 +110,19 @@
         await served(world, "run-000001", 10)
         await served(world, "run-000002", 10, 4)
         name = next(machine for machine, task in world.rules.running if task.startswith("run-000001"))
-        mine = {task for machine, task in world.rules.running if machine == name}
+        its_replicas = {task for machine, task in world.rules.running if machine == name}
         loss(world, name)
-        lost = world.loop.now
-        while any(world.rules.machines_of.get(task) == [name] for task in mine):
+        lost_at = world.loop.now
+        while any(world.rules.machines_of.get(task) == [name] for task in its_replicas):
             await asyncio.sleep(0.1)
         await served(world, "run-000001", within)
         await served(world, "run-000002", within, 4)
-        assert world.loop.now - lost < within
+        assert world.loop.now - lost_at < within
 
     day(script, machines=0)
 
 
-def test_no_change_of_leader_stops_or_doubles_a_replica() -> None:
+def test_no_change_of_leader_stops_or_duplicates_a_replica() -> None:
     async def script(world: World) -> None:
         ordinary(world)
         await asyncio.sleep(5)
@@ -160,7 +162,7 @@
             if moment == "lost":
                 lose_machine(world, name)
             else:
-                recall(world, name)
+                interrupt_machine(world, name)
                 while not any(task.state == "saving" for w in world.workers.values() for task in w.tasks.values()):
                     await asyncio.sleep(0.05)
         assert await world.withdraw("run-000001") == "cancelled"
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -23,7 +23,7 @@
 from tests.world.world import World
 
 
-def test_a_feature_stays_off_until_the_last_node_has_it_and_turns_on_once() -> None:
+def test_a_feature_stays_off_until_the_last_node_supports_it_and_turns_on_once() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world)
         for node in NODES:
@@ -51,26 +51,26 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_the_rollout_costs_a_transaction_a_start_and_few_requests() -> None:
+def test_a_rollout_costs_one_transaction_per_start_and_few_requests() -> None:
     """Count two requests per start, one per load, two every ten seconds while the leader waits, then none."""
     requests: list[str] = []
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
         apply, serve = world.store.apply, world.store.serve
 
-        def noted(method: str, path: str, body: Any) -> Any:
+        def apply_and_record(method: str, path: str, body: Any) -> Any:
             if method == "GET" and "starts=rollout/" in path:
                 requests.append("read")
             elif path == "/txn" and any(one.get("put", "").startswith("rollout/") for one in body["then"]):
                 requests.append("write")
             return apply(method, path, body)
 
-        async def watched(method: str, path: str, body: Any) -> Any:
+        async def serve_and_record(method: str, path: str, body: Any) -> Any:
             if path.startswith("/watch?starts=rollout/"):
                 requests.append("watch")
             return await serve(method, path, body)
 
-        world.store.apply, world.store.serve = noted, watched  # type: ignore[method-assign]
+        world.store.apply, world.store.serve = apply_and_record, serve_and_record  # type: ignore[method-assign]
         await upgrade_all(world)
         # Three starts and the activation.
         assert requests.count("write") == 4
@@ -83,7 +83,7 @@
     staged_day(script)
 
 
-def test_the_level_waits_for_the_soak_time_and_a_new_announcement_starts_it_again() -> None:
+def test_the_level_waits_for_the_soak_time_and_a_new_announcement_restarts_it() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         for node in NODES:
             replace(world, node, SUPPORTED, 0.1)
@@ -91,9 +91,9 @@
         assert stored_level(world) == 1
         follower = next(node for node in NODES if world.leader and node != world.leader.node)
         replace(world, follower, SUPPORTED, 0.1)
-        again = world.loop.now
+        replaced_at = world.loop.now
         await until_level(world, SUPPORTED.highest)
-        assert monitor.activations[0] - again >= 10.0
+        assert monitor.activations[0] - replaced_at >= 10.0
 
     def before(world: World) -> None:
         begin_before(world)
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("steps", SCENARIOS.values(), ids=SCENARIOS)
-def test_the_level_stays_while_one_node_is_old_down_or_holds_it(steps: str) -> None:
-    async def take(world: World, kind: str, node: str) -> None:
+def test_the_level_does_not_rise_while_one_node_is_old_or_down_or_holds_it(steps: str) -> None:
+    async def apply_step(world: World, kind: str, node: str) -> None:
         hold_at = 1 if kind == "held" else None
         world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S, hold_at=hold_at)
         if kind == "end":
@@ -133,14 +133,14 @@
                 assert stored_level(world) == 1
                 assert all(one.rollout.gate.admitted for one in world.controllers.values())
             else:
-                await take(world, kind, NODES[int(number[0])])
+                await apply_step(world, kind, NODES[int(number[0])])
         await until_level(world, SUPPORTED.highest)
         await until_done(world, ids)
 
     staged_day(script)
 
 
-def test_a_store_left_by_the_version_without_levels_is_taken_up() -> None:
+def test_a_store_written_by_the_version_without_levels_is_upgraded() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world)
         await asyncio.sleep(6)
@@ -160,7 +160,7 @@
     staged_day(script, before)
 
 
-def test_without_the_setting_nothing_is_announced_or_raised_and_an_active_level_is_kept_to() -> None:
+def test_without_the_setting_no_level_is_announced_or_raised_but_an_active_one_still_applies() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         await asyncio.sleep(3 * SOAK_S)
         assert not any(key.startswith("rollout/") for key in world.store.items)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -52,14 +52,14 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "named"),
+    ("value", "expected_key"),
     [
         ({"number": 1, "text": '{"j/run-000001":{"state":"open"'}, "s/0000"),
         ({"number": 1, "text": '{"j/run-000001":{"state":"ajar","tasks":4}}'}, "j/run-000001"),
         ({"number": 1, "text": '{"m/m-000001":{"build":"small"}}'}, "m/m-000001"),
     ],
 )
-def test_unreadable_records_are_named_and_never_treated_as_empty(value: Any, named: str) -> None:
+def test_unreadable_records_are_logged_by_key_and_never_treated_as_empty(value: Any, expected_key: str) -> None:
     world = World()
     put(world, "s/0000", value)
 
@@ -74,12 +74,12 @@
 
     with errors_logged() as lines:
         play(main(), world.loop)
-    assert lines and all(named in line for line in lines)
+    assert lines and all(expected_key in line for line in lines)
     # The nodes do not overload the store with retries either.
     assert len(lines) < 30
 
 
-def test_thousands_of_finished_jobs_delay_no_new_leader() -> None:
+def test_thousands_of_finished_jobs_do_not_delay_a_new_leader() -> None:
     """Check that a new leader loads all final states, which are kept for ever, and answers for every job at once."""
     count = 4000
 
@@ -88,23 +88,23 @@
         await asyncio.sleep(6)
         assert world.leader is not None
         world.kill(world.leader.node)
-        killed = world.loop.now
-        world.rules.calm_since = killed
-        left = {f"run-{number:06d}" for number in (1, 77, 1234, count - 1)} | {"run-009000"}
-        while left:
-            for job_id in sorted(left):
+        killed_at = world.loop.now
+        world.rules.calm_since = killed_at
+        unanswered = {f"run-{number:06d}" for number in (1, 77, 1234, count - 1)} | {"run-009000"}
+        while unanswered:
+            for job_id in sorted(unanswered):
                 if await world.poll(job_id) in ("done", "running"):
-                    left.discard(job_id)
+                    unanswered.discard(job_id)
             await asyncio.sleep(0.3)
-            assert world.loop.now - killed < 8, left
+            assert world.loop.now - killed_at < 8, unanswered
         assert (await world.until_over(["run-009000"], 60)) == {"run-009000": "done"}
 
     def before(world: World) -> None:
         ids = [f"run-{number:06d}" for number in range(count)]
         for job_id in ids:
             world.rules.submitted(job(0) | {"name_id": job_id, "pieces": 0})
-        for place in range(0, count, 100):
-            text = ",".join(f'"j/{job_id}":{{"state":"done","tasks":4}}' for job_id in ids[place : place + 100])
-            put(world, f"{PAGE_PREFIX}{place // 100:04d}", {"number": place + 1, "text": "{" + text + "}"})
+        for offset in range(0, count, 100):
+            text = ",".join(f'"j/{job_id}":{{"state":"done","tasks":4}}' for job_id in ids[offset : offset + 100])
+            put(world, f"{PAGE_PREFIX}{offset // 100:04d}", {"number": offset + 1, "text": "{" + text + "}"})
 
     day(script, before=before)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -32,14 +32,16 @@
 def test_the_model_reads_what_the_earlier_version_wrote() -> None:
     view = earlier_reader.read(sample_store())
     assert set(SAMPLES["told"]) == set(view.jobs)
-    for job_id, told in SAMPLES["told"].items():
-        assert view.jobs[job_id]["state"] in ([told] if told in ("done", "cancelled") else ["open", "done"])
+    for job_id, reported_state in SAMPLES["told"].items():
+        assert view.jobs[job_id]["state"] in (
+            [reported_state] if reported_state in ("done", "cancelled") else ["open", "done"]
+        )
     assert view.types and view.machines
     # Every task that ran then is assigned to its machine, except for those that had just ended.
     done = set(SAMPLES["done"])
     assert {(machine, task) for machine, task in SAMPLES["where"] if task not in done} <= view.holds
-    for job_id, marked in view.done.items():
-        assert {f"{job_id}/{task}" for task in marked} <= done
+    for job_id, done_tasks in view.done.items():
+        assert {f"{job_id}/{task}" for task in done_tasks} <= done
     for text in SAMPLES["frames"]:
         earlier_reader.frame(text)
 
@@ -47,7 +49,7 @@
 def test_the_model_refuses_what_the_earlier_version_could_not_read() -> None:
     """Guard against a model that accepts everything and would detect nothing."""
     spec = sent(daemon(1))
-    bad: list[dict[str, Any]] = [
+    unreadable_records: list[dict[str, Any]] = [
         {"j/run-000001": {"state": "open", "tasks": 3, "at": 1.0, "chunk": 64, "spec": spec}},
         {"j/run-000001": {"state": "standing", "tasks": 3}},
         {"j/run-000001": {"state": "done", "tasks": 3, "form": "batch"}},
@@ -55,7 +57,7 @@
         {"m/m-000001": {"build": "small", "zone": "east", "spot": False, "holds": {"run-000001": [1]}}},
         {"t/types": [{"name": "small"}]},
     ]
-    for records in bad:
+    for records in unreadable_records:
         with pytest.raises((earlier_reader.UnreadableError, KeyError)):
             earlier_reader.read({"s/0000": {"number": 1, "text": json.dumps(records)}})
     with pytest.raises(earlier_reader.UnreadableError):
@@ -72,12 +74,12 @@
         assert world.leader is not None and world.leader.leader is not None
         cluster = world.leader.leader.cluster
         allocations = [allocation for one in cluster.machines.values() for allocation in one.allocations.values()]
-        held = {(allocation.machine.name, f"{allocation.job.id}/{allocation.task}") for allocation in allocations}
-        assert held == view.holds
-        for job_id, marked in view.done.items():
-            known = cluster.jobs[job_id]
-            assert {task for task in range(known.task_count) if known.is_done(task)} == marked
-        assert set(world.leader.leader.catalog.types) == {kind["name"] for kind in view.types}
+        assigned = {(allocation.machine.name, f"{allocation.job.id}/{allocation.task}") for allocation in allocations}
+        assert assigned == view.holds
+        for job_id, done_tasks in view.done.items():
+            loaded_job = cluster.jobs[job_id]
+            assert {task for task in range(loaded_job.task_count) if loaded_job.is_done(task)} == done_tasks
+        assert set(world.leader.leader.catalog.types) == {machine_type["name"] for machine_type in view.types}
 
     def before(world: World) -> None:
         world.limits = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
@@ -90,16 +92,16 @@
         world.rules.finished |= set(SAMPLES["done"])
         world.rules.asked_to_cancel |= {job_id for job_id, one in view.jobs.items() if one["state"] == "cancelled"}
 
-    async def quickly(world: World) -> None:
+    async def script_once_loaded(world: World) -> None:
         # Check the state as loaded, before the leader acts on expired leases.
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.05)
         await script(world)
 
-    day(quickly, machines=0, before=before)
+    day(script_once_loaded, machines=0, before=before)
 
 
-def test_messages_between_controllers_are_those_of_the_earlier_version() -> None:
+def test_messages_between_controllers_match_the_earlier_version() -> None:
     for text in SAMPLES["frames"]:
         message = decode(text.encode())
         assert json.loads(encode(message)) == json.loads(text)
@@ -115,22 +117,24 @@
 def check_earlier_reader(world: World) -> None:
     """Check that a leader of the earlier version would read all that is stored now, and read it correctly."""
     view = earlier_reader.read(world.store.values())
-    for job_id, told in world.rules.reported_states.items():
+    for job_id, reported_state in world.rules.reported_states.items():
         state = view.jobs[job_id]["state"]
-        assert state == told or (told not in ("done", "cancelled") and state in ("open", "done", "cancelled"))
-    for job_id, marked in view.done.items():
-        assert {f"{job_id}/{task}" for task in marked} <= world.rules.finished
+        assert state == reported_state or (
+            reported_state not in ("done", "cancelled") and state in ("open", "done", "cancelled")
+        )
+    for job_id, done_tasks in view.done.items():
+        assert {f"{job_id}/{task}" for task in done_tasks} <= world.rules.finished
     # Each running task is stored as assigned to its machine, unless its end is stored.
     for machine, task in world.rules.running:
         job_id, _, index = task.rpartition("/")
         over = view.jobs[job_id]["state"] == "done" or int(index) in view.done.get(job_id, ())
         assert (machine, task) in view.holds or over, (machine, task)
     if world.leader is not None and world.leader.leader is not None and world.leader.leader.loaded:
-        known = stored_records(world.store)
-        assert {key[2:] for key in known if key.startswith("j/")} == set(view.jobs)
+        stored = stored_records(world.store)
+        assert {key[2:] for key in stored if key.startswith("j/")} == set(view.jobs)
 
 
-async def submit_of_many_sizes(world: World) -> list[str]:
+async def submit_jobs_of_many_sizes(world: World) -> list[str]:
     ids = []
     for number in range(24):
         spec = job(
@@ -162,14 +166,14 @@
                 check_earlier_reader(world)
                 checks += 1
 
-        ids = await submit_of_many_sizes(world)
+        ids = await submit_jobs_of_many_sizes(world)
 
-        async def trouble() -> None:
+        async def fault_and_checks() -> None:
             await befall(world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids)
             await check_often(20, 0.3)
 
         # Up to the last node but one: whichever leads, the next leader may run the earlier version.
-        await upgrade(world, world.nodes[:2], 3.0, trouble)
+        await upgrade(world, world.nodes[:2], 3.0, fault_and_checks)
         await check_often(60, 0.5)
         restore(world)
         await upgrade(world, world.nodes[2:], 10.0)
@@ -181,7 +185,7 @@
     day(script, seed=seed, before=begin_old)
 
 
-def test_the_first_service_is_written_only_when_one_is_asked_for() -> None:
+def test_the_first_service_is_written_only_when_one_is_submitted() -> None:
     """Check that no service is stored unasked: users submit the first one only once all nodes are upgraded."""
 
     async def script(world: World) -> None:
