--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -18,7 +18,7 @@
 @settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
 def test_repeated_upgrades_and_rollbacks_under_all_faults(
-    seed: int, steps: list[tuple[str, str, float]], limits_lowered_after_s: float
+    world_seed: int, steps: list[tuple[str, str, float]], limits_lowered_after_s: float
 ) -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         await upgrades_and_rollbacks(world, monitor, steps, limits_lowered_after_s)
@@ -27,7 +27,7 @@
         begin_before(world)
         world.limits = dict(NEXT)
 
-    staged_day(script, before, seed=seed)
+    staged_day(script, before, seed=world_seed)
 
 
 @pytest.mark.parametrize("fault", FAULTS)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -110,10 +110,10 @@
         await served(world, "run-000001", 10)
         await served(world, "run-000002", 10, 4)
         name = next(machine for machine, task in world.rules.running if task.startswith("run-000001"))
-        its_replicas = {task for machine, task in world.rules.running if machine == name}
+        its_tasks = {task for machine, task in world.rules.running if machine == name}
         loss(world, name)
         lost_at = world.loop.now
-        while any(world.rules.machines_of.get(task) == [name] for task in its_replicas):
+        while any(world.rules.machines_of.get(task) == [name] for task in its_tasks):
             await asyncio.sleep(0.1)
         await served(world, "run-000001", within)
         await served(world, "run-000002", within, 4)
