--- a/src/elmthread/autoscaling/autoscaler.py
+++ b/src/elmthread/autoscaling/autoscaler.py
@@ -15,7 +15,7 @@
 from elmthread.cluster.run_times import RunTimeModel
 from elmthread.leadership.context import TermContext
 from elmthread.placement.scheduler import Scheduler
-from elmthread.settings.operators import Operators
+from elmthread.settings.operators import OperatorSettings
 
 
 class Autoscaler:
@@ -27,7 +27,7 @@
         machines: MachineControl,
         scheduler: Scheduler,
         run_times: RunTimeModel,
-        operators: Operators,
+        operators: OperatorSettings,
     ) -> None:
         """Execute decisions through `machines`, and take the waiting requests and the quotas from `scheduler`."""
         self._cluster = context.cluster
--- a/src/elmthread/autoscaling/context.py
+++ b/src/elmthread/autoscaling/context.py
@@ -11,7 +11,7 @@
 from elmthread.placement.quotas import RemainingQuota
 from elmthread.placement.requests import TaskRequest
 from elmthread.placement.scheduler import Scheduler
-from elmthread.settings.operators import Operators
+from elmthread.settings.operators import OperatorSettings
 
 
 class ScalingContext(msgspec.Struct, frozen=True):
@@ -21,7 +21,7 @@
     machines: MachineControl
     offers: InstanceOffers
     scheduler: Scheduler
-    operators: Operators
+    operators: OperatorSettings
 
 
 class RoundView(msgspec.Struct, frozen=True):
--- a/src/elmthread/cli.py
+++ b/src/elmthread/cli.py
@@ -101,7 +101,7 @@
     return _serve(platform_settings, operator_settings)
 
 
-def _serve(platform_settings: platform.Platform, operator_settings: operators.Operators) -> int:
+def _serve(platform_settings: platform.PlatformSettings, operator_settings: operators.OperatorSettings) -> int:
     from elmthread.controller import Controller
 
     # Loaded modules are never freed, and a leader's state hardly ever becomes garbage: scanning all of it
--- a/src/elmthread/cluster/job_factory.py
+++ b/src/elmthread/cluster/job_factory.py
@@ -5,7 +5,7 @@
 
 from elmthread.cluster.job import Job, JobPolicy
 from elmthread.common.features import ActiveFeatures, Feature
-from elmthread.settings.operators import Operators
+from elmthread.settings.operators import OperatorSettings
 from elmthread.settings.platform import ClusterSettings, Objective
 from elmthread.store.done_marks import bits_per_chunk, marks_per_chunk
 from elmthread.store.job_spec import SERVICE, JobSpec
@@ -52,7 +52,7 @@
 class JobFactory:
     """Creates jobs from submissions and from stored records."""
 
-    def __init__(self, cluster: ClusterSettings, operators: Operators, features: ActiveFeatures) -> None:
+    def __init__(self, cluster: ClusterSettings, operators: OperatorSettings, features: ActiveFeatures) -> None:
         """Take deadlines and urgency from `operators`, and the format of done-task records from `features`."""
         self._features = features
         self._operators = operators
--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -37,8 +37,8 @@
 from elmthread.rollout.gate import CompatibilityGate, IncompatibleLevelError
 from elmthread.rollout.membership import Membership
 from elmthread.rollout.term import RolloutContext
-from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Platform, parse_address
+from elmthread.settings.operators import OperatorSettings
+from elmthread.settings.platform import PlatformSettings, parse_address
 from elmthread.store.client import KeyValueStore
 from elmthread.store.token_bucket import TokenBucket
 from elmthread.workers.messages import HEARTBEAT_PATH
@@ -60,7 +60,7 @@
     """The components of one process; handles peer messages as a `peers.handler.PeerMessageHandler`."""
 
     def __init__(
-        self, platform: Platform, operators: Operators, environment: ControllerEnvironment | None = None
+        self, platform: PlatformSettings, operators: OperatorSettings, environment: ControllerEnvironment | None = None
     ) -> None:
         """Create all components; `run` starts them."""
         environment = environment or ControllerEnvironment()
--- a/src/elmthread/leader.py
+++ b/src/elmthread/leader.py
@@ -35,8 +35,8 @@
 from elmthread.reachability.zone_counts import ZoneCounts
 from elmthread.reachability.zone_health import ZoneHealth
 from elmthread.rollout.term import RolloutContext, TermRollout
-from elmthread.settings.operators import Operators
-from elmthread.settings.platform import Platform
+from elmthread.settings.operators import OperatorSettings
+from elmthread.settings.platform import PlatformSettings
 from elmthread.store.client import KeyValueStore
 from elmthread.store.page_batch import WriteLimits
 from elmthread.store.pages import RecordPages, page_capacity
@@ -65,8 +65,8 @@
 class NodeServices(msgspec.Struct, frozen=True):
     """Services of the process that exist independently of its terms and that its leader uses."""
 
-    platform: Platform
-    operators: Operators
+    platform: PlatformSettings
+    operators: OperatorSettings
     election: Election
     store: KeyValueStore
     cloud: HttpCaller
--- a/src/elmthread/limits.py
+++ b/src/elmthread/limits.py
@@ -5,7 +5,7 @@
 from elmthread.common.clock import extend_for_drift, reduce_for_drift, seconds
 from elmthread.machines.failure_detection import HEARTBEAT_OVERDUE_LEASES
 from elmthread.reachability.bounds import ReachabilityBounds
-from elmthread.settings.platform import Platform
+from elmthread.settings.platform import PlatformSettings
 
 # The duration of the leader's lease.
 LEADER_LEASE = seconds(2)
@@ -27,28 +27,28 @@
 COMPARISONS_PER_OPERATION = 4
 
 
-def max_server_connections(platform: Platform) -> int:
+def max_server_connections(platform: PlatformSettings) -> int:
     """Return how many connections the HTTP server accepts."""
     return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * SERVER_CONNECTION_SHARE))
 
 
-def max_worker_connections(platform: Platform) -> int:
+def max_worker_connections(platform: PlatformSettings) -> int:
     """Return how many of the server's connections workers may use."""
     return max(MIN_WORKER_CONNECTIONS, int(max_server_connections(platform) * WORKER_CONNECTION_SHARE))
 
 
-def max_waiting_requests(platform: Platform) -> int:
+def max_waiting_requests(platform: PlatformSettings) -> int:
     """Return how many user requests may wait on this node: about as many as users have connections."""
     share = SERVER_CONNECTION_SHARE * (1 - WORKER_CONNECTION_SHARE)
     return max(MIN_CONNECTIONS, int(platform.cluster.limits.max_connections * share))
 
 
-def max_comparisons(platform: Platform) -> int:
+def max_comparisons(platform: PlatformSettings) -> int:
     """Return how many keys one transaction may compare."""
     return COMPARISONS_PER_OPERATION * platform.cluster.store.strictest().txn_ops
 
 
-def grace_period(platform: Platform) -> timedelta:
+def grace_period(platform: PlatformSettings) -> timedelta:
     """Return how long workers may still be answered once the lease is no longer certain."""
     workers = platform.cluster.workers
     return max(
@@ -60,12 +60,12 @@
     )
 
 
-def reachability_bounds(platform: Platform) -> ReachabilityBounds:
+def reachability_bounds(platform: PlatformSettings) -> ReachabilityBounds:
     """Return the timeouts that decide whether a link counts as working."""
     workers = platform.cluster.workers
     return ReachabilityBounds(LEADER_LEASE, workers.heartbeat_interval, workers.lease)
 
 
-def misdirected_window(platform: Platform) -> timedelta:
+def misdirected_window(platform: PlatformSettings) -> timedelta:
     """Return how long a machine whose heartbeat came to a follower counts as not reaching the leader."""
     return platform.cluster.workers.lease * HEARTBEAT_OVERDUE_LEASES
--- a/src/elmthread/machines/machine_type_updater.py
+++ b/src/elmthread/machines/machine_type_updater.py
@@ -6,7 +6,7 @@
 from elmthread.cluster.catalog import MachineTypeCatalog
 from elmthread.leadership.context import TermContext
 from elmthread.machines.client import CloudClient, CloudError, NoCapacityError
-from elmthread.store.records import types_records
+from elmthread.store.records import machine_type_records
 from elmthread.store.write_queue import WritePriority
 
 log = logging.getLogger(__name__)
@@ -31,5 +31,5 @@
         is_first = not self._catalog.is_known
         self._catalog.replace(types)
         if is_first:
-            for key, records in types_records(types, self._writer.max_record_bytes).items():
+            for key, records in machine_type_records(types, self._writer.max_record_bytes).items():
                 self._writer.write(key, WritePriority.ASSIGNMENT, partial(list, records))
--- a/src/elmthread/reachability/command.py
+++ b/src/elmthread/reachability/command.py
@@ -13,7 +13,7 @@
 from elmthread.peers.framing import read_frames
 from elmthread.peers.messages import LeaderAnnouncement, decode
 from elmthread.reachability.messages import LinkStatus, LinkViewMessage
-from elmthread.settings.platform import Platform, parse_address
+from elmthread.settings.platform import PlatformSettings, parse_address
 
 OK, FAILED = 0, 1
 # Controllers send an announcement every second.
@@ -33,7 +33,7 @@
     announced: bool
 
 
-def run(platform: Platform, timeout: timedelta = ANNOUNCEMENT_TIMEOUT) -> int:
+def run(platform: PlatformSettings, timeout: timedelta = ANNOUNCEMENT_TIMEOUT) -> int:
     """Print each controller's links; return 1 if any controller sent no announcement."""
     addresses = {platform.node: platform.peer_listen} | {peer.node: peer.address for peer in platform.peers}
     reports = asyncio.run(_report_all(addresses, timeout))
--- a/src/elmthread/rollout/command.py
+++ b/src/elmthread/rollout/command.py
@@ -10,7 +10,7 @@
 from elmthread.rollout.activation import Activate, plan_activation
 from elmthread.rollout.records import UnreadableLevelError, read_records, read_view
 from elmthread.rollout.view import Announcement, RolloutView, UnreadableAnnouncement
-from elmthread.settings.platform import Platform
+from elmthread.settings.platform import PlatformSettings
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store.client import KeyValueStore, StoreError
 from elmthread.store.token_bucket import TokenBucket
@@ -19,7 +19,7 @@
 MAX_STORE_RPS = 10.0
 
 
-def run(platform: Platform, settings: RolloutSettings) -> int:
+def run(platform: PlatformSettings, settings: RolloutSettings) -> int:
     """Print the state of the rollout; return 1 if it can't be read."""
     client = KeyValueStore(
         HttpClient(platform.endpoints.store), TokenBucket(MAX_STORE_RPS, MAX_STORE_RPS, steady_clock)
--- a/src/elmthread/settings/expressions.py
+++ b/src/elmthread/settings/expressions.py
@@ -17,8 +17,8 @@
 
 FUNCTIONS: dict[str, Any] = {"min": min, "max": max, "abs": abs}
 
-_ORDERS = (ast.Lt, ast.LtE, ast.Gt, ast.GtE)
-_EQUALS = (ast.Eq, ast.NotEq)
+_ORDERING_OPERATORS = (ast.Lt, ast.LtE, ast.Gt, ast.GtE)
+_EQUALITY_OPERATORS = (ast.Eq, ast.NotEq)
 
 
 class ExpressionError(ElmthreadError):
@@ -28,8 +28,8 @@
 class Expression:
     """A checked expression of a known type: "number", "text" or "truth"."""
 
-    def __init__(self, source: str, names: Mapping[str, str], wanted: str) -> None:
-        """Check the source: it may use `names`, by type, and must have the type `wanted`. Raises ExpressionError."""
+    def __init__(self, source: str, names: Mapping[str, str], expected_type: str) -> None:
+        """Check the source: it may use `names`, by type, and must have the type `expected_type`. Raises ExpressionError."""
         self.source = source
         if len(source) > MAX_LENGTH:
             raise ExpressionError(f"longer than {MAX_LENGTH} characters")
@@ -39,9 +39,9 @@
             raise ExpressionError(f"not an expression: {getattr(error, 'msg', error)}") from error
         if sum(1 for _ in ast.walk(tree)) > MAX_NODES:
             raise ExpressionError(f"more than {MAX_NODES} parts")
-        found = _type_of(tree.body, names)
-        if found != wanted:
-            raise ExpressionError(f"gives a {found}, wanted a {wanted}")
+        actual_type = _type_of(tree.body, names)
+        if actual_type != expected_type:
+            raise ExpressionError(f"gives a {actual_type}, wanted a {expected_type}")
         self._eval = EvalWithCompoundTypes(functions=FUNCTIONS)
         self._tree = tree.body
         self.names = frozenset(node.id for node in ast.walk(tree) if isinstance(node, ast.Name)) - FUNCTIONS.keys()
@@ -91,10 +91,10 @@
 def _compare(left: ast.expr, operators: list[ast.cmpop], rest: list[ast.expr], names: Mapping[str, str]) -> str:
     kind = _type_of(left, names)
     for op, right in zip(operators, rest, strict=True):
-        if isinstance(op, _ORDERS):
+        if isinstance(op, _ORDERING_OPERATORS):
             _require(left, "number", names)
             _require(right, "number", names)
-        elif isinstance(op, _EQUALS):
+        elif isinstance(op, _EQUALITY_OPERATORS):
             _require(right, kind, names)
         elif isinstance(op, ast.In | ast.NotIn) and isinstance(right, ast.Tuple | ast.List):
             for item in right.elts:
@@ -104,14 +104,14 @@
     return "truth"
 
 
-def _require_all(nodes: list[ast.expr], wanted: str, names: Mapping[str, str]) -> str:
+def _require_all(nodes: list[ast.expr], expected_type: str, names: Mapping[str, str]) -> str:
     """Return the type that all nodes were found to have. Raises ExpressionError."""
     for node in nodes:
-        _require(node, wanted, names)
-    return wanted
+        _require(node, expected_type, names)
+    return expected_type
 
 
-def _require(node: ast.AST, wanted: str, names: Mapping[str, str]) -> None:
-    found = _type_of(node, names)
-    if found != wanted:
-        raise ExpressionError(f"{ast.unparse(node)[:40]}: is a {found}, wanted a {wanted}")
+def _require(node: ast.AST, expected_type: str, names: Mapping[str, str]) -> None:
+    actual_type = _type_of(node, names)
+    if actual_type != expected_type:
+        raise ExpressionError(f"{ast.unparse(node)[:40]}: is a {actual_type}, wanted a {expected_type}")
--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -17,7 +17,7 @@
 DEFAULT_DEADLINE_S = 3600.0
 MIN_DEADLINE_S, MAX_DEADLINE_S = 1.0, 30 * 86400.0
 # What an expression may name: fields of the job, and the objective of its class (0: none).
-JOB_NAMES = {
+JOB_FIELD_TYPES = {
     "job_class": "text",
     "team": "text",
     "form": "text",
@@ -45,16 +45,16 @@
     rollout: RolloutSettings = RolloutSettings()
 
 
-class Operators:
+class OperatorSettings:
     """The checked settings; the defaults suit a deployment that sets none."""
 
     def __init__(self, file: OperatorsFile) -> None:
         """Check all fields. Raises SettingsError."""
-        self._urgent = _expression("urgent", file.urgent, "truth")
-        self._deadline = _expression("deadline_s", file.deadline_s, "number")
-        self.target_urgent_share = _number("theta", file.theta, 0.05, 1.0)
-        self.urgent_share_tolerance = _number("delta", file.delta, 0.0, 0.5)
-        self.urgent_share_check_interval: timedelta = seconds(_number("check_s", file.check_s, 0.5, 600.0))
+        self._urgent = _parse_expression("urgent", file.urgent, "truth")
+        self._deadline = _parse_expression("deadline_s", file.deadline_s, "number")
+        self.target_urgent_share = _bounded_number("theta", file.theta, 0.05, 1.0)
+        self.urgent_share_tolerance = _bounded_number("delta", file.delta, 0.0, 0.5)
+        self.urgent_share_check_interval: timedelta = seconds(_bounded_number("check_s", file.check_s, 0.5, 600.0))
         problem = file.rollout.problem()
         if problem is not None:
             raise SettingsError(problem)
@@ -76,31 +76,31 @@
         return seconds(min(max(value, MIN_DEADLINE_S), MAX_DEADLINE_S))
 
 
-def _expression(name: str, source: str, wanted: str) -> Expression:
+def _parse_expression(name: str, source: str, expected_type: str) -> Expression:
     try:
-        return Expression(source, JOB_NAMES, wanted)
+        return Expression(source, JOB_FIELD_TYPES, expected_type)
     except ExpressionError as error:
         raise SettingsError(f"{name}: {error}") from error
 
 
-def _number(name: str, value: float, low: float, high: float) -> float:
+def _bounded_number(name: str, value: float, low: float, high: float) -> float:
     if not low <= value <= high:
         raise SettingsError(f"{name}: must be from {low} to {high}, is {value}")
     return value
 
 
-def parse(text: str) -> Operators:
+def parse(text: str) -> OperatorSettings:
     """Return the settings in a file's text. Raises SettingsError."""
     try:
-        return Operators(msgspec.convert(tomllib.loads(text), OperatorsFile))
+        return OperatorSettings(msgspec.convert(tomllib.loads(text), OperatorsFile))
     except (tomllib.TOMLDecodeError, msgspec.ValidationError) as error:
         raise SettingsError(str(error)) from error
 
 
-def load(path: Path | None) -> Operators:
+def load(path: Path | None) -> OperatorSettings:
     """Return the settings in a file, or the defaults without one. Raises SettingsError, naming the file."""
     if path is None:
-        return Operators(OperatorsFile())
+        return OperatorSettings(OperatorsFile())
     try:
         return parse(path.read_text())
     except (OSError, UnicodeDecodeError, SettingsError) as error:
--- a/src/elmthread/settings/platform.py
+++ b/src/elmthread/settings/platform.py
@@ -156,7 +156,7 @@
     time_bound_ms: float = 0.0
 
 
-class Platform(
+class PlatformSettings(
     msgspec.Struct,
     rename={"node": "node_name", "zone": "site", "listen": "serve_on", "cluster": "facts", "peers": "others"},
 ):
@@ -195,21 +195,21 @@
     return Address(host, int(port))
 
 
-def parse(text: str) -> Platform:
+def parse(text: str) -> PlatformSettings:
     """Return the settings in a file's text. Raises SettingsError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise SettingsError(f"not TOML: {error}") from error
     try:
-        platform = msgspec.convert(raw, Platform)
+        platform = msgspec.convert(raw, PlatformSettings)
     except msgspec.ValidationError as error:
         raise SettingsError(str(error)) from error
     _check(platform)
     return platform
 
 
-def load(path: Path) -> Platform:
+def load(path: Path) -> PlatformSettings:
     """Return the settings in a file. Raises SettingsError, naming the file."""
     try:
         return parse(path.read_text())
@@ -217,7 +217,7 @@
         raise SettingsError(f"{path}: {error}") from error
 
 
-def _check(platform: Platform) -> None:
+def _check(platform: PlatformSettings) -> None:
     _check_addresses(platform)
     _check_positive(platform.cluster)
     for team in platform.cluster.teams:
@@ -230,7 +230,7 @@
         raise SettingsError("facts.cloud.list_lag_s: must be 0 or more")
 
 
-def _check_addresses(platform: Platform) -> None:
+def _check_addresses(platform: PlatformSettings) -> None:
     addresses = {
         "serve_on": platform.listen,
         "peer_listen": platform.peer_listen,
--- a/src/elmthread/settings/rollout.py
+++ b/src/elmthread/settings/rollout.py
@@ -8,7 +8,7 @@
 from elmthread.common.clock import seconds
 from elmthread.common.features import FIRST_LEVEL, MAX_VALID_LEVEL
 
-LONGEST_SOAK_S = 30 * 86400.0
+MAX_SOAK_S = 30 * 86400.0
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -27,8 +27,8 @@
 
     def problem(self) -> str | None:
         """Return what is wrong with a value, in one line, or None if all values are valid."""
-        if not (math.isfinite(self.soak_s) and 0 <= self.soak_s <= LONGEST_SOAK_S):
-            return f"rollout.soak_s: must be from 0 to {LONGEST_SOAK_S:.0f}, is {self.soak_s}"
+        if not (math.isfinite(self.soak_s) and 0 <= self.soak_s <= MAX_SOAK_S):
+            return f"rollout.soak_s: must be from 0 to {MAX_SOAK_S:.0f}, is {self.soak_s}"
         if self.hold_at is not None and not FIRST_LEVEL <= self.hold_at <= MAX_VALID_LEVEL:
             return f"rollout.hold_at: must be from {FIRST_LEVEL} to {MAX_VALID_LEVEL}, is {self.hold_at}"
         return None
--- a/src/elmthread/settings/tests/test_settings.py
+++ b/src/elmthread/settings/tests/test_settings.py
@@ -9,11 +9,11 @@
 from elmthread.settings.platform import SettingsError
 from tests.world.settings import SETTINGS
 
-GOOD = SETTINGS.format(node="loom-0", others="", next="", cancel=30.0)
+VALID_SETTINGS = SETTINGS.format(node="loom-0", others="", next="", cancel=30.0)
 
 
 def test_platform_file_with_unknown_fields() -> None:
-    parsed = platform.parse("colour = 1\n" + GOOD)
+    parsed = platform.parse("colour = 1\n" + VALID_SETTINGS)
     assert parsed.node == "loom-0" and parsed.cluster.teams[0].cpu_quota == 12.0
     assert parsed.cluster.teams[1].cpu_quota == float("inf")  # 0: no limit
 
@@ -34,7 +34,7 @@
     old: str, new: str, names: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD.replace(old, new))
+    path.write_text(VALID_SETTINGS.replace(old, new))
     assert main(["check", "--config", str(path)]) == 2
     error = capsys.readouterr().err
     assert names in error and error.count("\n") == 1
@@ -47,9 +47,9 @@
 
 
 def test_expressions() -> None:
-    own = operators.parse("urgent = \"team in ('red', 'blue') and not saves\"\ndeadline_s = \"min(60, tasks * 5)\"")
-    assert own.urgent(JOB) and not own.urgent(JOB | {"team": "green"})
-    assert own.deadline(JOB).total_seconds() == 15
+    custom = operators.parse("urgent = \"team in ('red', 'blue') and not saves\"\ndeadline_s = \"min(60, tasks * 5)\"")
+    assert custom.urgent(JOB) and not custom.urgent(JOB | {"team": "green"})
+    assert custom.deadline(JOB).total_seconds() == 15
     default = operators.load(None)
     assert default.urgent(JOB) and not default.urgent(JOB | {"priority": "normal"})
     assert default.deadline(JOB).total_seconds() == 120
@@ -57,9 +57,9 @@
     assert default.deadline(JOB | {"objective_s": 0.0}).total_seconds() == 3600
 
 
-def test_an_expression_that_fails_on_a_job_gives_the_default() -> None:
-    own = operators.parse('deadline_s = "100 / (tasks - 3)"')
-    assert own.deadline(JOB).total_seconds() == 3600
+def test_expression_that_fails_on_a_job_yields_the_default() -> None:
+    custom = operators.parse('deadline_s = "100 / (tasks - 3)"')
+    assert custom.deadline(JOB).total_seconds() == 3600
 
 
 @pytest.mark.parametrize(
@@ -85,17 +85,19 @@
         operators.parse(text)
 
 
-def test_the_stricter_of_the_stores_limits_now_and_next_is_kept() -> None:
-    def kept(extra: str) -> tuple[float, float, float, int]:
+def test_stricter_of_present_and_next_store_limits_applies() -> None:
+    def effective_limits(extra: str) -> tuple[float, float, float, int]:
         state = platform.parse(
             SETTINGS.format(node="loom-0", others="", next=extra, cancel=30.0)
         ).cluster.store.strictest()
         return state.rps, state.write_rps, state.value_kb, state.txn_ops
 
-    now = kept("")
-    assert kept("[facts.state.next]") == now
-    assert kept("[facts.state.next]\nvalue_kb = 2.0") == (*now[:2], 2.0, now[3])
-    assert kept("[facts.state.next]\nvalue_kb = 64.0\ntxn_ops = 4\nwrite_rps = 5.0\nrps = 50.0\nkeys = 9") == (
+    now = effective_limits("")
+    assert effective_limits("[facts.state.next]") == now
+    assert effective_limits("[facts.state.next]\nvalue_kb = 2.0") == (*now[:2], 2.0, now[3])
+    assert effective_limits(
+        "[facts.state.next]\nvalue_kb = 64.0\ntxn_ops = 4\nwrite_rps = 5.0\nrps = 50.0\nkeys = 9"
+    ) == (
         50.0,
         5.0,
         now[2],
@@ -103,11 +105,11 @@
     )
     for bad in ("value_kb = 0.0", "txn_ops = 0", "write_rps = -1.0", "rps = nan", "txn_ops = 'four'"):
         with pytest.raises(SettingsError, match=bad.split()[0]):
-            kept(f"[facts.state.next]\n{bad}")
+            effective_limits(f"[facts.state.next]\n{bad}")
 
 
 @pytest.mark.parametrize("address", ["NONSENSE", "here:", ":80", "10.0.0.1:99999"])
-def test_an_address_that_is_none_is_told_by_its_option(address: str, capsys: pytest.CaptureFixture[str]) -> None:
-    with pytest.raises(SystemExit) as ended:
+def test_error_for_an_invalid_address_names_its_option(address: str, capsys: pytest.CaptureFixture[str]) -> None:
+    with pytest.raises(SystemExit) as exit_info:
         main(["status", "--server", address, "run-000001"])
-    assert ended.value.code == 2 and "--server" in capsys.readouterr().err
+    assert exit_info.value.code == 2 and "--server" in capsys.readouterr().err
--- a/src/elmthread/store/client.py
+++ b/src/elmthread/store/client.py
@@ -93,11 +93,11 @@
     Each method raises StoreUnavailableError or UnknownOutcomeError if the request fails.
     """
 
-    def __init__(self, caller: HttpCaller, requests: TokenBucket, observer: RequestObserver | None = None) -> None:
-        """Send requests by `caller` within the rate of `requests`; `observer` is notified of executed ones."""
+    def __init__(self, caller: HttpCaller, rate_limit: TokenBucket, observer: RequestObserver | None = None) -> None:
+        """Send requests by `caller` within the rate of `rate_limit`; `observer` is notified of executed ones."""
         self._observer = observer
         self._caller = caller
-        self._requests = requests
+        self._rate_limit = rate_limit
 
     async def get(self, key: str) -> messages.KeyValue | None:
         """Return the key with its value, None if it does not exist."""
@@ -164,7 +164,7 @@
     async def _call(
         self, method: str, path: str, body: Any = None, timeout: timedelta = REQUEST_TIMEOUT
     ) -> ClientResponse:
-        if not self._requests.take():
+        if not self._rate_limit.take():
             raise StoreUnavailableError("the request rate of this client is exhausted")
         return await self._send(method, path, body, timeout)
 
@@ -178,7 +178,7 @@
         if self._observer is not None and began is not None and response.status not in (429, 503):
             self._observer.confirm(began)
         if response.status == 429:
-            self._requests.drain()
+            self._rate_limit.drain()
             raise RateLimitedError(f"{method} {path.split('?')[0]}: 429: {response.body}")
         if response.status == 503:
             raise StoreUnavailableError(f"{method} {path.split('?')[0]}: {response.status}")
--- a/src/elmthread/store/done_marks.py
+++ b/src/elmthread/store/done_marks.py
@@ -10,19 +10,19 @@
 
 MAX_TASKS_PER_CHUNK = 1024
 # Each finished task rewrites its chunk, so a chunk takes only a small part of a page.
-MAX_MARKS_PART_OF_VALUE = 1 / 32
+MAX_MARKS_VALUE_FRACTION = 1 / 32
 # Compressed bitmaps seldom reach their largest size, so they may take more.
-MAX_BITMAP_PART_OF_VALUE = 1 / 11
+MAX_BITMAP_VALUE_FRACTION = 1 / 11
 
 
 def marks_per_chunk(value_kb: float) -> int:
     """Return the tasks in a chunk of plain marks, where a hexadecimal digit holds four tasks."""
-    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_MARKS_PART_OF_VALUE) * 4 // 8 * 8))
+    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_MARKS_VALUE_FRACTION) * 4 // 8 * 8))
 
 
 def bits_per_chunk(value_kb: float) -> int:
     """Return the tasks in a chunk of a compressed bitmap, where four characters hold 24 tasks at the worst."""
-    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_BITMAP_PART_OF_VALUE) * 6 // 8 * 8))
+    return min(MAX_TASKS_PER_CHUNK, max(8, int(value_kb * 1024 * MAX_BITMAP_VALUE_FRACTION) * 6 // 8 * 8))
 
 
 def read_done(value: Any, supported: SupportedLevels) -> DoneRecord | DoneBitmapRecord:
--- a/src/elmthread/store/machine_records.py
+++ b/src/elmthread/store/machine_records.py
@@ -43,31 +43,31 @@
     if not (isinstance(value, dict) and "runs" in value and supported.reads(Feature.ASSIGNMENT_RUNS)):
         return msgspec.convert(value, MachineRecord)
     record = msgspec.convert(value, AssignmentRunsRecord)
-    holds = {job_id: list(_expanded(numbers, record.base)) for job_id, numbers in record.runs.items()}
+    holds = {job_id: list(_decode_runs(numbers, record.base)) for job_id, numbers in record.runs.items()}
     return MachineRecord(record.machine_type, record.zone, record.spot, record.pool, holds)
 
 
 def as_runs(record: MachineRecord) -> AssignmentRunsRecord:
     """Return the machine in the second form; it must hold at least one task."""
     base = min(min(numbers[1::2]) for numbers in record.holds.values())
-    runs = {job_id: _runs(numbers, base) for job_id, numbers in record.holds.items()}
+    runs = {job_id: _encode_runs(numbers, base) for job_id, numbers in record.holds.items()}
     return AssignmentRunsRecord(record.machine_type, record.zone, record.spot, record.pool, base, runs)
 
 
-def _runs(numbers: list[int], base: int) -> list[int]:
+def _encode_runs(numbers: list[int], base: int) -> list[int]:
     """Return runs of tasks whose numbers and attempts both go up by one."""
-    found: list[int] = []
+    encoded: list[int] = []
     next_task = next_attempt = -1
     for task, attempt in sorted(zip(numbers[::2], numbers[1::2], strict=True)):
         if task == next_task and attempt == next_attempt:
-            found[-1] += 1
+            encoded[-1] += 1
         else:
-            found += (task, attempt - base, 1)
+            encoded += (task, attempt - base, 1)
         next_task, next_attempt = task + 1, attempt + 1
-    return found
+    return encoded
 
 
-def _expanded(numbers: list[int], base: int) -> Iterator[int]:
+def _decode_runs(numbers: list[int], base: int) -> Iterator[int]:
     """Yield task, attempt, task, attempt, ... of all runs."""
     for task, attempt, count in zip(numbers[::3], numbers[1::3], numbers[2::3], strict=True):
         if min(task, attempt) < 0 or not 1 <= count <= MAX_TASKS_PER_JOB:
--- a/src/elmthread/store/page_batch.py
+++ b/src/elmthread/store/page_batch.py
@@ -21,7 +21,7 @@
     """What the store accepts from one leader."""
 
     # Puts and deletes a second.
-    changes: TokenBucket
+    rate_limit: TokenBucket
     # Puts and deletes in a transaction.
     max_operations: int
 
@@ -108,13 +108,13 @@
             batch.add(write, text, size)
             self._queue.start(write)
         if batch.pages:
-            self._limits.changes.take(len(batch.pages), -self._limits.changes.burst)
+            self._limits.rate_limit.take(len(batch.pages), -self._limits.rate_limit.burst)
             if not isolates_records:
                 self._compact(batch.pages[-1])
         return batch
 
     def _max_pages(self) -> int:
-        affordable = max(1, int(self._limits.changes.level()))
+        affordable = max(1, int(self._limits.rate_limit.level()))
         fitting = max(1, MAX_TRANSACTION_BYTES // self._pages.capacity)
         if self._clock() < self._isolate_pages_until:
             return 1
@@ -141,4 +141,4 @@
                 return
             last.texts |= moved
             last.size += sum(record_bytes(key, text) for key, text in moved.items())
-            self._queue.hold(moved)
+            self._queue.mark_in_flight(moved)
--- a/src/elmthread/store/pages.py
+++ b/src/elmthread/store/pages.py
@@ -58,9 +58,9 @@
 
     Characters beyond ASCII count as written out (`\u03b1`), as the store may count them.
     """
-    whole = key + text
-    size = len(whole) if whole.isascii() else 3 * len(whole.encode("utf-16-le"))
-    return size + whole.count('"') + whole.count("\\") + 8
+    combined = key + text
+    size = len(combined) if combined.isascii() else 3 * len(combined.encode("utf-16-le"))
+    return size + combined.count('"') + combined.count("\\") + 8
 
 
 class RecordPage(msgspec.Struct, eq=False):
@@ -85,7 +85,7 @@
         self._pages: dict[str, RecordPage] = {}
         self._free: list[RecordPage] = []
         self._allocated: set[str] = set()
-        self._page_of: dict[str, RecordPage] = {}
+        self._page_by_record: dict[str, RecordPage] = {}
         self._texts: dict[str, str] = {}
         # Bytes of all current records, and the keys of pages written when values were allowed to be larger.
         self._current_bytes = 0
@@ -98,17 +98,19 @@
 
         Raises UnreadableRecordError, which names the page.
         """
-        read = []
+        loaded_pages = []
         for key, value, mod_revision in items:
             try:
                 page = msgspec.convert(value, PageRecord)
                 records: dict[str, msgspec.Raw] = msgspec.json.decode(page.text, type=dict[str, msgspec.Raw])
             except msgspec.MsgspecError as error:
                 raise UnreadableRecordError(f"{key}: {error}") from error
-            read.append((page.number, key, mod_revision, {name: bytes(raw).decode() for name, raw in records.items()}))
-        read.sort(key=lambda entry: entry[0])
-        for number, key, mod_revision, texts in read:
-            self._record_content(self._pages.setdefault(key, RecordPage(key)), mod_revision, texts)
+            loaded_pages.append(
+                (page.number, key, mod_revision, {name: bytes(raw).decode() for name, raw in records.items()})
+            )
+        loaded_pages.sort(key=lambda entry: entry[0])
+        for number, key, mod_revision, texts in loaded_pages:
+            self._set_content(self._pages.setdefault(key, RecordPage(key)), mod_revision, texts)
             self.last_number = max(self.last_number, number)
         return {name: msgspec.json.decode(text) for name, text in self._texts.items() if text != DELETED}
 
@@ -142,21 +144,21 @@
     def commit(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
         """Note that an allocated page is durable with these records."""
         self._allocated.discard(page.key)
-        self._record_content(page, mod_revision, texts)
+        self._set_content(page, mod_revision, texts)
 
     def next_number(self) -> int:
         """Return the sequence number for the next page that is written."""
         self.last_number += 1
         return self.last_number
 
-    def _record_content(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
+    def _set_content(self, page: RecordPage, mod_revision: int, texts: dict[str, str]) -> None:
         previous, page.mod_revision, page.keys = page.keys, mod_revision, frozenset(texts)
         for key, text in texts.items():
             self._copies[key] = self._copies.get(key, 0) + 1
-            old_page = self._page_of.get(key)
+            old_page = self._page_by_record.get(key)
             if old_page is not None:
                 self._supersede(old_page, key)
-            self._page_of[key] = page
+            self._page_by_record[key] = page
             self._texts[key] = text
             size = record_bytes(key, text)
             page.current.add(key)
@@ -184,11 +186,11 @@
 
     def _purge_if_deleted(self, key: str) -> None:
         """Forget a deleted record once no page holds an older version of it."""
-        page = self._page_of.get(key)
+        page = self._page_by_record.get(key)
         if page is None or self._texts[key] != DELETED or self._copies[key] > 1:
             return
         self._supersede(page, key)
-        del self._page_of[key], self._texts[key]
+        del self._page_by_record[key], self._texts[key]
         # The null that stays in the page means the same as no record.
         page.keys -= {key}
         del self._copies[key]
--- a/src/elmthread/store/records.py
+++ b/src/elmthread/store/records.py
@@ -52,7 +52,7 @@
     return f"{INSTANCE_REQUEST_PREFIX}{name}"
 
 
-def types_records(types: list[MachineType], max_bytes: int) -> dict[str, list[MachineType]]:
+def machine_type_records(types: list[MachineType], max_bytes: int) -> dict[str, list[MachineType]]:
     """Return the machine types as one record, or as one for each if that is more than `max_bytes`."""
     if record_bytes(MACHINE_TYPES_KEY, json_text(types)) <= max_bytes:
         return {MACHINE_TYPES_KEY: types}
--- a/src/elmthread/store/tests/test_bitmaps.py
+++ b/src/elmthread/store/tests/test_bitmaps.py
@@ -14,9 +14,9 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True, database=None)
 @given(st.integers(1, MAX_TASKS_PER_CHUNK), st.sampled_from([0.0, 0.02, 0.5, 0.98, 1.0]), st.integers(0, 10_000))
-def test_a_bitmap_expands_to_the_bits_that_were_compressed(count: int, part: float, seed: int) -> None:
+def test_bitmap_round_trip(count: int, done_share: float, seed: int) -> None:
     rng = random.Random(seed)
-    done = {task for task in range(count) if rng.random() < part}
+    done = {task for task in range(count) if rng.random() < done_share}
     marks = bytearray((count + 7) // 8)
     for task in done:
         marks[task >> 3] |= 1 << (task & 7)
@@ -32,7 +32,7 @@
     "text",
     ["", "%%%", "AAAA" * 9, base64.b64encode(b"\xff\xff\xff").decode(), base64.b64encode(b"\x01\x10 ").decode()],
 )
-def test_text_that_is_no_bitmap_is_rejected(text: str) -> None:
+def test_invalid_bitmap_is_rejected(text: str) -> None:
     with pytest.raises(ValueError):
         list(expand(DoneBitmapRecord(text, False), 64))
 
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("value_kb", [0.7, 1.0, 2.0, 8.0, 16.0])
-def test_a_record_of_marks_takes_a_small_part_of_a_value(value_kb: float) -> None:
+def test_done_record_takes_a_small_part_of_a_value(value_kb: float) -> None:
     tasks = bits_per_chunk(value_kb)
     assert tasks % 8 == 0 and 8 <= tasks <= MAX_TASKS_PER_CHUNK
     largest = compress(bytes([0b01010101] * (tasks // 8)), tasks)
--- a/src/elmthread/store/tests/test_pages.py
+++ b/src/elmthread/store/tests/test_pages.py
@@ -20,7 +20,7 @@
 MAX_VALUE_BYTES = 2 * 1024
 
 
-def test_a_page_that_cannot_be_read_is_named() -> None:
+def test_error_for_an_unreadable_page_names_it() -> None:
     for value in ({"number": 1, "text": "{"}, {"text": "{}"}, "{}", {"number": 1, "text": "[]"}):
         with pytest.raises(UnreadableRecordError, match="s/0003"):
             RecordPages(MAX_VALUE_BYTES).load([("s/0003", value, 5)])
@@ -28,11 +28,11 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True, database=None)
 @given(st.dictionaries(st.text(max_size=8), st.text(max_size=40), max_size=6))
-def test_record_bytes_are_never_less_than_what_a_record_takes(records: dict[str, str]) -> None:
+def test_record_bytes_are_an_upper_bound(records: dict[str, str]) -> None:
     """Names in any letters: a value that is too large would be refused for ever."""
     texts = {key: json_text(value) for key, value in records.items()}
-    taken = len(json.dumps(pack_records(texts)))
-    assert sum(record_bytes(key, text) for key, text in texts.items()) + PAGE_OVERHEAD_BYTES >= taken
+    encoded_bytes = len(json.dumps(pack_records(texts)))
+    assert sum(record_bytes(key, text) for key, text in texts.items()) + PAGE_OVERHEAD_BYTES >= encoded_bytes
 
 
 def test_records_fit_the_value_limit() -> None:
@@ -40,7 +40,7 @@
         assert marks_per_chunk(kilobytes) / 4 + 50 < kilobytes * 1024
 
 
-def test_large_pages_are_emptied_record_by_record() -> None:
+def test_oversized_pages_are_emptied_a_few_records_at_a_time() -> None:
     """What larger values held is moved to pages of the new size, whatever its size."""
     large = RecordPages(page_capacity(16))
     texts = {f"j/{number}": json_text("x" * 300) for number in range(40)}
@@ -51,12 +51,12 @@
     small.load([(page.key, {"number": 7, "text": pack_records(texts)}, 5)])
     moved: dict[str, str] = {}
     for mod_revision in range(6, 40):
-        some = small.oversized_records(set(), small.capacity)
-        if not some:
+        batch = small.oversized_records(set(), small.capacity)
+        if not batch:
             break
-        assert sum(record_bytes(key, text) for key, text in some.items()) <= small.capacity
-        small.commit(small.allocate(), mod_revision, some)
-        moved |= some
+        assert sum(record_bytes(key, text) for key, text in batch.items()) <= small.capacity
+        small.commit(small.allocate(), mod_revision, batch)
+        moved |= batch
     # All but what is itself too large, which stays readable where it is.
     assert set(texts) - set(moved) <= {"j/long"} | {key for key in texts if key not in moved}
     assert "j/long" not in moved and "j/long" in small
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -27,7 +27,7 @@
 from tests.world.service_ports import ServiceFaults, SimulatedClient
 from tests.world.simulated_store import SimulatedStore
 from tests.world.stored import stored_pages, stored_records
-from tests.world.term import SureTerm
+from tests.world.term import StubTerm
 
 MAX_VALUE_BYTES = 2 * 1024
 
@@ -37,15 +37,15 @@
     return msgspec.to_builtins(messages.Transaction([], [put]))
 
 
-class Bench:
+class WriterHarness:
     def __init__(self, rate: float = 30.0) -> None:
         self.loop = SimLoop()
         asyncio.set_event_loop(self.loop)
         self.store = SimulatedStore(self.loop, random.Random(1), 8, MAX_VALUE_BYTES)
         self.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "a"})))
-        self.trouble = ServiceFaults()
-        client = KeyValueStore(SimulatedClient(self.store, self.trouble), TokenBucket(100, 100, self.loop.clock))
-        self.term = SureTerm(self.store.items[LEADER_KEY][1])
+        self.faults = ServiceFaults()
+        client = KeyValueStore(SimulatedClient(self.store, self.faults), TokenBucket(100, 100, self.loop.clock))
+        self.term = StubTerm(self.store.items[LEADER_KEY][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
@@ -68,216 +68,216 @@
         play(main(), self.loop)
 
 
-def test_many_changes_go_in_few_transactions_within_the_rate() -> None:
-    bench = Bench(rate=10.0)
+def test_many_changes_take_few_transactions_within_the_rate_limit() -> None:
+    harness = WriterHarness(rate=10.0)
 
     async def script() -> None:
         for number in range(1200):
-            bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
+            harness.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: {"text": "x" * 20})
         await asyncio.sleep(1)
-        assert len(bench.pages()) <= 20  # a burst of one second's worth, and a second's
+        assert len(harness.pages()) <= 20  # a burst of one second's worth, and a second's
         await asyncio.sleep(6)
-        assert len(bench.read()) == 1200
-        assert bench.store.revision < 60
+        assert len(harness.read()) == 1200
+        assert harness.store.revision < 60
 
-    bench.play(script)
-    assert bench.store.bad_requests == []
+    harness.play(script)
+    assert harness.store.bad_requests == []
 
 
 def test_writes_for_users_overtake_waiting_ones() -> None:
-    bench = Bench(rate=10.0)
+    harness = WriterHarness(rate=10.0)
 
     async def script() -> None:
         for number in range(1200):
-            bench.writer.write(f"k/{number}", WritePriority.MAINTENANCE, lambda: {"text": "x" * 20})
+            harness.writer.write(f"k/{number}", WritePriority.MAINTENANCE, lambda: {"text": "x" * 20})
         await asyncio.sleep(5.5)
-        asked = bench.loop.now
-        await bench.writer.write_and_wait("j/1", WritePriority.USER, lambda: {"n": 1}, lambda: None)
-        assert bench.loop.now - asked < 0.3
-        assert bench.writer.queue.pending
+        requested_at = harness.loop.now
+        await harness.writer.write_and_wait("j/1", WritePriority.USER, lambda: {"n": 1}, lambda: None)
+        assert harness.loop.now - requested_at < 0.3
+        assert harness.writer.queue.pending
 
-    bench.play(script)
+    harness.play(script)
 
 
 def test_delayed_duplicate_of_a_transaction_changes_nothing() -> None:
     """An old value must not come back over a newer one, whenever the store applies it."""
-    bench = Bench()
+    harness = WriterHarness()
 
     async def script() -> None:
         value = {"n": 0}
         for number in range(1, 30):
             value["n"] = number
-            bench.trouble.late_share = 0.4
-            bench.writer.write("k/1", WritePriority.USER, lambda: dict(value))
+            harness.faults.late_share = 0.4
+            harness.writer.write("k/1", WritePriority.USER, lambda: dict(value))
             await asyncio.sleep(0.3)
-        bench.trouble.late_share = 0.0
+        harness.faults.late_share = 0.0
         # The last write is durable at the latest now; delayed duplicates go on arriving.
-        await bench.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
+        await harness.writer.write_and_wait("k/1", WritePriority.USER, lambda: {"n": 99}, lambda: None)
         for _ in range(100):
             await asyncio.sleep(0.5)
-            assert bench.read()["k/1"] == {"n": 99}
+            assert harness.read()["k/1"] == {"n": 99}
 
-    bench.play(script)
-    assert not bench.term.step_down_reasons
+    harness.play(script)
+    assert not harness.term.step_down_reasons
 
 
-def test_transactions_carried_out_a_second_time_change_nothing() -> None:
-    bench = Bench()
+def test_transactions_executed_twice_change_nothing() -> None:
+    harness = WriterHarness()
 
     async def script() -> None:
         sent: list[Any] = []
-        apply = bench.store.apply
+        apply = harness.store.apply
 
-        def noting(method: str, path: str, body: Any) -> Any:
+        def recording_apply(method: str, path: str, body: Any) -> Any:
             if path == "/txn":
                 sent.append(body)
             return apply(method, path, body)
 
-        bench.store.apply = noting  # type: ignore[method-assign]
+        harness.store.apply = recording_apply  # type: ignore[method-assign]
         for number in range(60):
-            bench.writer.write(f"k/{number % 7}", WritePriority.USER, lambda number=number: {"n": number})  # type: ignore[misc]
+            harness.writer.write(f"k/{number % 7}", WritePriority.USER, lambda number=number: {"n": number})  # type: ignore[misc]
             if number % 5 == 4:
-                bench.writer.delete(f"k/{number % 3}")
+                harness.writer.delete(f"k/{number % 3}")
             await asyncio.sleep(0.2)
-            before = bench.read()
+            before = harness.read()
             for body in sent:
                 apply("POST", "/txn", body)
-            assert bench.read() == before
+            assert harness.read() == before
 
-    bench.play(script)
-    assert not bench.term.step_down_reasons
+    harness.play(script)
+    assert not harness.term.step_down_reasons
 
 
 def test_another_leader_ends_all_writing() -> None:
-    bench = Bench()
+    harness = WriterHarness()
 
     async def script() -> None:
-        bench.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "b"})))
-        bench.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
+        harness.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "b"})))
+        harness.writer.write("k/1", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
-        assert bench.term.step_down_reasons and bench.read() == {}
+        assert harness.term.step_down_reasons and harness.read() == {}
 
-    bench.play(script)
+    harness.play(script)
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, database=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.integers(0, 400)), max_size=300), st.floats(0.0, 0.3))
-def test_pages_hold_what_a_plain_map_holds(changes: list[tuple[int, int]], lost: float) -> None:
+def test_pages_hold_the_same_records_as_a_dict(changes: list[tuple[int, int]], lost_share: float) -> None:
     """Records are written, rewritten and deleted; a new leader reads what a map would hold."""
-    bench = Bench()
-    plain: dict[str, Any] = {}
+    harness = WriterHarness()
+    expected: dict[str, Any] = {}
 
     async def script() -> None:
         for number, (key, size) in enumerate(changes):
-            bench.trouble.lost_response_share = lost
+            harness.faults.lost_response_share = lost_share
             name = f"k/{key}"
             if size < 60:
-                plain.pop(name, None)
-                bench.writer.delete(name)
+                expected.pop(name, None)
+                harness.writer.delete(name)
             else:
-                plain[name] = {"n": number, "text": '"' * size}
-                bench.writer.write(name, WritePriority.ASSIGNMENT, lambda value=plain[name]: value)  # type: ignore[misc]
+                expected[name] = {"n": number, "text": '"' * size}
+                harness.writer.write(name, WritePriority.ASSIGNMENT, lambda value=expected[name]: value)  # type: ignore[misc]
             if number % 9 == 0:
                 await asyncio.sleep(0.3)
-        bench.trouble.lost_response_share = 0.0
+        harness.faults.lost_response_share = 0.0
         await asyncio.sleep(30)
-        assert bench.read() == plain
+        assert harness.read() == expected
         # The pages that a new leader loads have the same records.
-        again = RecordPages(MAX_VALUE_BYTES)
-        again.load(bench.pages())
-        assert all((name in again) == (name in plain) for name in (f"k/{key}" for key in range(41)))
+        reloaded = RecordPages(MAX_VALUE_BYTES)
+        reloaded.load(harness.pages())
+        assert all((name in reloaded) == (name in expected) for name in (f"k/{key}" for key in range(41)))
 
-    bench.play(script)
-    assert bench.store.bad_requests == []
+    harness.play(script)
+    assert harness.store.bad_requests == []
 
 
-def test_pages_stay_few_however_long_it_writes() -> None:
-    bench = Bench(rate=100.0)
+def test_number_of_pages_stays_bounded() -> None:
+    harness = WriterHarness(rate=100.0)
 
     async def script() -> None:
         for number in range(2000):
             # Some records are written once and stay, most are written again and again.
-            bench.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
-            bench.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
+            harness.writer.write(f"cold/{number // 20}", WritePriority.USER, lambda: {"n": 1})
+            harness.writer.write(f"hot/{number % 10}", WritePriority.USER, lambda: {"text": "x" * 100})
             await asyncio.sleep(0.05)
-        assert len(bench.read()) == 110
-        assert len(bench.pages()) < 40
+        assert len(harness.read()) == 110
+        assert len(harness.pages()) < 40
 
-    bench.play(script)
+    harness.play(script)
 
 
 def test_record_larger_than_a_page_blocks_no_other() -> None:
-    bench = Bench()
+    harness = WriterHarness()
 
     async def script() -> None:
-        bench.writer.write("k/1", WritePriority.USER, lambda: {"text": "x" * MAX_VALUE_BYTES})
-        bench.writer.write("k/2", WritePriority.USER, lambda: {"n": 1})
+        harness.writer.write("k/1", WritePriority.USER, lambda: {"text": "x" * MAX_VALUE_BYTES})
+        harness.writer.write("k/2", WritePriority.USER, lambda: {"n": 1})
         await asyncio.sleep(1)
-        assert bench.read() == {"k/2": {"n": 1}}
+        assert harness.read() == {"k/2": {"n": 1}}
 
-    bench.play(script)
-    assert bench.store.bad_requests == []
+    harness.play(script)
+    assert harness.store.bad_requests == []
 
 
-def test_a_refused_record_is_found_and_blocks_no_other() -> None:
+def test_rejected_record_is_isolated_and_blocks_no_other() -> None:
     """The store accepts less than the settings say: one record can't be stored, and leadership is kept."""
-    bench = Bench()
+    harness = WriterHarness()
     stored: list[str] = []
 
     async def script() -> None:
-        bench.store.limit(1.0, 2, 30.0)
+        harness.store.set_limits(1.0, 2, 30.0)
         for number in range(12):
             key, text = f"k/{number}", "x" * (1500 if number == 5 else 100)
-            bench.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
+            harness.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
         await asyncio.sleep(20)
 
     with errors_logged() as lines:
-        bench.play(script)
-    assert set(bench.read()) == {f"k/{number}" for number in range(12) if number != 5}
-    assert sorted(stored) == sorted(bench.read())
-    assert not bench.term.step_down_reasons
+        harness.play(script)
+    assert set(harness.read()) == {f"k/{number}" for number in range(12) if number != 5}
+    assert sorted(stored) == sorted(harness.read())
+    assert not harness.term.step_down_reasons
     assert [line for line in lines if "refuses" in line] and [line for line in lines if "k/5 can't be stored" in line]
 
 
-def test_changes_beyond_the_rate_wait_and_leadership_goes_on() -> None:
-    bench = Bench(rate=30.0)
+def test_changes_over_the_rate_limit_wait_and_leadership_is_kept() -> None:
+    harness = WriterHarness(rate=30.0)
 
     async def script() -> None:
-        bench.store.limit(2.0, 8, 4.0)
+        harness.store.set_limits(2.0, 8, 4.0)
         for number in range(200):
-            bench.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
+            harness.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
-        assert len(bench.read()) == 200
-        assert not bench.term.step_down_reasons
-        assert bench.store.rate_limited < 60
+        assert len(harness.read()) == 200
+        assert not harness.term.step_down_reasons
+        assert harness.store.rate_limited < 60
 
-    bench.play(script)
+    harness.play(script)
 
 
-def test_a_page_lost_with_its_leader_is_written_and_none_is_taken_for_new() -> None:
+def test_gap_left_by_a_lost_transaction_is_filled_and_no_existing_page_is_selected() -> None:
     """Of two concurrent transactions, only the one with the later page was executed.
 
     A leader that numbers new pages by their count would choose an existing one, and would lose leadership by
     the comparison of its revision.
     """
-    bench = Bench()
-    writer = bench.writer
+    harness = WriterHarness()
+    writer = harness.writer
 
     async def script() -> None:
         for number in (0, 1, 3):
             put = messages.put(
                 f"{PAGE_PREFIX}{number:04d}", {"number": number + 1, "text": f'{{"k/{number}":{number}}}'}
             )
-            bench.store.apply("POST", "/txn", wire(put))
-        assert writer.pages.load(bench.pages()) == {"k/0": 0, "k/1": 1, "k/3": 3}
+            harness.store.apply("POST", "/txn", wire(put))
+        assert writer.pages.load(harness.pages()) == {"k/0": 0, "k/1": 1, "k/3": 3}
         for number in range(10, 14):
-            bench.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
+            harness.writer.write(f"k/{number}", WritePriority.USER, lambda: "x" * 1500)
         await asyncio.sleep(2)
-        assert not bench.term.step_down_reasons
-        found = bench.read()
+        assert not harness.term.step_down_reasons
+        found = harness.read()
         assert {key: found[key] for key in ("k/0", "k/1", "k/3")} == {"k/0": 0, "k/1": 1, "k/3": 3}
         assert {f"k/{number}" for number in range(10, 14)} <= found.keys()
         # The gap is closed, so an earlier version, which counts the pages, finds none either.
-        assert f"{PAGE_PREFIX}0002" in bench.store.items
+        assert f"{PAGE_PREFIX}0002" in harness.store.items
 
-    bench.play(script)
+    harness.play(script)
--- a/src/elmthread/store/token_bucket.py
+++ b/src/elmthread/store/token_bucket.py
@@ -22,22 +22,22 @@
         self._updated_at = self.clock()
 
     def level(self) -> float:
-        """Return how many tokens there are now; below 0 after taking with a negative `keep`."""
+        """Return how many tokens there are now; below 0 after taking with a negative `min_remaining`."""
         now = self.clock()
         self._tokens = min(self.burst, self._tokens + (now - self._updated_at).total_seconds() * self.rate)
         self._updated_at = now
         return self._tokens
 
-    def take(self, count: float = 1.0, keep: float = 0.0) -> bool:
-        """Take `count` tokens and return True, or take none if fewer than `keep` would be left."""
-        if self.level() - count < keep:
+    def take(self, count: float = 1.0, min_remaining: float = 0.0) -> bool:
+        """Take `count` tokens and return True, or take none if fewer than `min_remaining` would be left."""
+        if self.level() - count < min_remaining:
             return False
         self._tokens -= count
         return True
 
-    def time_until(self, count: float = 1.0, keep: float = 0.0) -> timedelta:
+    def time_until(self, count: float = 1.0, min_remaining: float = 0.0) -> timedelta:
         """Return how long it is until `take(count, keep)` can succeed."""
-        return seconds(max(0.0, (count + keep - self.level()) / self.rate))
+        return seconds(max(0.0, (count + min_remaining - self.level()) / self.rate))
 
     def drain(self) -> None:
         """Empty the bucket, as the server has refused a call as beyond its rate."""
--- a/src/elmthread/store/write_queue.py
+++ b/src/elmthread/store/write_queue.py
@@ -21,7 +21,7 @@
 
 
 # A record that has waited for this long starts a transaction, which takes other waiting records along.
-MAX_GATHERING_TIME = {
+MAX_BATCHING_DELAY = {
     WritePriority.USER: ZERO,
     WritePriority.ASSIGNMENT: seconds(0.1),
     WritePriority.COMPLETION: seconds(0.4),
@@ -99,7 +99,7 @@
         """Return when the first write has gathered for long enough, None if all that waits is in flight."""
         return min(
             (
-                write.waiting_since + MAX_GATHERING_TIME[write.priority]
+                write.waiting_since + MAX_BATCHING_DELAY[write.priority]
                 for write in self.pending.values()
                 if write.key not in self._in_flight
             ),
@@ -115,7 +115,7 @@
         del self.pending[write.key]
         self._in_flight.add(write.key)
 
-    def hold(self, keys: Iterable[str]) -> None:
+    def mark_in_flight(self, keys: Iterable[str]) -> None:
         """Keep these keys from being written, as a transaction moves their records."""
         self._in_flight.update(keys)
 
--- a/src/elmthread/store/writer.py
+++ b/src/elmthread/store/writer.py
@@ -37,7 +37,7 @@
 CONCURRENT_TRANSACTIONS = 2
 RETRY_PAUSE = seconds(0.25)
 # Minimum time between two checks of the queue: writes added in between go into one transaction.
-MIN_GATHERING_TIME = seconds(0.05)
+MIN_BATCHING_DELAY = seconds(0.05)
 
 
 class WriterStoppedError(ElmthreadError):
@@ -65,7 +65,7 @@
         self._client = client
         self.pages = pages
         self._term = term
-        self._changes = limits.changes
+        self._rate_limit = limits.rate_limit
         self._clock = clock
         self.queue = WriteQueue(clock)
         self._packer = BatchPacker(self.queue, pages, limits, clock)
@@ -139,17 +139,17 @@
         while True:
             now = self._clock()
             due = self.queue.next_due()
-            if due is not None and due <= now and self._changes.level() >= 1.0:
+            if due is not None and due <= now and self._rate_limit.level() >= 1.0:
                 return
             self.queue.changed.clear()
-            pause = None if due is None else max(due - now, self._changes.time_until(), MIN_GATHERING_TIME)
+            pause = None if due is None else max(due - now, self._rate_limit.time_until(), MIN_BATCHING_DELAY)
             try:
                 async with asyncio.timeout(None if pause is None else pause.total_seconds()):
                     await self.queue.changed.wait()
             except TimeoutError:
                 continue
             if due is not None:
-                await asyncio.sleep(MIN_GATHERING_TIME.total_seconds())
+                await asyncio.sleep(MIN_BATCHING_DELAY.total_seconds())
 
     async def _commit(self, batch: PageBatch) -> None:
         """Send the batch as one transaction until its outcome is known, or the term has ended."""
@@ -199,7 +199,7 @@
 
         Returns whether it was requeued; one that may be applied must be sent again unchanged.
         """
-        self._changes.drain()
+        self._rate_limit.drain()
         if len(batch.pages) <= 1 or may_be_applied:
             return False
         self._packer.isolate_pages()
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import restore, set_apart
+from tests.world.random_troubles import restore, set_isolated
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -22,7 +22,7 @@
         assert old_leader is not None
         name = old_leader.node
         world.drift[name] = drift
-        set_apart(world, name, True)
+        set_isolated(world, name, True)
         # Half of the workers reach only the old leader, which may answer them for a bounded time.
         old_workers = sorted(world.workers)[::2]
         world.cut_worker_links |= {(worker, node) for worker in old_workers for node in world.nodes if node != name}
@@ -32,12 +32,12 @@
         assert world.loop.now - isolated_at < 20
         # The old leader and its workers reconnect at a random time during the fail-over.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
-        set_apart(world, name, False)
+        set_isolated(world, name, False)
         world.cut_worker_links.clear()
         assert await world.withdraw("run-000002") == "cancelled"
         await asyncio.sleep(31)
         world.rules.check_cancelled()
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     for seed in range(3):
         day(script, seed=seed, machines=6)
@@ -68,7 +68,7 @@
         # A worker waits four seconds for a node; one that was redirected to the old leader may be too late.
         assert len(kept) > len(running) * 0.6, len(kept)
         world.cut_worker_links.clear()
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(3):
         day(script, seed=seed, machines=24, each=0)
@@ -85,7 +85,7 @@
         world.nodes_without_responses.add(old_leader.node)
         await asyncio.sleep(14)
         assert world.leader is not None and world.leader is not old_leader
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(2):
         day(script, seed=seed, machines=24, each=0)
@@ -112,7 +112,7 @@
         world.cut_worker_links.clear()
         for one in world.workers.values():
             one.hung = False
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     day(script, machines=6)
 
@@ -146,7 +146,7 @@
         world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(130)
         assert not west & set(world.cloud.machines)
-        assert set((await world.until_over(["run-000001", "run-000002"], 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(["run-000001", "run-000002"], 200)).values()) == {"done"}
 
     day(script, machines=4, each=2)
 
@@ -180,7 +180,7 @@
             assert first.election.fencing_token == token_after_reelection
         restore(world)
         world.cut_worker_links.clear()
-        states = await world.until_over([f"run-{number:06d}" for number in range(4)], 200)
+        states = await world.wait_until_finished([f"run-{number:06d}" for number in range(4)], 200)
         assert set(states.values()) == {"done"}
         if other_nodes_up:
             assert max(world.rules.starts.values()) == 1
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,9 +12,9 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.meetings import TROUBLES, watch
+from tests.world.meetings import FAULT_SCRIPTS, check_continuously
 from tests.world.random_troubles import restore
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 from tests.world.world import World
 
 # By combination, its faults and the seconds after which each begins.
@@ -86,15 +86,15 @@
     """Inject the faults, then remove them: every accepted job must end, and no rule may be broken."""
 
     async def script(world: World) -> None:
-        stage = Stage(world)
-        watcher = world.loop.create_task(watch(world))
-        await stage.work()
+        stage = Scenario(world)
+        watcher = world.loop.create_task(check_continuously(world))
+        await stage.submit_initial_jobs()
         await asyncio.sleep(6)
         started_at = world.loop.now
 
         async def inject_later(name: str, delay_s: float) -> None:
             await asyncio.sleep(started_at + delay_s - world.loop.now)
-            await TROUBLES[name](stage)
+            await FAULT_SCRIPTS[name](stage)
 
         await asyncio.gather(*(inject_later(name, delay_s) for name, delay_s in faults))
         await stage.end()
@@ -104,8 +104,8 @@
         world.cut_worker_links.clear()
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
-        states = await world.until_over(stage.ids, 420)
+        world.rules.faults_cleared_at = world.loop.now
+        states = await world.wait_until_finished(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
         # Every node keeps reporting the same final state.
         for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
@@ -124,7 +124,7 @@
 
 def draw_faults(seed: int, fault_counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
     rng = random.Random(seed)
-    return [(rng.choice(sorted(TROUBLES)), rng.uniform(0, 12)) for _ in range(rng.choice(fault_counts))]
+    return [(rng.choice(sorted(FAULT_SCRIPTS)), rng.uniform(0, 12)) for _ in range(rng.choice(fault_counts))]
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -14,18 +14,18 @@
 
 def test_real_controllers_are_upgraded_with_jobs_running_and_a_rollback_is_refused(tmp_path: Path) -> None:
     with real_loop() as loop:
-        upgrade = Upgrade(loop, tmp_path, Options(earlier=None, gate=True, soak_s=2.0))
+        upgrade = Upgrade(loop, tmp_path, Options(earlier=None, rollout_enabled=True, soak_s=2.0))
         loop.run_until_complete(upgrade.run())
-    assert upgrade.stand_ins.rules.broken == []
+    assert upgrade.services.rules.violations == []
     assert upgrade.level() == SUPPORTED.highest
-    events = [event for _, event in upgrade.happened]
+    events = [event for _, event in upgrade.events]
     assert f"{NODES[0]}, rolled back, answers /ready with 503" in events
     assert f"{NODES[0]}, new again, answers /ready with 200" in events
     refusals = [line for _, line in upgrade.nodes[NODES[0]].lines if "it does not take part" in line]
     assert len(refusals) == 1 and refusals[0].startswith("ERROR")
     # Every submission was answered in the end, and the upgrade restarted hardly any task.
-    assert all(waits.counts["submissions given up"] == 0 for waits in upgrade.waits.values())
-    starts = upgrade.stand_ins.rules.starts
+    assert all(request_stats.counts["submissions given up"] == 0 for request_stats in upgrade.request_stats.values())
+    starts = upgrade.services.rules.starts
     assert sum(starts.values()) < 1.1 * len(starts)
 
 
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -5,17 +5,17 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.faulty_rollouts import FAULTS
+from tests.world.faulty_rollouts import MUTATIONS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
-from tests.world.random_troubles import HISTORIES
-from tests.world.rollouts import RolloutMonitor, begin_before, monitored
-from tests.world.settings import NEXT
+from tests.world.random_troubles import HISTORY_SETTINGS
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
+from tests.world.settings import NEXT_LIMITS
 from tests.world.staged_days import staged_day
 from tests.world.world import World
 
 
 # Unlike the other generated histories, a failing one is shrunk: its steps show which guard is missing.
-@settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
+@settings(HISTORY_SETTINGS, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
 def test_repeated_upgrades_and_rollbacks_under_all_faults(
     world_seed: int, steps: list[tuple[str, str, float]], limits_lowered_after_s: float
@@ -24,15 +24,15 @@
         await upgrades_and_rollbacks(world, monitor, steps, limits_lowered_after_s)
 
     def before(world: World) -> None:
-        begin_before(world)
-        world.limits = dict(NEXT)
+        configure_previous_version(world)
+        world.limits = dict(NEXT_LIMITS)
 
     staged_day(script, before, seed=world_seed)
 
 
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", MUTATIONS)
 def test_checks_detect_a_rollout_that_lacks_a_guard(fault: str) -> None:
-    patch, script = FAULTS[fault]
+    patch, script = MUTATIONS[fault]
 
     def detected_violations() -> list[str]:
         """Run the scenario and return the violations that the monitor and the rules report."""
@@ -41,10 +41,10 @@
         async def monitored_script(world: World) -> None:
             with monitored(world) as monitor:
                 await script(world)
-            violations.extend(monitor.broken)
+            violations.extend(monitor.violations)
 
         try:
-            day(monitored_script, before=begin_before, machines=2)
+            day(monitored_script, before=configure_previous_version, machines=2)
         except AssertionError as error:
             violations.append(str(error))
         return violations
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,19 +50,19 @@
 
 def accept_impossible_job(rules: Rules) -> None:
     rules.submitted(job(3, cpus=99.0))
-    rules.impossible.add("run-000003")
+    rules.invalid_jobs.add("run-000003")
     rules.observe_response("run-000003", 201, "queued")
 
 
 def keep_job_waiting(rules: Rules) -> None:
-    rules.calm_since = 0.0
+    rules.faults_cleared_at = 0.0
     for now in (0.0, 50.0, 91.0):
         rules.loop.now = now
         rules.check_waiting(lambda spec: True)
 
 
 def forget_job(rules: Rules) -> None:
-    rules.calm_since = 0.0
+    rules.faults_cleared_at = 0.0
     for now in (0.0, 76.0):
         rules.loop.now = now
         rules.observe_response("run-000001", 503, None)
@@ -122,7 +122,7 @@
     rules = make_rules()
     VIOLATIONS[rule][index](rules)
     rules.loop.close()
-    assert {entry.split()[1].rstrip(":") for entry in rules.broken} == {rule}
+    assert {entry.split()[1].rstrip(":") for entry in rules.violations} == {rule}
 
 
 def test_valid_events_break_no_rule() -> None:
@@ -140,4 +140,4 @@
     rules.check_cancelled()
     start_task(rules, "run-000001/2")
     rules.loop.close()
-    assert rules.broken and rules.broken[0].split()[1] == "ran_cancelled:" and len(rules.late_starts) == 1
+    assert rules.violations and rules.violations[0].split()[1] == "ran_cancelled:" and len(rules.late_starts) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.world.counting import count_calls, count_changes, observe_calls
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.specs import job
 from tests.world.world import World, start
 
@@ -63,7 +63,7 @@
         for job_id in ids:
             assert await world.poll(job_id) is not None
         world.start(old_leader.node)
-        states = await world.until_over(ids, 100)
+        states = await world.wait_until_finished(ids, 100)
         assert set(states.values()) == {"done"}
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
@@ -134,7 +134,7 @@
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
-        recovered_at = world.rules.calm_since = world.loop.now
+        recovered_at = world.rules.faults_cleared_at = world.loop.now
         were_idle = record_deletions(world)
         while await world.poll(ids[0]) is None:
             assert world.loop.now < recovered_at + 6
@@ -151,7 +151,7 @@
         incarnations = [worker.incarnation for worker in world.workers.values()]
         assert max(incarnations) <= 4 and len(world.workers) + len(were_idle) == MACHINES and all(were_idle)
         assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
-        assert set((await world.until_over(ids, 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
 
@@ -160,19 +160,19 @@
     """Cut off a zone with a controller that reaches only its workers; submit jobs meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
-    set_apart(world, cut_off, True)
+    set_isolated(world, cut_off, True)
     world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
     await asyncio.sleep(10)
     await submit_more(5)
     await asyncio.sleep(20)
-    set_apart(world, cut_off, False)
+    set_isolated(world, cut_off, False)
     world.cut_worker_links.clear()
     await asyncio.sleep(5)
 
 
 async def cut_peer_links(world: World, job_id: str) -> str:
     """Cut all links between controllers: followers refuse users at once, the leader keeps serving; return it."""
-    reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
+    can_reach, world.can_reach = world.can_reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
     for node in world.nodes:
@@ -180,7 +180,7 @@
         status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
         assert status == (200 if node == leader else 503) and world.loop.now - sent_at < 0.1
     await asyncio.sleep(10)
-    world.reach = reach  # type: ignore[method-assign]
+    world.can_reach = can_reach  # type: ignore[method-assign]
     return leader
 
 
@@ -225,8 +225,8 @@
         await asyncio.sleep(20)
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
-        assert set((await world.until_over(ids, 150)).values()) == {"done"}
+        world.rules.faults_cleared_at = world.loop.now
+        assert set((await world.wait_until_finished(ids, 150)).values()) == {"done"}
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -23,10 +23,10 @@
 from elmthread.store.machine_records import read_machine
 from tests.world.day import day
 from tests.world.earlier_reader import newest
-from tests.world.rollouts import begin_before, replace, until_level
+from tests.world.rollouts import configure_previous_version, replace, wait_for_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
-from tools.schemas import FORMS, ROLLOUT_FORMS, schemas_of, text_of
+from tools.schemas import FORMAT_TYPES, ROLLOUT_FORMAT_TYPES, make_schemas, serialize_schemas
 
 ROOT = Path(__file__).resolve().parent.parent
 SAMPLES = ROOT / "tests" / "samples"
@@ -92,13 +92,15 @@
     elif schema_name == "link view":
         read_view(msgspec.Raw(msgspec.json.encode(value)), "loom-0", "loom-1", value["echoes"].get("loom-1", 0))
     else:
-        msgspec.convert(value, FORMS[schema_name])
+        msgspec.convert(value, FORMAT_TYPES[schema_name])
 
 
 def test_the_newest_schema_files_match_the_code() -> None:
     """Guard against a changed format without a new level, a gate and a schema file of its own."""
-    assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == text_of(schemas_of(FORMS))
-    assert (ROOT / "schemas" / "rollout.json").read_text() == text_of(schemas_of(ROLLOUT_FORMS))
+    assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == serialize_schemas(
+        make_schemas(FORMAT_TYPES)
+    )
+    assert (ROOT / "schemas" / "rollout.json").read_text() == serialize_schemas(make_schemas(ROLLOUT_FORMAT_TYPES))
 
 
 def test_published_schema_files_have_not_changed_and_each_level_has_one() -> None:
@@ -122,7 +124,7 @@
             validated.add((level, sample["form"]))
     # The next level changes the leader announcement and the link view in it.
     assert {schema_name for level, schema_name in validated if level == 3} == {"message lead", "link view"}
-    earlier_names = set(FORMS) - {"rental", "link view"}
+    earlier_names = set(FORMAT_TYPES) - {"rental", "link view"}
     assert {schema_name for level, schema_name in validated if level == 2} == earlier_names
     assert {schema_name for level, schema_name in validated if level == 1} >= earlier_names - {"fence", "layout"}
 
@@ -186,13 +188,13 @@
         for node in world.nodes:
             replace(world, node, SUPPORTED, 0.5)
             await validate_for(4)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert await world.submit(job(10, pieces=300, cpus=0.1, ram_gb=0.1, true_s=9.0, expected_s=9.0))
         assert await world.submit(daemon(11))
         await validate_for(20)
         validate_rollout_records(world)
 
-    day(script, before=begin_before, machines=6)
+    day(script, before=configure_previous_version, machines=6)
     newest_level = SUPPORTED.highest
     assert {(1, "done"), (1, "job")} <= validated
     assert {(newest_level, schema_name) for schema_name in ("done", "fence", "machine", "link view")} <= validated
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -12,9 +12,9 @@
 from elmthread.settings import operators, platform
 from elmthread.store.machine_type import MachineType
 from tests.world.day import day
-from tests.world.service_days import ordinary, served
+from tests.world.service_days import rent_on_demand, wait_until_serving
 from tests.world.settings import ZONES, settings
-from tests.world.specs import daemon, job, sent
+from tests.world.specs import daemon, job, submission_body
 from tests.world.world import World
 
 
@@ -71,13 +71,13 @@
         # Only spot machines can be launched: the service needs capacity that other tasks occupy.
         world.cloud.capacity = {kind: 0 if not kind[2] else 9 for kind in world.cloud.capacity}
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        assert await served(world, "run-000002", 15, 6) < 15
+        assert await wait_until_serving(world, "run-000002", 15, 6) < 15
         service_machines = dict(world.rules.machines_of)
         assert await world.submit(job(3, pieces=60, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(60)
         for number in range(6):
             assert world.rules.machines_of[f"run-000002/{number}"] == service_machines[f"run-000002/{number}"]
-        states = await world.until_over(["run-000001", "run-000003"], 400)
+        states = await world.wait_until_finished(["run-000001", "run-000003"], 400)
         assert set(states.values()) == {"done"}
 
     day(script)
@@ -92,7 +92,7 @@
         world.rent("small", "east")
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6))
-        assert await served(world, "run-000001", 45, 6) < 45
+        assert await wait_until_serving(world, "run-000001", 45, 6) < 45
         zones = {world.workers[name].zone for name, task in world.rules.running}
         assert len(zones) >= 2
         assert not any(world.workers[name].spot for name, _ in world.rules.running)
@@ -107,7 +107,7 @@
             world.rent("large", zone)
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6, scatter=False))
-        await served(world, "run-000001", 10, 6)
+        await wait_until_serving(world, "run-000001", 10, 6)
         names = [name for name, _ in world.rules.running]
         assert max(names.count(name) for name in names) <= 2
 
@@ -116,7 +116,7 @@
 
 def test_jobs_start_within_their_bound_while_services_occupy_cores() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(4)
         for number in range(4):
             assert await world.submit(daemon(number, pieces=4, cpus=2.0))
@@ -130,7 +130,7 @@
         await asyncio.sleep(240)
         for job_id in ids:
             assert world.rules.first_start[job_id] - submitted_at < 240
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert set(states.values()) == {"done"}
         for number in range(4):
             assert world.rules.serving(f"run-{number:06d}") == 4
@@ -140,7 +140,7 @@
 
 def test_services_do_not_train_the_run_time_model() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=35.0))
         await asyncio.sleep(150)
@@ -155,7 +155,7 @@
     """Guard against starvation of services: deferrable jobs are ordered by deadline, and a service has none."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
-    spec = sent(daemon(1))
+    spec = submission_body(daemon(1))
     assert jobs.new(read_submission(spec), seconds(0)).urgent
     assert not jobs.new(read_submission(spec | {"form": "batch"}), seconds(0)).urgent
 
@@ -164,13 +164,13 @@
     """Check that replicas move one at a time, so that a service never lacks more than one."""
 
     async def script(world: World) -> None:
-        ordinary(world, 2)
+        rent_on_demand(world, 2)
         await asyncio.sleep(5)
         # A three-core task on each machine leaves room for one replica there.
         assert await world.submit(job(1, urgency="high", pieces=6, cpus=3.0, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        await served(world, "run-000002", 15, 6)
+        await wait_until_serving(world, "run-000002", 15, 6)
         assert len({name for name, task in world.rules.running if task.startswith("run-000002")}) == 6
         await asyncio.sleep(300)
         # A move costs replica time, so no machine has been drained yet.
@@ -191,7 +191,7 @@
 
 def test_objectives_for_a_class_of_services_set_the_deadline_of_its_replicas() -> None:
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
-    spec = read_submission(sent(daemon(1)))
+    spec = read_submission(submission_body(daemon(1)))
     deadlines = []
     objectives = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
     for kind, within, after in objectives:
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -89,7 +89,7 @@
         """Make a controller of the version, with ports to the store and the cloud."""
         return Controller(
             platform.parse(settings),
-            operators.Operators(operators.OperatorsFile(rollout=levels.rollout)),
+            operators.OperatorSettings(operators.OperatorsFile(rollout=levels.rollout)),
             ControllerEnvironment(clock, ports.store, ports.cloud, peers, levels.supported),
         )
 
@@ -169,7 +169,7 @@
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
         controller: Controller = self.named("controller", "Controller")(
             self.named("settings.platform", "parse")(settings),
-            self.named("settings.operators", "Operators")(operators_file),
+            self.named("settings.operators", "OperatorSettings")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
@@ -179,7 +179,7 @@
     def request(self, request: Request) -> Any:
         """Return the request as the earlier version's server makes it."""
         made = self.named("net.http_messages", "Request")
-        return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
+        return made(request.method, request.path, request.query, request.body, request.previous_response_at)
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
         """Give the overriding methods the names by which the earlier version calls them."""
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -20,7 +20,7 @@
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
 from tests.world.earlier_reader import newest
-from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
+from tests.world.links import STORE, WORKERS, Fault, InvalidScheduleError, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
 from tools.loopback import HOST, RealLoop, StandIns, free_ports, real_loop
@@ -60,10 +60,10 @@
         self.addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.faults = LinkFaults()
-        self.stand_ins = CutWorkers(loop, self.addresses, MACHINES)
+        self.services = CutWorkers(loop, self.addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._began) for node in NODES}
-        self.waits = Waits()
-        self.users = Users(self.stand_ins, self.addresses, lambda: list(NODES), lambda: self.waits)
+        self.request_stats = Waits()
+        self.users = Users(self.services, self.addresses, lambda: list(NODES), lambda: self.request_stats)
         self._logged: dict[str, list[str]] = {}
 
     def log(self, what: str) -> None:
@@ -72,23 +72,23 @@
 
     async def start(self) -> None:
         """Start everything; the controllers may need a few seconds until they are ready."""
-        await self.stand_ins.start()
+        await self.services.start()
         for node in NODES:
             for zone in ZONES:
                 worker_link = self._forward(f"{WORKERS}/{zone}", node, self.addresses[node])
-                self.stand_ins.routes[zone, node] = await worker_link
+                self.services.routes[zone, node] = await worker_link
             await self._write_settings(node)
         operators = self.folder / "rollout.toml"
         operators.write_text(f"[rollout]\nenabled = true\nsoak_s = {SOAK_S}\n")
         for process in self.nodes.values():
             command = [sys.executable, "-m", "elmthread.cli", "serve", "--operators", str(operators)]
             await process.start(command, ROOT)
-        self.stand_ins.add_machines(MACHINES)
+        self.services.add_machines(MACHINES)
 
     async def _write_settings(self, node: str) -> None:
         peers = {other: await self._forward(node, other, self.peers[other]) for other in NODES if other != node}
-        text = self.stand_ins.settings(node, peers | {node: self.peers[node]}, MAX_CONNECTIONS)
-        store = self.stand_ins.store_address
+        text = self.services.settings(node, peers | {node: self.peers[node]}, MAX_CONNECTIONS)
+        store = self.services.store_address
         self.nodes[node].settings.write_text(text.replace(store, await self._forward(node, STORE, store)))
 
     async def _forward(self, source: str, target: str, address: str) -> str:
@@ -101,8 +101,8 @@
 
     def adopt_jobs(self) -> None:
         """Let the workers run jobs that were submitted from outside."""
-        rules = self.stand_ins.rules
-        for key, record in newest(self.stand_ins.store.values()).items():
+        rules = self.services.rules
+        for key, record in newest(self.services.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
                 spec = record["spec"]
                 open_fields = {"builds": None, "yard": None, "due_s": None}
@@ -177,10 +177,12 @@
     print(f"{cluster.users.count} jobs: {', '.join(f'{count} {state}' for state, count in states.items())}")
     for job_id, state in sorted(ends.items()):
         print(f"  {job_id}: {state}")
-    print("\n".join(cluster.waits.lines()))
-    rules = cluster.stand_ins.rules
-    print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
-    return 0 if finished and not rules.broken else 1
+    print("\n".join(cluster.request_stats.lines()))
+    rules = cluster.services.rules
+    print(
+        f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.violations or 'none'}"
+    )
+    return 0 if finished and not rules.violations else 1
 
 
 async def run(loop: RealLoop, folder: Path, faults: list[Fault] | None) -> int:
@@ -202,7 +204,7 @@
     if given.schedule is not None:
         try:
             faults = read_schedule(given.schedule)
-        except BadScheduleError as error:
+        except InvalidScheduleError as error:
             print(f"cut_links: {error}", file=sys.stderr)
             return 2
     with real_loop() as loop, tempfile.TemporaryDirectory() as folder:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -24,7 +24,7 @@
 from tests.world.settings import SETTINGS, TYPES
 from tests.world.simulated_cloud import SimulatedCloud, SimulatedMachine
 from tests.world.simulated_store import SimulatedStore
-from tests.world.workers import Worker, WorkerSurroundings
+from tests.world.workers import Worker, WorkerEnvironment
 
 HOST = "127.0.0.1"
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
@@ -96,10 +96,10 @@
             (kind["name"], zone, spot): machines for kind in TYPES for zone in kind["yards"] for spot in (True, False)
         }
         self.cloud = SimulatedCloud(self._loop, self._rng, TYPES, 3.0, capacity)
-        self.cloud.on_running = self._machine_up
+        self.cloud.on_running = self._start_worker
         self.cloud.on_deleted = self._machine_gone
         nodes = list(controllers)
-        self._surroundings = WorkerSurroundings(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
+        self._worker_environment = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
@@ -139,9 +139,9 @@
 
         return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
 
-    def _machine_up(self, machine: SimulatedMachine) -> None:
+    def _start_worker(self, machine: SimulatedMachine) -> None:
         kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self._workers[machine.name] = Worker(self._surroundings, machine, kind, LEASE_S)
+        self._workers[machine.name] = Worker(self._worker_environment, machine, kind, LEASE_S)
 
     def _machine_gone(self, name: str) -> None:
         worker = self._workers.pop(name, None)
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -21,7 +21,7 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.loop import play
-from tests.world.rollouts import BEFORE, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, wait_for_level
 from tests.world.settings import ZONES
 from tests.world.specs import job
 from tests.world.world import World
@@ -38,9 +38,9 @@
     world, counts = World(1, 3, machines), Counter[str]()
     sizes = {prefix: HdrHistogram(1, LARGEST_RECORD, 3) for prefix in ("m/", "d/", "j/")}
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
-    world.store.limit(value_kb, 4, 15.0)
+    world.store.set_limits(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
-    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else BEFORE)
+    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else PREVIOUS_LEVELS)
     transact, load = world.store._transact, StateLoader.load
 
     def noting(body: Any) -> Any:
@@ -69,8 +69,8 @@
 
     with mock.patch.object(world.store, "_transact", noting), mock.patch.object(StateLoader, "load", measured):
         play(script(), world.loop)
-    if world.rules.broken:
-        raise AssertionError(world.rules.broken)
+    if world.rules.violations:
+        raise AssertionError(world.rules.violations)
     return _lines(counts, sizes)
 
 
@@ -91,7 +91,7 @@
         world.start(node)
     await asyncio.sleep(3)
     if level > 1:
-        await until_level(world, level)
+        await wait_for_level(world, level)
     for number in range(machines // MACHINES_PER_JOB):
         pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, SPREAD) * MEDIAN_TASKS) + 1)
         spec = job(number, pieces=pieces, true_s=TASK_S, expected_s=TASK_S, kit=f"img-{number % 7}")
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -29,7 +29,7 @@
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
 # By the name of a form, the type that the code writes and reads it with.
-FORMS: dict[str, Any] = {
+FORMAT_TYPES: dict[str, Any] = {
     "leader": LeaderRecord,
     "slot": PageRecord,
     "job": JobRecord,
@@ -44,10 +44,10 @@
     "message reply": ForwardedResponse,
     "link view": LinkViewMessage,
 }
-ROLLOUT_FORMS: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
+ROLLOUT_FORMAT_TYPES: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
 
 
-def schemas_of(forms: dict[str, Any]) -> dict[str, Any]:
+def make_schemas(forms: dict[str, Any]) -> dict[str, Any]:
     """Return one schema for each form; a field that a form does not name is no part of it."""
     return {name: _schema(kind) for name, kind in forms.items()}
 
@@ -74,15 +74,15 @@
     return plain
 
 
-def text_of(schemas: dict[str, Any]) -> str:
+def serialize_schemas(schemas: dict[str, Any]) -> str:
     """Return the file's text."""
     return json.dumps(schemas, indent=1, sort_keys=True) + "\n"
 
 
 def main() -> None:
     """Write the files of the newest level and of the rollout's records."""
-    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(FORMS)))
-    (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_FORMS)))
+    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(serialize_schemas(make_schemas(FORMAT_TYPES)))
+    (FOLDER / "rollout.json").write_text(serialize_schemas(make_schemas(ROLLOUT_FORMAT_TYPES)))
 
 
 if __name__ == "__main__":
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -48,22 +48,24 @@
         ports = free_ports(2 * len(NODES))
         self._addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self._peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
-        self.stand_ins = StandIns(loop, self._addresses, MACHINES)
+        self.services = StandIns(loop, self._addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._began) for node in NODES}
-        self.waits = {"before": Waits(), "upgrade": Waits(), "after": Waits(), "rollback": Waits()}
+        self.request_stats = {"before": Waits(), "upgrade": Waits(), "after": Waits(), "rollback": Waits()}
         self._phase = "before"
         self._up: list[str] = []
-        self._users = Users(self.stand_ins, self._addresses, lambda: self._up[:], lambda: self.waits[self._phase])
-        self.happened: list[tuple[float, str]] = []
+        self._users = Users(
+            self.services, self._addresses, lambda: self._up[:], lambda: self.request_stats[self._phase]
+        )
+        self.events: list[tuple[float, str]] = []
 
     def _note(self, what: str) -> None:
-        self.happened.append((time.monotonic() - self._began, what))
+        self.events.append((time.monotonic() - self._began, what))
 
     async def run(self) -> None:
         """Run everything until each job has its final state."""
-        await self.stand_ins.start()
+        await self.services.start()
         for node in NODES:
-            self.nodes[node].settings.write_text(self.stand_ins.settings(node, self._peers, 200))
+            self.nodes[node].settings.write_text(self.services.settings(node, self._peers, 200))
         (self._folder / "rollout.toml").write_text(
             f"[rollout]\nenabled = true\nsoak_s = {self._options.soak_s}\n" if self._options.gate else ""
         )
@@ -76,7 +78,7 @@
     async def _steps(self) -> None:
         for node in NODES:
             await self._start_earlier(node)
-        self.stand_ins.add_machines(MACHINES)
+        self.services.add_machines(MACHINES)
         await asyncio.sleep(3)
         users = asyncio.get_running_loop().create_task(self._users.submit())
         await asyncio.sleep(5)
@@ -158,7 +160,7 @@
 
     def level(self) -> int:
         """Return the active level in the store."""
-        stored = self.stand_ins.store.items.get("rollout/level")
+        stored = self.services.store.items.get("rollout/level")
         return 1 if stored is None else int(stored[0]["level"])
 
     def durations(self) -> list[str]:
@@ -179,13 +181,13 @@
 
     def report(self) -> list[str]:
         """Return the lines of the report."""
-        lines = [f"{at:7.2f} s  {what}" for at, what in self.happened]
+        lines = [f"{at:7.2f} s  {what}" for at, what in self.events]
         lines += self.durations() if self._options.gate else ["the rollout is off"]
-        for phase, waits in self.waits.items():
-            lines += [f"users, {phase}:", *waits.lines()]
-        starts = self.stand_ins.rules.starts
+        for phase, request_stats in self.request_stats.items():
+            lines += [f"users, {phase}:", *request_stats.lines()]
+        starts = self.services.rules.starts
         lines.append(f"{sum(starts.values())} starts of {len(starts)} tasks; level {self.level()}")
-        lines.append(f"rules broken: {self.stand_ins.rules.broken or 'none'}")
+        lines.append(f"rules broken: {self.services.rules.violations or 'none'}")
         lines.append("said by the node that was rolled back:")
         refusals = [line for _, line in self.nodes[NODES[0]].lines if "does not take part" in line]
         return lines + [f"  {line}" for line in refusals[-1:] or ["nothing"]]
@@ -203,7 +205,7 @@
         upgrade = Upgrade(loop, Path(folder), options)
         loop.run_until_complete(upgrade.run())
         print("\n".join(upgrade.report()))
-    return 1 if upgrade.stand_ins.rules.broken else 0
+    return 1 if upgrade.services.rules.violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/users.py
+++ b/tools/users.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 
 from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
-from tests.world.specs import job, sent
+from tests.world.specs import job, submission_body
 from tools.loopback import CALL_TIME, StandIns
 
 # Bounds of the histograms, in milliseconds, and their significant digits.
@@ -93,7 +93,7 @@
         job_id, waits = spec["name_id"], self._waits()
         began = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
-            answer = await self._ask(job_id, "POST", "/submissions", sent(spec))
+            answer = await self._ask(job_id, "POST", "/submissions", submission_body(spec))
             if answer is not None and answer.status in (200, 201):
                 break
             waits.counts["submissions tried again"] += 1
