--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Commands for those who work on the code; nothing here runs in a controller."""
+"""Development commands; no controller imports anything from here."""
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -1,11 +1,11 @@
-"""Three real controllers on loopback whose links can be cut.
+"""Runs three controller processes on loopback and injects faults into their links.
 
-    PYTHONPATH=src:. python -m tools.cut_links                   a cluster to try elmthread on, until Ctrl-C
+    PYTHONPATH=src:. python -m tools.cut_links                   runs a cluster for manual use until Ctrl-C
     PYTHONPATH=src:. python -m tools.cut_links SCHEDULE.toml     submits jobs, cuts links, and prints a timeline
 
-State service, cloud, workers and users are the stand-ins of `tests/world`; a forwarder stands on each link. A
-schedule is a list of faults (`tests/world/links.py`; docs/reachability.md has an example). Exit code 0: every
-job came to its end and no rule was broken, 1: not so, 2: the schedule can't be played.
+The state service, cloud, workers and users are simulated (`tests/world`); every link passes through a forwarder.
+A schedule is a list of faults (`tests/world/links.py`; docs/reachability.md has an example). Exit code 0: every
+job is done and no rule was violated; 1: otherwise; 2: the schedule is invalid.
 """
 
 import argparse
@@ -30,17 +30,17 @@
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
 MACHINES, MAX_CONNECTIONS = 8, 200
-# Before the first fault: until the views of the links are exchanged and some jobs run.
+# SETTLE_S: delay before the first fault, so that the controllers have exchanged link views and some jobs run.
 SETTLE_S, SOAK_S = 8.0, 1.0
 TIMEOUT_S = 120.0
 CHECK_INTERVAL_S = 0.5
 
 
 class CutWorkers(StandIns):
-    """Stand-ins whose workers reach each controller through the forwarder of their zone."""
+    """Simulated services whose workers reach each controller through the forwarder of their zone."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
-        """Begin without routes: the forwarders' addresses are added, by zone and node, as they start."""
+        """Start without routes; each forwarder's address is added, by zone and node, when it starts."""
         super().__init__(loop, controllers, machines)
         self.routes: dict[tuple[str, str], str] = {}
 
@@ -50,10 +50,10 @@
 
 
 class Cluster:
-    """Controllers, stand-ins, and a forwarder on each link."""
+    """Controller processes, simulated services, and a forwarder on each link."""
 
     def __init__(self, loop: RealLoop, folder: Path) -> None:
-        """Write settings to the folder; nothing is started yet."""
+        """Use `folder` for settings files; `start` starts the processes."""
         self._loop, self.folder = loop, folder
         self._began = time.monotonic()
         ports = free_ports(2 * len(NODES))
@@ -71,7 +71,7 @@
         print(f"{time.monotonic() - self._began:7.2f} s  {what}", flush=True)
 
     async def start(self) -> None:
-        """Start everything; the controllers may need a few seconds until they are ready."""
+        """Start all services and processes; the controllers may take a few seconds to become ready."""
         await self.stand_ins.start()
         for node in NODES:
             for zone in ZONES:
@@ -95,12 +95,12 @@
         return await Forwarder(self.faults, source, target, HOST, address).start()
 
     async def stop(self) -> None:
-        """End every process."""
+        """Kill every controller process."""
         for node in self.nodes.values():
             await node.kill()
 
     def adopt_jobs(self) -> None:
-        """Let the workers run jobs that were submitted from outside."""
+        """Register jobs that were submitted by external clients, so that the simulated workers can run them."""
         rules = self.stand_ins.rules
         for key, record in newest(self.stand_ins.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
@@ -109,14 +109,14 @@
                 rules.submitted(open_fields | spec | {"true_s": spec["expected_s"] or float("inf")})
 
     async def watch(self) -> None:
-        """Print each change of a controller's links and of the leader that it knows, until cancelled."""
+        """Print each change of a controller's link states or known leader, until cancelled."""
         while True:
             for node in NODES:
                 try:
                     found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
                 except NoAnnouncementError:
                     continue
-                # Without the ages, which change all the time.
+                # Omits tokens, confirmed links, and the ages of confirmations, which change all the time.
                 lines = [line.split(", last")[0].split(", token")[0].strip() for line in describe(node, found)]
                 lines = [lines[0], *(line for line in lines[1:] if "confirmed" not in line.split(": ")[-1])]
                 if lines != self._logged.get(node):
@@ -125,7 +125,7 @@
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def play(self, faults: list[Fault]) -> None:
-        """Play a schedule."""
+        """Play a fault schedule to its end."""
 
         def changed(what: str, fault: Fault, pairs: list[tuple[str, str]]) -> None:
             arrow = "<->" if fault.get("both") else "->"
@@ -139,7 +139,7 @@
         return max(terms)[1] if terms else NODES[0]
 
     async def until_finished(self) -> bool:
-        """Return whether every job that was submitted comes to an end."""
+        """Wait until every submitted job is done; return False on timeout."""
         end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             if len(self.users.states) == self.users.count and set(self.users.states.values()) <= {"done"}:
@@ -184,7 +184,7 @@
 
 
 async def run(loop: RealLoop, folder: Path, faults: list[Fault] | None) -> int:
-    """Start the cluster, play the schedule if there is one, and end all processes."""
+    """Start the cluster, play the schedule if there is one, and kill all processes."""
     cluster = Cluster(loop, folder)
     try:
         await cluster.start()
--- a/tools/forwarder.py
+++ b/tools/forwarder.py
@@ -1,20 +1,20 @@
-"""A TCP forwarder on one link, each of whose directions can be cut, slowed, reset or refused."""
+"""A TCP forwarder for one link that drops, delays, resets or refuses traffic in each direction."""
 
 import asyncio
 
 from tests.world.links import LinkFaults
 
 CHUNK_BYTES = 65536
-# While a direction is dropped, its fault is checked this often.
+# Interval at which a dropped direction checks whether its fault is over.
 CHECK_INTERVAL_S = 0.02
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
 
 class Forwarder:
-    """Listens on loopback in place of a target and passes on what the faults let through.
+    """Listens in place of a target and forwards traffic subject to the active faults.
 
-    While a direction is dropped its bytes wait, as TCP would send them again, and arrive in order after it.
-    Duplicates don't exist on a connection: that kind of fault changes nothing here.
+    Bytes in a dropped direction are buffered and arrive in order after the fault, as with TCP retransmission.
+    Faults of kind `duplicate` have no effect, as TCP discards duplicates.
     """
 
     def __init__(self, faults: LinkFaults, source: str, target: str, host: str, address: str) -> None:
@@ -24,7 +24,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> str:
-        """Begin to listen and return the address that stands for the target."""
+        """Start listening; return the address to use in place of the target's."""
         self._server = await asyncio.start_server(self._serve, self._host, 0)
         return f"{self._host}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -61,11 +61,11 @@
                 break
             writer.write(data)
             await writer.drain()
-        # One side has closed, so both do; what the other still sends is of no use.
+        # When one side has closed, close both; the rest of the data from the other side is discarded.
         raise ConnectionResetError
 
     async def _until_passable(self, source: str, target: str) -> None:
-        """Return once data may pass in that direction. Raises ConnectionResetError."""
+        """Wait until data may pass in that direction. Raises ConnectionResetError if the fault is a reset."""
         delay = self._faults.delay(source, target)
         if delay:
             await asyncio.sleep(delay)
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -1,7 +1,7 @@
-"""The stand-ins of `tests/world` served on loopback, for controllers that run as real processes.
+"""Serves the simulated services of `tests/world` on loopback, for controllers that run as real processes.
 
-The state service and the cloud answer over HTTP, workers report over HTTP, and the plain model of the rules
-(`tests/world/rules.py`) watches what runs where. Everything listens on 127.0.0.1 only.
+The state service and the cloud serve HTTP, workers send heartbeats over HTTP, and the reference model
+(`tests/world/rules.py`) checks which tasks run on which machines. All servers listen on 127.0.0.1 only.
 """
 
 import asyncio
@@ -30,15 +30,15 @@
 REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
 CALL_TIME = timedelta(seconds=4)
 PORTS = range(20_000, 30_000)
-# Connections that a stand-in serves at once.
+# Concurrent connections that each simulated service accepts.
 MOST_CONNECTIONS = 100
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports on which nothing listens now, for processes that are started, and started again.
+    """Return ports on which nothing listens now, for processes that are started and restarted.
 
-    They lie below those that the system gives to outgoing connections: one of these once had the port of a
-    controller that was away for a second, which then could not listen.
+    The ports are below the system's ephemeral range: an outgoing connection once took the port of a controller
+    that was stopped for a second, and the restarted controller could not listen.
     """
     found: list[int] = []
     with ExitStack() as stack:
@@ -51,21 +51,21 @@
             found.append(port)
             if len(found) == count:
                 return found
-    raise OSError("no free ports")
+    raise OSError(f"fewer than {count} free ports in {PORTS}")
 
 
 class RealLoop(asyncio.SelectorEventLoop):
-    """A loop in real time with the one name that the stand-ins ask a simulated loop for."""
+    """A real-time event loop with the `now` property that the simulated services expect of a simulated loop."""
 
     @property
     def now(self) -> float:
-        """The time of the loop's clock in seconds."""
+        """The loop's monotonic time in seconds."""
         return self.time()
 
 
 @contextmanager
 def real_loop() -> Iterator[RealLoop]:
-    """Make a loop for one run, and end with it whatever the run has left on it."""
+    """Create an event loop for one run; cancel its remaining tasks and close it at the end."""
     loop = RealLoop()
     asyncio.set_event_loop(loop)
     try:
@@ -82,10 +82,10 @@
 
 
 class StandIns:
-    """State service, cloud and workers around the controllers whose addresses are given by node."""
+    """Simulated state service, cloud and workers for the controllers in `controllers` (node to address)."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
-        """`machines` can be had of every type, zone and kind."""
+        """Provide capacity for `machines` spot and as many on-demand machines of each type and zone."""
         self._loop: Any = loop
         self._rng = random.Random(1)
         self.controllers = controllers
@@ -105,12 +105,12 @@
         self.store_address = self.cloud_address = ""
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start the servers of the state service and the cloud."""
         self.store_address = f"{HOST}:{await self._serve(self.store)}"
         self.cloud_address = f"{HOST}:{await self._serve(self.cloud)}"
 
     def settings(self, node: str, peers: dict[str, str], max_connections: int) -> str:
-        """Return a controller's settings; `peers` are the addresses at which the controllers listen for one another."""
+        """Return a controller's settings file; `peers` maps each node to its address for peer connections."""
         others = "".join(
             f'[[others]]\nnode_name = "{other}"\nsite = "east"\naddress = "{address}"\n'
             for other, address in peers.items()
@@ -123,7 +123,7 @@
         return text.replace("max_connections = 500", f"max_connections = {max_connections}")
 
     def add_machines(self, count: int, boot_s: float = 0.5) -> None:
-        """Add machines of random types and zones."""
+        """Add spot machines of random types and zones."""
         for _ in range(count):
             kind = self._rng.choice(TYPES)
             self.cloud.add(kind["name"], self._rng.choice(kind["yards"]), True, boot_s)
@@ -153,7 +153,7 @@
         return await self._report_to(name, node, self.controllers[node], request)
 
     async def _report_to(self, name: str, node: str, address: str, request: Request) -> Response:
-        """Send a worker's heartbeat to a controller that it reaches at that address."""
+        """Send a worker's heartbeat to the controller of `node` through `address`."""
         client = self._clients.setdefault((name, node), HttpClient(address))
         self.counts["reports"] += 1
         try:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -1,9 +1,9 @@
-"""Measures what the stored forms of each compatibility level cost, in the simulated world.
+"""Measures the cost of each compatibility level's storage formats in the simulated world.
 
     PYTHONPATH=src:. python -m tools.measure_levels [--machines 600] [--value-kb 2]
 
-The same load runs on the first level and on the second. It prints what the transactions carried, the pages
-that stand in the end, and what a new leader's load took.
+Runs the same load on the first level and on the second. Prints the size of the transactions' contents, the number
+of stored pages at the end, and the cost of loading the state on a leader change.
 """
 
 import argparse
@@ -27,9 +27,9 @@
 from tests.world.world import World
 
 LARGEST_RECORD = 64 * 1024
-# A task's run time, and how long jobs are submitted for.
+# Run time of each task, and the period over which jobs are submitted.
 TASK_S, SUBMITTED_FOR_S = 18.0, 45.0
-# Machines for each job, and the sizes of jobs: the median, the spread of the logarithm, the largest.
+# Machines per job, and the log-normal distribution of tasks per job: median, sigma, and upper bound.
 MACHINES_PER_JOB, MEDIAN_TASKS, SPREAD, MAX_TASKS_PER_JOB = 10, 90.0, 1.3, 2500
 
 
@@ -62,7 +62,7 @@
     async def script() -> None:
         await submit_jobs(world, level, machines)
         counts["pages in the end"] = sum(key.startswith("s/") for key in world.store.items)
-        # The load runs alone: no worker reports meanwhile.
+        # No worker sends heartbeats while the new leader loads the state.
         world.cut_nodes = set(world.nodes)
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(4)
@@ -83,7 +83,7 @@
 
 
 async def submit_jobs(world: World, level: int, machines: int) -> None:
-    """Start everything and submit jobs of many sizes."""
+    """Start all machines and controllers and submit jobs of random sizes."""
     rng = random.Random(3)
     for index in range(machines):
         world.rent("small" if index % 3 else "large", ZONES[index % 2], spot=bool(index % 5))
@@ -96,7 +96,7 @@
         pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, SPREAD) * MEDIAN_TASKS) + 1)
         spec = job(number, pieces=pieces, true_s=TASK_S, expected_s=TASK_S, kit=f"img-{number % 7}")
         if not await world.submit(spec):
-            raise AssertionError(f"{spec['name_id']} is not accepted")
+            raise AssertionError(f"submission of {spec['name_id']} was not accepted")
         await asyncio.sleep(SUBMITTED_FOR_S / (machines // MACHINES_PER_JOB))
 
 
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -1,4 +1,4 @@
-"""Controllers as real processes, with their logs."""
+"""Runs controllers as subprocesses and collects their logs."""
 
 import asyncio
 import os
@@ -8,10 +8,10 @@
 
 
 class Node:
-    """One controller's process, whichever version it runs, and the lines that it logs."""
+    """The controller process of one node, of any version, and its log lines."""
 
     def __init__(self, name: str, folder: Path, began: float) -> None:
-        """Take the settings from the folder."""
+        """Use the settings file `<name>.toml` in the folder; log times are relative to `began`."""
         self.name = name
         self.settings = folder / f"{name}.toml"
         self.lines: list[tuple[float, str]] = []
@@ -20,7 +20,7 @@
         self._reading: asyncio.Task[None] | None = None
 
     async def start(self, command: list[str], source: Path) -> None:
-        """Start a process of a version."""
+        """Start the process by `command`, with the code in the checkout `source`."""
         environment = os.environ | {"PYTHONPATH": f"{source / 'src'}:{source}", "LOG_LEVEL": "info"}
         self._process = await asyncio.create_subprocess_exec(
             *command, "--config", str(self.settings), env=environment, cwd=source, stderr=PIPE
@@ -33,7 +33,7 @@
             self.lines.append((time.monotonic() - self._began, line.decode().rstrip()))
 
     async def kill(self) -> None:
-        """Kill the process."""
+        """Kill the process and read its log to the end."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
@@ -41,5 +41,5 @@
             await self._reading
 
     def when(self, text: str) -> float | None:
-        """Return when it last logged a line with that text."""
+        """Return the time of the last log line that contains the text, or None."""
         return next((at for at, line in reversed(self.lines) if text in line), None)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -1,11 +1,11 @@
-"""Measures where one controller's processor time and memory go, phase by phase.
+"""Measures one controller's CPU time and memory in each phase of a run.
 
-    PYTHONPATH=src python -m tools.profile_controller [--machines 600] [--jobs 100] [--profile]
+    PYTHONPATH=src python -m tools.profile_controller [--machines 600] [--jobs 150] [--profile DIR]
 
-A controller runs as a real process; the state service, the cloud, the workers and the users
-are the stand-ins of `tests/world`, on loopback. Without `--profile` it prints the processor
-time of each phase and the requests that fell into it; with it, the share of each duty as
-well, which is inflated where many small functions are called. docs/operations.md tells more.
+The controller runs as a separate process; the state service, the cloud, the workers and the users are
+simulated (`tests/world`) and use loopback. Prints the CPU time of each phase and the requests in it; with
+`--profile` also the share of each component, which the profiler overstates for code that calls many small
+functions. See docs/operations.md.
 """
 
 import argparse
@@ -58,7 +58,7 @@
 
 @dataclass
 class Phase:
-    """The time that a phase took, and the requests that the controller got in it."""
+    """Wall time, CPU time and peak memory of a phase, and the requests during it."""
 
     name: str
     wall_s: float
@@ -68,10 +68,10 @@
 
 
 class ControllerProcess:
-    """The measured controller, a process of its own."""
+    """The controller under measurement, a separate process."""
 
     def __init__(self, settings: Path, output: Path | None) -> None:
-        """Start the process; with `output`, profiles are written there."""
+        """Start the process; if `output` is given, with a profiler that writes to that directory."""
         command = [sys.executable, "-m", "tools.profiled_controller", str(output), str(settings)]
         if output is None:
             command = [sys.executable, "-S", str(ROOT / "target/app/run.py"), "--config", str(settings)]
@@ -81,18 +81,18 @@
         self._phases = 0
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the CPU time used so far, in seconds."""
         fields = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / TICKS
 
     def memory_mb(self) -> float:
-        """Return the largest resident memory so far."""
+        """Return the peak resident memory so far."""
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) / 1024
 
     async def end_phase(self) -> Path | None:
-        """Return the profile of the phase that ends here, if profiles are made."""
+        """End the present phase; return the path of its profile, or None if profiling is off."""
         if self._output is None:
             return None
         written = self._output / f"{self._phases}.prof"
@@ -109,10 +109,10 @@
 
 
 class Measurement:
-    """The stand-ins around the controller, and the phases through which they take it."""
+    """The simulated services of the controller, and the phases of the run."""
 
     def __init__(self, loop: RealLoop, machines: int, jobs: int, output: Path | None) -> None:
-        """Write profiles to `output`; None measures without them."""
+        """Write profiles to the directory `output`; None disables profiling."""
         self._machines, self._jobs, self._output = machines, jobs, output
         self._address = f"{HOST}:18080"
         self._stand_ins = StandIns(loop, {NODE: self._address}, machines)
@@ -123,7 +123,7 @@
         self.phases: list[tuple[Phase, Path | None]] = []
 
     async def run(self) -> None:
-        """Run all phases, one after the other."""
+        """Run all phases in order."""
         with tempfile.TemporaryDirectory() as folder:
             settings = await self._serve(Path(folder))
             controller = self._start(settings, "first")
@@ -161,7 +161,7 @@
         phase = Phase(name, took, used, controller.memory_mb(), requests)
         self.phases.append((phase, await controller.end_phase()))
 
-    # What happens in the phases
+    # Phases
 
     async def _until_ready(self) -> None:
         end = time.monotonic() + READY_TIME
@@ -172,10 +172,10 @@
             except NoResponseError:
                 pass
             await asyncio.sleep(0.02)
-        raise TimeoutError("the controller does not get ready")
+        raise TimeoutError(f"the controller was not ready within {READY_TIME:g} s")
 
     async def _opening(self) -> None:
-        """Submit half of the jobs before all machines start, and the others while they do."""
+        """Submit half of the jobs before all machines start, and the other half while they start."""
         await self._submit(self._jobs // 2, 5.0)
         self._stand_ins.add_machines(self._machines)
         await self._submit(self._jobs // 2, 5.0)
@@ -192,14 +192,14 @@
 
 
 def duty_of(path: str) -> str | None:
-    """Return the duty that a source file serves, or None for built-in functions, which count for their callers."""
+    """Return the component of a source file, or None for built-in functions, which are attributed to their callers."""
     if path == "~":
         return None
     return next((duty for part, duty in DUTIES if part in path), "the rest")
 
 
 def shares(profile: Path) -> list[tuple[str, float]]:
-    """Return each duty's part of the processor time."""
+    """Return each component's share of the CPU time, in descending order."""
     stats: Any = pstats.Stats(str(profile))
     times: Counter[str] = Counter()
     for (path, _, name), (_, _, own, _, callers) in stats.stats.items():
@@ -220,7 +220,7 @@
 
 
 def report(phase: Phase, profile: Path | None) -> None:
-    """Print one phase."""
+    """Print the results of one phase."""
     load = phase.cpu_s / phase.wall_s * 100
     print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({load:.1f}% of a core)")
     print(f"  memory so far: {phase.memory_mb:.1f} MB at the most")
@@ -234,7 +234,7 @@
 
 
 def main() -> None:
-    """Run all phases and print them."""
+    """Run all phases and print their results."""
     arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     arguments.add_argument("--machines", type=int, default=600)
     arguments.add_argument(
--- a/tools/profiled_controller.py
+++ b/tools/profiled_controller.py
@@ -1,10 +1,10 @@
-"""A controller that writes a profile of itself each time it gets SIGUSR1.
+"""Runs a controller under the profiler and writes a profile on each SIGUSR1.
 
     PYTHONPATH=src python -m tools.profiled_controller OUTPUT_DIR SETTINGS
 
-Every signal ends a phase: what was profiled since the one before is written to
-`OUTPUT_DIR/PHASE.prof`, live objects by type to `OUTPUT_DIR/PHASE.objects`.
-`tools.profile_controller` starts it.
+Each signal ends a phase: the profile since the previous signal is written to `OUTPUT_DIR/PHASE.prof`,
+and the number of live objects by type to `OUTPUT_DIR/PHASE.objects`. PHASE is a number from 0.
+Started by `tools.profile_controller`.
 """
 
 import cProfile
@@ -17,12 +17,12 @@
 
 from elmthread.cli import main
 
-# Types of live objects that are listed, the most frequent first.
+# Number of types of live objects that are listed, most frequent first.
 MOST_TYPES = 40
 
 
 class PhaseRecorder:
-    """Profiles from its start on, and writes one profile a phase."""
+    """Profiles the process from `start` on and writes one profile per phase."""
 
     def __init__(self, output: Path) -> None:
         """Write files to the directory `output`."""
@@ -31,14 +31,14 @@
         self._profile = cProfile.Profile()
 
     def start(self) -> None:
-        """Begin to profile; SIGUSR1 ends a phase from here on."""
+        """Start profiling and end a phase on each SIGUSR1."""
         signal.signal(signal.SIGUSR1, self._end_phase)
         self._profile.enable()
 
     def _end_phase(self, number: int, frame: FrameType | None) -> None:
         self._profile.disable()
         self._write_objects()
-        # Written last: whoever waits for the phase waits for this file.
+        # Written last and renamed once complete: tools.profile_controller waits for this file.
         part = self._output / f"{self._phase}.part"
         self._profile.dump_stats(part)
         part.rename(self._output / f"{self._phase}.prof")
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -1,9 +1,9 @@
-"""Writes the JSON schemas of all stored forms and controller messages, one file a compatibility level.
+"""Writes the JSON schemas of all stored records and controller messages, one file per compatibility level.
 
     PYTHONPATH=src:. python -m tools.schemas
 
-writes `schemas/level-N.json` for the newest level and `schemas/rollout.json` for the records of the rollout
-itself. A published file never changes: a form that changes needs a new level (docs/rollout.md).
+Writes `schemas/level-N.json` for the newest level and `schemas/rollout.json` for the records of the rollout
+itself. A published file never changes: a change of a format needs a new level (docs/rollout.md).
 """
 
 import json
@@ -24,11 +24,11 @@
 from elmthread.store.records import DoneBitmapRecord, DoneRecord, InstanceRequestRecord, JobRecord
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
-# What msgspec takes from the classes.
+# Keys of a schema that msgspec derives from the names and docstrings of classes.
 CLASS_NAMES = frozenset({"$defs", "title", "description"})
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
-# By the name of a form, the type that the code writes and reads it with.
+# Name of each stored record or message -> the type that the code encodes and decodes it with.
 FORMS: dict[str, Any] = {
     "leader": LeaderRecord,
     "slot": PageRecord,
@@ -48,20 +48,20 @@
 
 
 def schemas_of(forms: dict[str, Any]) -> dict[str, Any]:
-    """Return one schema for each form; a field that a form does not name is no part of it."""
+    """Return the schema of each type, by name; fields that the type does not declare are not allowed."""
     return {name: _schema(kind) for name, kind in forms.items()}
 
 
 def _schema(kind: Any) -> dict[str, Any]:
     members = getattr(kind, "__args__", ()) if isinstance(kind, UnionType) else (kind,)
-    # msgspec has no schema of a union of structs without a tag.
+    # msgspec can't generate a schema for a union of untagged structs.
     parts: list[Any] = [_plain(made, made.get("$defs", {})) for made in map(msgspec.json.schema, members)]
     schema: dict[str, Any] = parts[0] if len(parts) == 1 else {"anyOf": parts}
     return {"$schema": DIALECT, **schema}
 
 
 def _plain(schema: Any, definitions: dict[str, Any]) -> Any:
-    """Return the schema without names of classes, so that renaming one changes nothing, and with closed objects."""
+    """Return the schema with inlined definitions, without additional properties, and independent of class names."""
     if isinstance(schema, list):
         return [_plain(part, definitions) for part in schema]
     if not isinstance(schema, dict):
@@ -75,12 +75,12 @@
 
 
 def text_of(schemas: dict[str, Any]) -> str:
-    """Return the file's text."""
+    """Return the schemas as the text of a file."""
     return json.dumps(schemas, indent=1, sort_keys=True) + "\n"
 
 
 def main() -> None:
-    """Write the files of the newest level and of the rollout's records."""
+    """Write the schema files of the newest level and of the rollout records."""
     (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(FORMS)))
     (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_FORMS)))
 
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -1,11 +1,11 @@
-"""Upgrades three controllers on loopback, with jobs running, and measures what users notice.
+"""Upgrades three controllers on loopback while jobs run, and measures the effect on users.
 
     PYTHONPATH=src:. python -m tools.upgrade_cluster [--earlier DIR] [--gate off] [--soak 5]
 
-The controllers are real processes; state service, cloud, workers and users are the stand-ins of `tests/world`.
-They begin with the version in the checkout DIR, or else with a stand-in for the version before, are ended one
-at a time and come back with this one. Then the level turns on, and one of them is rolled back. It prints what
-happened when, histograms of users' waits, and whether a rule was broken. docs/rollout.md tells more.
+The controllers are real processes; the state service, cloud, workers and users are simulated (`tests/world`).
+The controllers start with the version in the checkout DIR, or with this version restricted to the first level, and
+are restarted one at a time with this version. Then the newest level is activated, and one controller is rolled
+back. Prints a timeline, the latencies that users saw, and any rule violations. See docs/rollout.md.
 """
 
 import argparse
@@ -24,14 +24,14 @@
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
 MACHINES = 12
-# How long a process is away, and how long the next one waits for its turn.
+# Downtime of each controller, and the time from its restart until the next one is stopped.
 AWAY_S, TURN_S = 1.0, 4.0
 PATIENCE_S = 120.0
 
 
 @dataclass
 class Options:
-    """How the cluster is upgraded."""
+    """Options of an upgrade run."""
 
     earlier: Path | None
     gate: bool
@@ -39,10 +39,10 @@
 
 
 class Upgrade:
-    """The run: stand-ins, users and three controllers that change their version."""
+    """One upgrade run: simulated services, users, and three controllers that are upgraded."""
 
     def __init__(self, loop: RealLoop, folder: Path, options: Options) -> None:
-        """Write settings to the folder; nothing is started yet."""
+        """Use `folder` for settings files; `run` starts the processes."""
         self._options, self._folder = options, folder
         self._began = time.monotonic()
         ports = free_ports(2 * len(NODES))
@@ -60,7 +60,7 @@
         self.happened.append((time.monotonic() - self._began, what))
 
     async def run(self) -> None:
-        """Run everything until each job has its final state."""
+        """Run the upgrade and the rollback, and wait until every job is done."""
         await self.stand_ins.start()
         for node in NODES:
             self.nodes[node].settings.write_text(self.stand_ins.settings(node, self._peers, 200))
@@ -134,15 +134,15 @@
             return 0
 
     async def _until_in_use(self) -> None:
-        """Wait until each process has logged that it uses the level."""
+        """Wait until every controller has logged that the level is in use."""
         end = time.monotonic() + PATIENCE_S
         while any(node.when("is in use here") is None for node in self.nodes.values()):
             if time.monotonic() > end:
-                raise TimeoutError("the level does not turn on")
+                raise TimeoutError(f"the level is not in use on every controller after {PATIENCE_S:g} s")
             await asyncio.sleep(0.02)
         self._note("every controller uses the level")
 
-    # Ends
+    # Completion of the jobs
 
     async def _until_over(self) -> None:
         end = time.monotonic() + PATIENCE_S
@@ -152,7 +152,7 @@
                 return
             await asyncio.sleep(0.5)
         open_jobs = sorted(job_id for job_id, state in self._users.states.items() if state != "done")
-        raise TimeoutError(f"{len(open_jobs)} of {self._users.count} jobs have not ended: {open_jobs[:5]}")
+        raise TimeoutError(f"{len(open_jobs)} of {self._users.count} jobs are not done: {open_jobs[:5]}")
 
     # Report
 
@@ -162,7 +162,7 @@
         return 1 if stored is None else int(stored[0]["level"])
 
     def durations(self) -> list[str]:
-        """Return the times between announcement, activation and use, by the logs."""
+        """Return lines with the times between announcement, activation and use of the level, taken from the logs."""
 
         def times(text: str) -> list[float]:
             return sorted(at for node in self.nodes.values() for at, line in node.lines if text in line)
--- a/tools/users.py
+++ b/tools/users.py
@@ -1,4 +1,4 @@
-"""Users of a cluster on loopback: they submit jobs, ask for their state, and what they notice is counted."""
+"""Simulated users of a cluster on loopback, which submit jobs, poll their state and record latencies."""
 
 import asyncio
 import time
@@ -13,23 +13,23 @@
 from tests.world.specs import job, sent
 from tools.loopback import CALL_TIME, StandIns
 
-# Bounds of the histograms, in milliseconds, and their significant digits.
+# Bounds of the latency histograms in milliseconds, and their number of significant digits.
 MIN_WAIT_MS, MAX_WAIT_MS, DIGITS = 1, 60_000, 3
-# Attempts of a submission, a second apart: the protocol allows 60 s.
+# Attempts per submission, at intervals of 1 s: the protocol allows 60 s.
 MAX_ATTEMPTS = 60
 SLOW_SUBMISSION_MS = 1000
 
 
 @dataclass
 class Waits:
-    """How long users waited in one phase, and what else they noticed."""
+    """Latencies of users' requests in one phase, and counts of requests and failures."""
 
     submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
     polls: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
     counts: Counter[str] = field(default_factory=Counter)
 
     def lines(self) -> list[str]:
-        """Return lines for a report."""
+        """Return the statistics as lines of a report."""
         found = []
         for name, histogram in (("submissions", self.submissions), ("polls", self.polls)):
             total = histogram.get_total_count()
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True)
 class UserLoad:
-    """What users submit and how they follow it."""
+    """The jobs that users submit, and how they poll them."""
 
-    # Time between two submissions of `Users.submit`.
+    # Interval between submissions in `Users.submit`.
     submit_interval_s: float = 0.5
     tasks: int = 8
     task_s: float = 6.0
     poll_interval_s: float = 2.0
-    # So many polls, whatever the state; None: until the job is done.
+    # Number of polls per job, whatever its state; None: poll until the job is done.
     polls: int | None = None
-    # Connections that are kept open to each node; 0: a new one for each request.
+    # Idle connections kept open to each node; 0: a new connection for each request.
     idle_connections: int = 0
 
 
@@ -58,7 +58,7 @@
 
 
 class Users:
-    """Users that submit jobs and poll their state through a stand-in load balancer."""
+    """Users that submit jobs and poll their state through a simulated load balancer."""
 
     def __init__(
         self,
@@ -68,22 +68,22 @@
         waits: Callable[[], Waits],
         load: UserLoad = USUAL_LOAD,
     ) -> None:
-        """`healthy` names the nodes to which requests may go now, `waits` says where they are counted now."""
+        """Send requests to the nodes that `healthy` returns, and record them in the object that `waits` returns."""
         self._stand_ins, self._load = stand_ins, load
         self._healthy, self._waits = healthy, waits
         self._clients = {node: HttpClient(address, load.idle_connections) for node, address in addresses.items()}
-        # Jobs submitted, and the last state that was returned for each.
+        # Number of jobs submitted, and the last state received for each job.
         self.count = 0
         self.states: dict[str, str] = {}
 
     async def submit(self) -> None:
-        """Submit a job at each interval, until cancelled, and follow each."""
+        """Submit a job at each interval until cancelled, and poll each one."""
         while True:
             self.submit_one()
             await asyncio.sleep(self._load.submit_interval_s)
 
     def submit_one(self) -> None:
-        """Submit a job and follow it in the background."""
+        """Submit a job and poll it in a background task."""
         spec = job(self.count, pieces=self._load.tasks, expected_s=self._load.task_s, true_s=self._load.task_s)
         self.count += 1
         self._stand_ins.rules.submitted(spec)
@@ -120,7 +120,7 @@
         self.states[job_id] = answer.body["status"]
 
     async def _ask(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
-        """Ask as through a load balancer: another node where one refuses the connection or is not ready."""
+        """Send a request as a load balancer does: try the next node if one does not respond or returns 503."""
         self._waits().counts["requests"] += 1
         asked = asyncio.get_running_loop().time()
         answer = None
