--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -36,7 +36,7 @@
 CHECK_INTERVAL_S = 0.5
 
 
-class CutWorkers(StandIns):
+class ForwardedServices(StandIns):
     """Simulated services whose workers reach each controller through the forwarder of their zone."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
@@ -44,9 +44,9 @@
         super().__init__(loop, controllers, machines)
         self.routes: dict[tuple[str, str], str] = {}
 
-    async def _report(self, name: str, node: str, request: Request) -> Response:
+    async def _send_heartbeat(self, name: str, node: str, request: Request) -> Response:
         zone = self._workers[name].zone if name in self._workers else ZONES[0]
-        return await self._report_to(name, node, self.routes[zone, node], request)
+        return await self._send_heartbeat_to(name, node, self.routes[zone, node], request)
 
 
 class Cluster:
@@ -55,27 +55,27 @@
     def __init__(self, loop: RealLoop, folder: Path) -> None:
         """Use `folder` for settings files; `start` starts the processes."""
         self._loop, self.folder = loop, folder
-        self._began = time.monotonic()
+        self._start_time = time.monotonic()
         ports = free_ports(2 * len(NODES))
         self.addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.faults = LinkFaults()
-        self.stand_ins = CutWorkers(loop, self.addresses, MACHINES)
-        self.nodes = {node: Node(node, folder, self._began) for node in NODES}
+        self.stand_ins = ForwardedServices(loop, self.addresses, MACHINES)
+        self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
         self.waits = Waits()
         self.users = Users(self.stand_ins, self.addresses, lambda: list(NODES), lambda: self.waits)
-        self._logged: dict[str, list[str]] = {}
+        self._printed_lines: dict[str, list[str]] = {}
 
-    def log(self, what: str) -> None:
+    def log(self, message: str) -> None:
         """Print one line of the timeline."""
-        print(f"{time.monotonic() - self._began:7.2f} s  {what}", flush=True)
+        print(f"{time.monotonic() - self._start_time:7.2f} s  {message}", flush=True)
 
     async def start(self) -> None:
         """Start all services and processes; the controllers may take a few seconds to become ready."""
         await self.stand_ins.start()
         for node in NODES:
             for zone in ZONES:
-                worker_link = self._forward(f"{WORKERS}/{zone}", node, self.addresses[node])
+                worker_link = self._start_forwarder(f"{WORKERS}/{zone}", node, self.addresses[node])
                 self.stand_ins.routes[zone, node] = await worker_link
             await self._write_settings(node)
         operators = self.folder / "rollout.toml"
@@ -86,12 +86,12 @@
         self.stand_ins.add_machines(MACHINES)
 
     async def _write_settings(self, node: str) -> None:
-        peers = {other: await self._forward(node, other, self.peers[other]) for other in NODES if other != node}
+        peers = {other: await self._start_forwarder(node, other, self.peers[other]) for other in NODES if other != node}
         text = self.stand_ins.settings(node, peers | {node: self.peers[node]}, MAX_CONNECTIONS)
         store = self.stand_ins.store_address
-        self.nodes[node].settings.write_text(text.replace(store, await self._forward(node, STORE, store)))
+        self.nodes[node].settings.write_text(text.replace(store, await self._start_forwarder(node, STORE, store)))
 
-    async def _forward(self, source: str, target: str, address: str) -> str:
+    async def _start_forwarder(self, source: str, target: str, address: str) -> str:
         return await Forwarder(self.faults, source, target, HOST, address).start()
 
     async def stop(self) -> None:
@@ -99,49 +99,53 @@
         for node in self.nodes.values():
             await node.kill()
 
-    def adopt_jobs(self) -> None:
+    def register_submitted_jobs(self) -> None:
         """Register jobs that were submitted by external clients, so that the simulated workers can run them."""
         rules = self.stand_ins.rules
         for key, record in newest(self.stand_ins.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
                 spec = record["spec"]
-                open_fields = {"builds": None, "yard": None, "due_s": None}
-                rules.submitted(open_fields | spec | {"true_s": spec["expected_s"] or float("inf")})
+                optional_fields = {"builds": None, "yard": None, "due_s": None}
+                rules.submitted(optional_fields | spec | {"true_s": spec["expected_s"] or float("inf")})
 
     async def watch(self) -> None:
         """Print each change of a controller's link states or known leader, until cancelled."""
         while True:
             for node in NODES:
                 try:
-                    found = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
+                    announcement = await read_announcement(self.peers[node], ANNOUNCEMENT_TIMEOUT)
                 except NoAnnouncementError:
                     continue
                 # Omits tokens, confirmed links, and the ages of confirmations, which change all the time.
-                lines = [line.split(", last")[0].split(", token")[0].strip() for line in describe(node, found)]
+                lines = [line.split(", last")[0].split(", token")[0].strip() for line in describe(node, announcement)]
                 lines = [lines[0], *(line for line in lines[1:] if "confirmed" not in line.split(": ")[-1])]
-                if lines != self._logged.get(node):
-                    self._logged[node] = lines
+                if lines != self._printed_lines.get(node):
+                    self._printed_lines[node] = lines
                     self.log("; ".join(lines))
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def play(self, faults: list[Fault]) -> None:
         """Play a fault schedule to its end."""
 
-        def changed(what: str, fault: Fault, pairs: list[tuple[str, str]]) -> None:
+        def log_change(event: str, fault: Fault, pairs: list[tuple[str, str]]) -> None:
             arrow = "<->" if fault.get("both") else "->"
-            links = ", ".join(f"{one} {arrow} {other}" for one, other in pairs)
-            self.log(f"{what}: {fault.get('kind', 'drop')} {fault['from']} {arrow} {fault['to']} ({links})")
+            links = ", ".join(f"{source} {arrow} {target}" for source, target in pairs)
+            self.log(f"{event}: {fault.get('kind', 'drop')} {fault['from']} {arrow} {fault['to']} ({links})")
 
-        await SchedulePlayer(self.faults, NODES, self._leader, changed).play(faults)
+        await SchedulePlayer(self.faults, NODES, self._leader, log_change).play(faults)
 
     def _leader(self) -> str:
-        terms = [(at, node.name) for node in self.nodes.values() if (at := node.when("leading with token")) is not None]
+        terms = [
+            (logged_at, node.name)
+            for node in self.nodes.values()
+            if (logged_at := node.last_logged_at("leading with token")) is not None
+        ]
         return max(terms)[1] if terms else NODES[0]
 
-    async def until_finished(self) -> bool:
+    async def wait_until_finished(self) -> bool:
         """Wait until every submitted job is done; return False on timeout."""
-        end = time.monotonic() + TIMEOUT_S
-        while time.monotonic() < end:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             if len(self.users.states) == self.users.count and set(self.users.states.values()) <= {"done"}:
                 return True
             await asyncio.sleep(CHECK_INTERVAL_S)
@@ -152,30 +156,30 @@
     """Run the cluster until interrupted."""
     node = NODES[0]
     print(f"settings file:     {cluster.nodes[node].settings}")
-    for verb, what in (("submit", "job.json"), ("status", "run-000001"), ("cancel", "run-000001")):
-        print(f"elmthread {verb} --server {cluster.addresses[node]} {what}")
+    for verb, argument in (("submit", "job.json"), ("status", "run-000001"), ("cancel", "run-000001")):
+        print(f"elmthread {verb} --server {cluster.addresses[node]} {argument}")
     print(f"elmthread links --config {cluster.nodes[node].settings}")
     print("Ctrl-C ends it.", flush=True)
     while True:
-        cluster.adopt_jobs()
+        cluster.register_submitted_jobs()
         await asyncio.sleep(CHECK_INTERVAL_S / 2)
 
 
 async def play(cluster: Cluster, faults: list[Fault]) -> int:
     """Submit jobs, play the schedule and print the final state of each job; return the exit code."""
-    watching = asyncio.create_task(cluster.watch())
+    watch_task = asyncio.create_task(cluster.watch())
     await asyncio.sleep(SETTLE_S / 2)
-    submitting = asyncio.create_task(cluster.users.submit())
+    submit_task = asyncio.create_task(cluster.users.submit())
     await asyncio.sleep(SETTLE_S / 2)
     await cluster.play(faults)
-    submitting.cancel()
+    submit_task.cancel()
     cluster.log("the schedule is over; waiting for the jobs")
-    finished = await cluster.until_finished()
-    watching.cancel()
-    ends = cluster.users.states
-    states: Counter[str] = Counter(ends.values())
+    finished = await cluster.wait_until_finished()
+    watch_task.cancel()
+    final_states = cluster.users.states
+    states: Counter[str] = Counter(final_states.values())
     print(f"{cluster.users.count} jobs: {', '.join(f'{count} {state}' for state, count in states.items())}")
-    for job_id, state in sorted(ends.items()):
+    for job_id, state in sorted(final_states.items()):
         print(f"  {job_id}: {state}")
     print("\n".join(cluster.waits.lines()))
     rules = cluster.stand_ins.rules
@@ -197,21 +201,21 @@
     """Run the command."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("schedule", nargs="?", type=Path, metavar="SCHEDULE.toml")
-    given = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     faults: Any = None
-    if given.schedule is not None:
+    if options.schedule is not None:
         try:
-            faults = read_schedule(given.schedule)
+            faults = read_schedule(options.schedule)
         except BadScheduleError as error:
             print(f"cut_links: {error}", file=sys.stderr)
             return 2
     with real_loop() as loop, tempfile.TemporaryDirectory() as folder:
-        running = loop.create_task(run(loop, Path(folder), faults))
+        run_task = loop.create_task(run(loop, Path(folder), faults))
         try:
-            return loop.run_until_complete(running)
+            return loop.run_until_complete(run_task)
         except KeyboardInterrupt:
-            running.cancel()
-            loop.run_until_complete(asyncio.wait([running]))
+            run_task.cancel()
+            loop.run_until_complete(asyncio.wait([run_task]))
             return 130
 
 
--- a/tools/forwarder.py
+++ b/tools/forwarder.py
@@ -29,21 +29,21 @@
         return f"{self._host}:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        onward: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            await self._until_passable(self._source, self._target)
+            await self._wait_until_passable(self._source, self._target)
             host, _, port = self._address.rpartition(":")
-            back, onward = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
             await asyncio.gather(
-                self._pump(reader, onward, self._source, self._target, writer),
-                self._pump(back, writer, self._target, self._source, writer),
+                self._pump(reader, target_writer, self._source, self._target, writer),
+                self._pump(target_reader, writer, self._target, self._source, writer),
             )
         except OSError:
             pass
         finally:
             writer.transport.abort()
-            if onward is not None:
-                onward.transport.abort()
+            if target_writer is not None:
+                target_writer.transport.abort()
 
     async def _pump(
         self,
@@ -51,20 +51,20 @@
         writer: asyncio.StreamWriter,
         source: str,
         target: str,
-        caller: asyncio.StreamWriter,
+        client_writer: asyncio.StreamWriter,
     ) -> None:
         while data := await reader.read(CHUNK_BYTES):
-            await self._until_passable(source, target)
+            await self._wait_until_passable(source, target)
             if self._faults.has("refuse", source, target):
-                caller.write(REFUSAL)
-                await caller.drain()
+                client_writer.write(REFUSAL)
+                await client_writer.drain()
                 break
             writer.write(data)
             await writer.drain()
         # When one side has closed, close both; the rest of the data from the other side is discarded.
         raise ConnectionResetError
 
-    async def _until_passable(self, source: str, target: str) -> None:
+    async def _wait_until_passable(self, source: str, target: str) -> None:
         """Wait until data may pass in that direction. Raises ConnectionResetError if the fault is a reset."""
         delay = self._faults.delay(source, target)
         if delay:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -27,11 +27,11 @@
 from tests.world.workers import Worker, WorkerSurroundings
 
 HOST = "127.0.0.1"
-REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
-CALL_TIME = timedelta(seconds=4)
-PORTS = range(20_000, 30_000)
+HEARTBEAT_INTERVAL_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
+CALL_TIMEOUT = timedelta(seconds=4)
+PORT_RANGE = range(20_000, 30_000)
 # Concurrent connections that each simulated service accepts.
-MOST_CONNECTIONS = 100
+MAX_SERVER_CONNECTIONS = 100
 
 
 def free_ports(count: int) -> list[int]:
@@ -40,18 +40,18 @@
     The ports are below the system's ephemeral range: an outgoing connection once took the port of a controller
     that was stopped for a second, and the restarted controller could not listen.
     """
-    found: list[int] = []
+    ports: list[int] = []
     with ExitStack() as stack:
-        for port in random.SystemRandom().sample(PORTS, len(PORTS)):
-            one = stack.enter_context(socket.socket())
+        for port in random.SystemRandom().sample(PORT_RANGE, len(PORT_RANGE)):
+            listener = stack.enter_context(socket.socket())
             try:
-                one.bind((HOST, port))
+                listener.bind((HOST, port))
             except OSError:
                 continue
-            found.append(port)
-            if len(found) == count:
-                return found
-    raise OSError(f"fewer than {count} free ports in {PORTS}")
+            ports.append(port)
+            if len(ports) == count:
+                return ports
+    raise OSError(f"fewer than {count} free ports in {PORT_RANGE}")
 
 
 class RealLoop(asyncio.SelectorEventLoop):
@@ -71,11 +71,11 @@
     try:
         yield loop
     finally:
-        rest = asyncio.all_tasks(loop)
-        for task in rest:
+        remaining_tasks = asyncio.all_tasks(loop)
+        for task in remaining_tasks:
             task.cancel()
-        if rest:
-            loop.run_until_complete(asyncio.wait(rest))
+        if remaining_tasks:
+            loop.run_until_complete(asyncio.wait(remaining_tasks))
         loop.run_until_complete(loop.shutdown_asyncgens())
         loop.close()
         asyncio.set_event_loop(None)
@@ -93,13 +93,18 @@
         self.rules = Rules(self._loop, {"red": 12.0, "blue": float("inf")}, CANCEL_S)
         self.store = SimulatedStore(self._loop, self._rng, 8, 8 * 1024)
         capacity = {
-            (kind["name"], zone, spot): machines for kind in TYPES for zone in kind["yards"] for spot in (True, False)
+            (machine_type["name"], zone, spot): machines
+            for machine_type in TYPES
+            for zone in machine_type["yards"]
+            for spot in (True, False)
         }
         self.cloud = SimulatedCloud(self._loop, self._rng, TYPES, 3.0, capacity)
-        self.cloud.on_running = self._machine_up
-        self.cloud.on_deleted = self._machine_gone
+        self.cloud.on_running = self._on_machine_running
+        self.cloud.on_deleted = self._on_machine_deleted
         nodes = list(controllers)
-        self._surroundings = WorkerSurroundings(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
+        self._surroundings = WorkerSurroundings(
+            self._loop, self._rng, self.rules, nodes, self._send_heartbeat, HEARTBEAT_INTERVAL_S
+        )
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
@@ -125,8 +130,8 @@
     def add_machines(self, count: int, boot_s: float = 0.5) -> None:
         """Add spot machines of random types and zones."""
         for _ in range(count):
-            kind = self._rng.choice(TYPES)
-            self.cloud.add(kind["name"], self._rng.choice(kind["yards"]), True, boot_s)
+            machine_type = self._rng.choice(TYPES)
+            self.cloud.add(machine_type["name"], self._rng.choice(machine_type["yards"]), True, boot_s)
 
     async def _serve(self, service: Service) -> int:
         async def handle(request: Request) -> Response:
@@ -134,31 +139,31 @@
             self.counts[f"{request.method} {request.path.split('/')[1]}"] += 1
             if service.down:
                 return Response(503, {"error": "trouble"})
-            answer = await service.serve(request.method, path, decode_body(request.body) if request.body else None)
-            return Response(answer.status, answer.body)
+            response = await service.serve(request.method, path, decode_body(request.body) if request.body else None)
+            return Response(response.status, response.body)
 
-        return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
+        return await HttpServer(handle, MAX_SERVER_CONNECTIONS).start(HOST, 0)
 
-    def _machine_up(self, machine: SimulatedMachine) -> None:
-        kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self._workers[machine.name] = Worker(self._surroundings, machine, kind, LEASE_S)
+    def _on_machine_running(self, machine: SimulatedMachine) -> None:
+        machine_type = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
+        self._workers[machine.name] = Worker(self._surroundings, machine, machine_type, LEASE_S)
 
-    def _machine_gone(self, name: str) -> None:
+    def _on_machine_deleted(self, name: str) -> None:
         worker = self._workers.pop(name, None)
         self._clients = {key: client for key, client in self._clients.items() if key[0] != name}
         if worker is not None:
             worker.terminate()
 
-    async def _report(self, name: str, node: str, request: Request) -> Response:
-        return await self._report_to(name, node, self.controllers[node], request)
+    async def _send_heartbeat(self, name: str, node: str, request: Request) -> Response:
+        return await self._send_heartbeat_to(name, node, self.controllers[node], request)
 
-    async def _report_to(self, name: str, node: str, address: str, request: Request) -> Response:
+    async def _send_heartbeat_to(self, name: str, node: str, address: str, request: Request) -> Response:
         """Send a worker's heartbeat to the controller of `node` through `address`."""
         client = self._clients.setdefault((name, node), HttpClient(address))
         self.counts["reports"] += 1
         try:
-            answer = await client.call(request.method, request.path, cbor2.loads(request.body), timeout=CALL_TIME)
+            response = await client.call(request.method, request.path, cbor2.loads(request.body), timeout=CALL_TIMEOUT)
         except NoResponseError as error:
             self.counts["reports without an answer"] += 1
             raise ConnectionError(str(error)) from error
-        return Response(answer.status, answer.body)
+        return Response(response.status, response.body)
--- a/tools/processes.py
+++ b/tools/processes.py
@@ -10,14 +10,14 @@
 class Node:
     """The controller process of one node, of any version, and its log lines."""
 
-    def __init__(self, name: str, folder: Path, began: float) -> None:
-        """Use the settings file `<name>.toml` in the folder; log times are relative to `began`."""
+    def __init__(self, name: str, folder: Path, start_time: float) -> None:
+        """Use the settings file `<name>.toml` in the folder; log times are relative to `start_time`."""
         self.name = name
         self.settings = folder / f"{name}.toml"
         self.lines: list[tuple[float, str]] = []
-        self._began = began
+        self._start_time = start_time
         self._process: Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._log_task: asyncio.Task[None] | None = None
 
     async def start(self, command: list[str], source: Path) -> None:
         """Start the process by `command`, with the code in the checkout `source`."""
@@ -25,21 +25,21 @@
         self._process = await asyncio.create_subprocess_exec(
             *command, "--config", str(self.settings), env=environment, cwd=source, stderr=PIPE
         )
-        self._reading = asyncio.get_running_loop().create_task(self._read(self._process))
+        self._log_task = asyncio.get_running_loop().create_task(self._read_log(self._process))
 
-    async def _read(self, process: Process) -> None:
+    async def _read_log(self, process: Process) -> None:
         assert process.stderr is not None
         while line := await process.stderr.readline():
-            self.lines.append((time.monotonic() - self._began, line.decode().rstrip()))
+            self.lines.append((time.monotonic() - self._start_time, line.decode().rstrip()))
 
     async def kill(self) -> None:
         """Kill the process and read its log to the end."""
         if self._process is not None and self._process.returncode is None:
             self._process.kill()
             await self._process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._log_task is not None:
+            await self._log_task
 
-    def when(self, text: str) -> float | None:
+    def last_logged_at(self, text: str) -> float | None:
         """Return the time of the last log line that contains the text, or None."""
-        return next((at for at, line in reversed(self.lines) if text in line), None)
+        return next((logged_at for logged_at, line in reversed(self.lines) if text in line), None)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -23,17 +23,17 @@
 from typing import Any
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
+from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, StandIns
 from tools.users import UserLoad, Users, Waits
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE = "loom-0"
-TICKS = os.sysconf("SC_CLK_TCK")
-READY_TIME = 60.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 60.0
 LOAD = UserLoad(tasks=40, task_s=20.0, poll_interval_s=5.0, polls=100, idle_connections=16)
 OUTAGE_S = 8.0
 
-DUTIES = (
+COMPONENTS = (
     ("net/http_client", "calls of our own"),
     ("net/", "requests and answers"),
     ("httptools", "requests and answers"),
@@ -83,7 +83,7 @@
     def cpu_s(self) -> float:
         """Return the CPU time used so far, in seconds."""
         fields = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
         """Return the peak resident memory so far."""
@@ -95,12 +95,12 @@
         """End the present phase; return the path of its profile, or None if profiling is off."""
         if self._output is None:
             return None
-        written = self._output / f"{self._phases}.prof"
+        path = self._output / f"{self._phases}.prof"
         self._phases += 1
         self._process.send_signal(signal.SIGUSR1)
-        while not written.exists():
+        while not path.exists():
             await asyncio.sleep(0.05)
-        return written
+        return path
 
     def kill(self) -> None:
         """Kill the process."""
@@ -125,17 +125,19 @@
     async def run(self) -> None:
         """Run all phases in order."""
         with tempfile.TemporaryDirectory() as folder:
-            settings = await self._serve(Path(folder))
+            settings = await self._start_services(Path(folder))
             controller = self._start(settings, "first")
-            await self._phase(controller, "start", self._until_ready())
-            await self._phase(controller, "opening rush, all workers come at once", self._opening())
-            await self._phase(controller, "steady", self._submit(self._jobs, LOAD.task_s))
-            await self._phase(controller, "outage of the state service", self._outage())
-            await self._phase(controller, "end of the outage", asyncio.sleep(5))
+            await self._run_phase(controller, "start", self._wait_until_ready())
+            await self._run_phase(
+                controller, "opening rush, all workers come at once", self._submit_while_machines_start()
+            )
+            await self._run_phase(controller, "steady", self._submit(self._jobs, LOAD.task_s))
+            await self._run_phase(controller, "outage of the state service", self._outage())
+            await self._run_phase(controller, "end of the outage", asyncio.sleep(5))
             controller.kill()
             controller = self._start(settings, "second")
-            await self._phase(controller, "start and load", self._until_ready())
-            await self._phase(controller, "after the load", asyncio.sleep(10))
+            await self._run_phase(controller, "start and load", self._wait_until_ready())
+            await self._run_phase(controller, "after the load", asyncio.sleep(10))
             controller.kill()
 
     def _start(self, settings: Path, name: str) -> ControllerProcess:
@@ -145,45 +147,47 @@
         output.mkdir(parents=True)
         return ControllerProcess(settings, output)
 
-    async def _serve(self, folder: Path) -> Path:
+    async def _start_services(self, folder: Path) -> Path:
         await self._stand_ins.start()
         settings = folder / "settings.toml"
         settings.write_text(self._stand_ins.settings(NODE, {NODE: f"{HOST}:18081"}, self._machines * 3))
         return settings
 
-    async def _phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
+    async def _run_phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
         self._counts.clear()
         self._waits = Waits()
-        began, cpu = time.monotonic(), controller.cpu_s()
+        start_time, start_cpu_s = time.monotonic(), controller.cpu_s()
         await work
-        took, used = time.monotonic() - began, controller.cpu_s() - cpu
-        requests = Counter(self._counts) + Counter({f"users' {what}": n for what, n in self._waits.counts.items()})
-        phase = Phase(name, took, used, controller.memory_mb(), requests)
+        wall_s, cpu_s = time.monotonic() - start_time, controller.cpu_s() - start_cpu_s
+        requests = Counter(self._counts) + Counter(
+            {f"users' {event}": count for event, count in self._waits.counts.items()}
+        )
+        phase = Phase(name, wall_s, cpu_s, controller.memory_mb(), requests)
         self.phases.append((phase, await controller.end_phase()))
 
     # Phases
 
-    async def _until_ready(self) -> None:
-        end = time.monotonic() + READY_TIME
-        while time.monotonic() < end:
+    async def _wait_until_ready(self) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
-                if (await self._client.call("GET", "/ready", timeout=CALL_TIME)).status == 200:
+                if (await self._client.call("GET", "/ready", timeout=CALL_TIMEOUT)).status == 200:
                     return
             except NoResponseError:
                 pass
             await asyncio.sleep(0.02)
-        raise TimeoutError(f"the controller was not ready within {READY_TIME:g} s")
+        raise TimeoutError(f"the controller was not ready within {READY_TIMEOUT_S:g} s")
 
-    async def _opening(self) -> None:
+    async def _submit_while_machines_start(self) -> None:
         """Submit half of the jobs before all machines start, and the other half while they start."""
         await self._submit(self._jobs // 2, 5.0)
         self._stand_ins.add_machines(self._machines)
         await self._submit(self._jobs // 2, 5.0)
 
-    async def _submit(self, jobs: int, over_s: float) -> None:
+    async def _submit(self, jobs: int, duration_s: float) -> None:
         for _ in range(jobs):
             self._users.submit_one()
-            await asyncio.sleep(over_s / jobs)
+            await asyncio.sleep(duration_s / jobs)
 
     async def _outage(self) -> None:
         self._stand_ins.store.outage(True)
@@ -191,57 +195,57 @@
         self._stand_ins.store.outage(False)
 
 
-def duty_of(path: str) -> str | None:
+def component_of(path: str) -> str | None:
     """Return the component of a source file, or None for built-in functions, which are attributed to their callers."""
     if path == "~":
         return None
-    return next((duty for part, duty in DUTIES if part in path), "the rest")
+    return next((component for part, component in COMPONENTS if part in path), "the rest")
 
 
 def shares(profile: Path) -> list[tuple[str, float]]:
     """Return each component's share of the CPU time, in descending order."""
     stats: Any = pstats.Stats(str(profile))
     times: Counter[str] = Counter()
-    for (path, _, name), (_, _, own, _, callers) in stats.stats.items():
+    for (path, _, name), (_, _, self_time, _, callers) in stats.stats.items():
         if "select.epoll" in name or "select.poll" in name:
             continue
-        duty = duty_of(path)
-        if duty is not None:
-            times[duty] += own
+        component = component_of(path)
+        if component is not None:
+            times[component] += self_time
             continue
-        for (caller, _, _), figures in callers.items():
-            times[duty_of(caller) or _built_in(name)] += figures[2]
+        for (caller, _, _), caller_stats in callers.items():
+            times[component_of(caller) or _built_in_component(name)] += caller_stats[2]
     total = sum(times.values()) or 1.0
-    return [(duty, spent / total) for duty, spent in times.most_common()]
+    return [(component, component_time / total) for component, component_time in times.most_common()]
 
 
-def _built_in(name: str) -> str:
-    return next((duty for part, duty in DUTIES if part.rstrip("/") in name), "the rest")
+def _built_in_component(name: str) -> str:
+    return next((component for part, component in COMPONENTS if part.rstrip("/") in name), "the rest")
 
 
 def report(phase: Phase, profile: Path | None) -> None:
     """Print the results of one phase."""
-    load = phase.cpu_s / phase.wall_s * 100
-    print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({load:.1f}% of a core)")
+    cpu_percent = phase.cpu_s / phase.wall_s * 100
+    print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({cpu_percent:.1f}% of a core)")
     print(f"  memory so far: {phase.memory_mb:.1f} MB at the most")
-    reports = phase.requests["reports"]
-    if reports:
-        print(f"  {phase.cpu_s / reports * 1e6:.0f} us of processor a report, all else included")
-    print("  " + ", ".join(f"{count} {what}" for what, count in sorted(phase.requests.items())))
+    heartbeats = phase.requests["reports"]
+    if heartbeats:
+        print(f"  {phase.cpu_s / heartbeats * 1e6:.0f} us of processor a report, all else included")
+    print("  " + ", ".join(f"{count} {request}" for request, count in sorted(phase.requests.items())))
     if profile is not None:
-        print("  " + ", ".join(f"{duty} {share:.0%}" for duty, share in shares(profile) if share >= 0.01))
+        print("  " + ", ".join(f"{component} {share:.0%}" for component, share in shares(profile) if share >= 0.01))
         print(f"  profile: {profile}")
 
 
 def main() -> None:
     """Run all phases and print their results."""
-    arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    arguments.add_argument("--machines", type=int, default=600)
-    arguments.add_argument(
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--machines", type=int, default=600)
+    parser.add_argument(
         "--jobs", type=int, default=150, help=f"submitted at the opening, and again each {LOAD.task_s:.0f} s"
     )
-    arguments.add_argument("--profile", type=Path, metavar="DIR", help="write profiles to this new directory")
-    options = arguments.parse_args()
+    parser.add_argument("--profile", type=Path, metavar="DIR", help="write profiles to this new directory")
+    options = parser.parse_args()
     loop = RealLoop()
     asyncio.set_event_loop(loop)
     measurement = Measurement(loop, options.machines, options.jobs, options.profile)
--- a/tools/profiled_controller.py
+++ b/tools/profiled_controller.py
@@ -18,10 +18,10 @@
 from elmthread.cli import main
 
 # Number of types of live objects that are listed, most frequent first.
-MOST_TYPES = 40
+MAX_LISTED_TYPES = 40
 
 
-class PhaseRecorder:
+class PhaseProfiler:
     """Profiles the process from `start` on and writes one profile per phase."""
 
     def __init__(self, output: Path) -> None:
@@ -39,19 +39,19 @@
         self._profile.disable()
         self._write_objects()
         # Written last and renamed once complete: tools.profile_controller waits for this file.
-        part = self._output / f"{self._phase}.part"
-        self._profile.dump_stats(part)
-        part.rename(self._output / f"{self._phase}.prof")
+        partial_file = self._output / f"{self._phase}.part"
+        self._profile.dump_stats(partial_file)
+        partial_file.rename(self._output / f"{self._phase}.prof")
         self._phase += 1
         self._profile = cProfile.Profile()
         self._profile.enable()
 
     def _write_objects(self) -> None:
-        counts = Counter(type(one).__name__ for one in gc.get_objects())
-        lines = [f"{count} {name}" for name, count in counts.most_common(MOST_TYPES)]
+        counts = Counter(type(item).__name__ for item in gc.get_objects())
+        lines = [f"{count} {name}" for name, count in counts.most_common(MAX_LISTED_TYPES)]
         (self._output / f"{self._phase}.objects").write_text("\n".join(lines) + "\n")
 
 
 if __name__ == "__main__":
-    PhaseRecorder(Path(sys.argv[1])).start()
+    PhaseProfiler(Path(sys.argv[1])).start()
     sys.exit(main(["serve", "--config", sys.argv[2]]))
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -25,7 +25,7 @@
 
 FOLDER = Path(__file__).resolve().parent.parent / "schemas"
 # Keys of a schema that msgspec derives from the names and docstrings of classes.
-CLASS_NAMES = frozenset({"$defs", "title", "description"})
+CLASS_DERIVED_KEYS = frozenset({"$defs", "title", "description"})
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
 # Name of each stored record or message -> the type that the code encodes and decodes it with.
@@ -49,29 +49,33 @@
 
 def schemas_of(forms: dict[str, Any]) -> dict[str, Any]:
     """Return the schema of each type, by name; fields that the type does not declare are not allowed."""
-    return {name: _schema(kind) for name, kind in forms.items()}
+    return {name: _schema(schema_type) for name, schema_type in forms.items()}
 
 
-def _schema(kind: Any) -> dict[str, Any]:
-    members = getattr(kind, "__args__", ()) if isinstance(kind, UnionType) else (kind,)
+def _schema(schema_type: Any) -> dict[str, Any]:
+    members = getattr(schema_type, "__args__", ()) if isinstance(schema_type, UnionType) else (schema_type,)
     # msgspec can't generate a schema for a union of untagged structs.
-    parts: list[Any] = [_plain(made, made.get("$defs", {})) for made in map(msgspec.json.schema, members)]
+    parts: list[Any] = [
+        _without_class_names(generated, generated.get("$defs", {})) for generated in map(msgspec.json.schema, members)
+    ]
     schema: dict[str, Any] = parts[0] if len(parts) == 1 else {"anyOf": parts}
     return {"$schema": DIALECT, **schema}
 
 
-def _plain(schema: Any, definitions: dict[str, Any]) -> Any:
+def _without_class_names(schema: Any, definitions: dict[str, Any]) -> Any:
     """Return the schema with inlined definitions, without additional properties, and independent of class names."""
     if isinstance(schema, list):
-        return [_plain(part, definitions) for part in schema]
+        return [_without_class_names(part, definitions) for part in schema]
     if not isinstance(schema, dict):
         return schema
     if "$ref" in schema:
-        return _plain(definitions[schema["$ref"].removeprefix("#/$defs/")], definitions)
-    plain = {name: _plain(part, definitions) for name, part in schema.items() if name not in CLASS_NAMES}
+        return _without_class_names(definitions[schema["$ref"].removeprefix("#/$defs/")], definitions)
+    cleaned = {
+        name: _without_class_names(part, definitions) for name, part in schema.items() if name not in CLASS_DERIVED_KEYS
+    }
     if "properties" in schema and "title" in schema:
-        plain["additionalProperties"] = False
-    return plain
+        cleaned["additionalProperties"] = False
+    return cleaned
 
 
 def text_of(schemas: dict[str, Any]) -> str:
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns, free_ports, real_loop
+from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, StandIns, free_ports, real_loop
 from tools.processes import Node
 from tools.users import Users, Waits
 
@@ -25,8 +25,8 @@
 NODES = ["loom-0", "loom-1", "loom-2"]
 MACHINES = 12
 # Downtime of each controller, and the time from its restart until the next one is stopped.
-AWAY_S, TURN_S = 1.0, 4.0
-PATIENCE_S = 120.0
+DOWNTIME_S, RESTART_INTERVAL_S = 1.0, 4.0
+TIMEOUT_S = 120.0
 
 
 @dataclass
@@ -44,20 +44,22 @@
     def __init__(self, loop: RealLoop, folder: Path, options: Options) -> None:
         """Use `folder` for settings files; `run` starts the processes."""
         self._options, self._folder = options, folder
-        self._began = time.monotonic()
+        self._start_time = time.monotonic()
         ports = free_ports(2 * len(NODES))
         self._addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self._peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.stand_ins = StandIns(loop, self._addresses, MACHINES)
-        self.nodes = {node: Node(node, folder, self._began) for node in NODES}
+        self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
         self.waits = {"before": Waits(), "upgrade": Waits(), "after": Waits(), "rollback": Waits()}
         self._phase = "before"
-        self._up: list[str] = []
-        self._users = Users(self.stand_ins, self._addresses, lambda: self._up[:], lambda: self.waits[self._phase])
+        self._running_nodes: list[str] = []
+        self._users = Users(
+            self.stand_ins, self._addresses, lambda: self._running_nodes[:], lambda: self.waits[self._phase]
+        )
         self.happened: list[tuple[float, str]] = []
 
-    def _note(self, what: str) -> None:
-        self.happened.append((time.monotonic() - self._began, what))
+    def _record_event(self, event: str) -> None:
+        self.happened.append((time.monotonic() - self._start_time, event))
 
     async def run(self) -> None:
         """Run the upgrade and the rollback, and wait until every job is done."""
@@ -68,44 +70,44 @@
             f"[rollout]\nenabled = true\nsoak_s = {self._options.soak_s}\n" if self._options.gate else ""
         )
         try:
-            await self._steps()
+            await self._run_steps()
         finally:
             for process in self.nodes.values():
                 await process.kill()
 
-    async def _steps(self) -> None:
+    async def _run_steps(self) -> None:
         for node in NODES:
-            await self._start_earlier(node)
+            await self._start_earlier_version(node)
         self.stand_ins.add_machines(MACHINES)
         await asyncio.sleep(3)
-        users = asyncio.get_running_loop().create_task(self._users.submit())
+        submit_task = asyncio.get_running_loop().create_task(self._users.submit())
         await asyncio.sleep(5)
         self._phase = "upgrade"
         for node in NODES:
             await self._stop(node)
-            await asyncio.sleep(AWAY_S)
-            await self._start_new(node)
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(DOWNTIME_S)
+            await self._start_this_version(node)
+            await asyncio.sleep(RESTART_INTERVAL_S)
         if self._options.gate:
-            await self._until_in_use()
+            await self._wait_until_level_in_use()
         self._phase = "after"
         await asyncio.sleep(5)
         self._phase = "rollback"
-        back = NODES[0]
-        await self._stop(back)
-        await self._start_earlier(back)
+        rolled_back = NODES[0]
+        await self._stop(rolled_back)
+        await self._start_earlier_version(rolled_back)
         await asyncio.sleep(8)
-        self._note(f"{back}, rolled back, answers /ready with {await self._ready(back)}")
-        await self._stop(back)
-        await self._start_new(back)
+        self._record_event(f"{rolled_back}, rolled back, answers /ready with {await self._ready_status(rolled_back)}")
+        await self._stop(rolled_back)
+        await self._start_this_version(rolled_back)
         await asyncio.sleep(5)
-        self._note(f"{back}, new again, answers /ready with {await self._ready(back)}")
-        users.cancel()
-        await self._until_over()
+        self._record_event(f"{rolled_back}, new again, answers /ready with {await self._ready_status(rolled_back)}")
+        submit_task.cancel()
+        await self._wait_until_jobs_done()
 
     # Controllers
 
-    async def _start_earlier(self, node: str) -> None:
+    async def _start_earlier_version(self, node: str) -> None:
         source = self._options.earlier
         command = [sys.executable, "-m", "elmthread.cli", "serve"]
         if source is None:
@@ -113,46 +115,46 @@
             command = [sys.executable, "-m", "tests.world.version_before"]
             command += ["--operators", str(self._folder / "rollout.toml")]
         await self.nodes[node].start(command, source)
-        self._up.append(node)
-        self._note(f"{node} starts the earlier version")
+        self._running_nodes.append(node)
+        self._record_event(f"{node} starts the earlier version")
 
-    async def _start_new(self, node: str) -> None:
+    async def _start_this_version(self, node: str) -> None:
         operators = ["--operators", str(self._folder / "rollout.toml")]
         await self.nodes[node].start([sys.executable, "-m", "elmthread.cli", "serve", *operators], ROOT)
-        self._up.append(node)
-        self._note(f"{node} starts this version")
+        self._running_nodes.append(node)
+        self._record_event(f"{node} starts this version")
 
     async def _stop(self, node: str) -> None:
-        self._up.remove(node)
+        self._running_nodes.remove(node)
         await self.nodes[node].kill()
-        self._note(f"{node} is ended")
+        self._record_event(f"{node} is ended")
 
-    async def _ready(self, node: str) -> int:
+    async def _ready_status(self, node: str) -> int:
         try:
-            return (await HttpClient(self._addresses[node]).call("GET", "/ready", timeout=CALL_TIME)).status
+            return (await HttpClient(self._addresses[node]).call("GET", "/ready", timeout=CALL_TIMEOUT)).status
         except NoResponseError:
             return 0
 
-    async def _until_in_use(self) -> None:
+    async def _wait_until_level_in_use(self) -> None:
         """Wait until every controller has logged that the level is in use."""
-        end = time.monotonic() + PATIENCE_S
-        while any(node.when("is in use here") is None for node in self.nodes.values()):
-            if time.monotonic() > end:
-                raise TimeoutError(f"the level is not in use on every controller after {PATIENCE_S:g} s")
+        deadline = time.monotonic() + TIMEOUT_S
+        while any(node.last_logged_at("is in use here") is None for node in self.nodes.values()):
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"the level is not in use on every controller after {TIMEOUT_S:g} s")
             await asyncio.sleep(0.02)
-        self._note("every controller uses the level")
+        self._record_event("every controller uses the level")
 
     # Completion of the jobs
 
-    async def _until_over(self) -> None:
-        end = time.monotonic() + PATIENCE_S
-        while time.monotonic() < end:
+    async def _wait_until_jobs_done(self) -> None:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             if len(self._users.states) == self._users.count and set(self._users.states.values()) == {"done"}:
-                self._note(f"all {self._users.count} jobs are done")
+                self._record_event(f"all {self._users.count} jobs are done")
                 return
             await asyncio.sleep(0.5)
-        open_jobs = sorted(job_id for job_id, state in self._users.states.items() if state != "done")
-        raise TimeoutError(f"{len(open_jobs)} of {self._users.count} jobs are not done: {open_jobs[:5]}")
+        unfinished_jobs = sorted(job_id for job_id, state in self._users.states.items() if state != "done")
+        raise TimeoutError(f"{len(unfinished_jobs)} of {self._users.count} jobs are not done: {unfinished_jobs[:5]}")
 
     # Report
 
@@ -165,21 +167,21 @@
         """Return lines with the times between announcement, activation and use of the level, taken from the logs."""
 
         def times(text: str) -> list[float]:
-            return sorted(at for node in self.nodes.values() for at, line in node.lines if text in line)
+            return sorted(logged_at for node in self.nodes.values() for logged_at, line in node.lines if text in line)
 
-        active, announced, used = times("is active"), times("are announced"), times("is in use here")
+        active, announced, in_use = times("is active"), times("are announced"), times("is in use here")
         if not active:
             return ["the level was not raised"]
-        last = max(at for at in announced if at <= active[0])
+        last_announced = max(logged_at for logged_at in announced if logged_at <= active[0])
         return [
-            f"last announcement to activation: {active[0] - last:.2f} s (soak time {self._options.soak_s} s)",
-            f"activation to use by the leader: {used[0] - active[0]:.3f} s, "
-            f"by all controllers: {used[len(NODES) - 1] - active[0]:.3f} s",
+            f"last announcement to activation: {active[0] - last_announced:.2f} s (soak time {self._options.soak_s} s)",
+            f"activation to use by the leader: {in_use[0] - active[0]:.3f} s, "
+            f"by all controllers: {in_use[len(NODES) - 1] - active[0]:.3f} s",
         ]
 
     def report(self) -> list[str]:
         """Return the lines of the report."""
-        lines = [f"{at:7.2f} s  {what}" for at, what in self.happened]
+        lines = [f"{event_time:7.2f} s  {event}" for event_time, event in self.happened]
         lines += self.durations() if self._options.gate else ["the rollout is off"]
         for phase, waits in self.waits.items():
             lines += [f"users, {phase}:", *waits.lines()]
@@ -193,13 +195,13 @@
 
 def main() -> int:
     """Run the upgrade once and print the report."""
-    arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    arguments.add_argument("--earlier", type=Path, metavar="DIR", help="a checkout of the version to begin with")
-    arguments.add_argument("--gate", choices=["on", "off"], default="on", help="whether the rollout is switched on")
-    arguments.add_argument("--soak", type=float, default=5.0, metavar="SECONDS")
-    given = arguments.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--earlier", type=Path, metavar="DIR", help="a checkout of the version to begin with")
+    parser.add_argument("--gate", choices=["on", "off"], default="on", help="whether the rollout is switched on")
+    parser.add_argument("--soak", type=float, default=5.0, metavar="SECONDS")
+    arguments = parser.parse_args()
     with real_loop() as loop, tempfile.TemporaryDirectory() as folder:
-        options = Options(given.earlier and given.earlier.resolve(), given.gate == "on", given.soak)
+        options = Options(arguments.earlier and arguments.earlier.resolve(), arguments.gate == "on", arguments.soak)
         upgrade = Upgrade(loop, Path(folder), options)
         loop.run_until_complete(upgrade.run())
         print("\n".join(upgrade.report()))
--- a/tools/users.py
+++ b/tools/users.py
@@ -11,10 +11,10 @@
 
 from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
 from tests.world.specs import job, sent
-from tools.loopback import CALL_TIME, StandIns
+from tools.loopback import CALL_TIMEOUT, StandIns
 
 # Bounds of the latency histograms in milliseconds, and their number of significant digits.
-MIN_WAIT_MS, MAX_WAIT_MS, DIGITS = 1, 60_000, 3
+MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS = 1, 60_000, 3
 # Attempts per submission, at intervals of 1 s: the protocol allows 60 s.
 MAX_ATTEMPTS = 60
 SLOW_SUBMISSION_MS = 1000
@@ -24,19 +24,24 @@
 class Waits:
     """Latencies of users' requests in one phase, and counts of requests and failures."""
 
-    submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
-    polls: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, DIGITS))
+    submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS))
+    polls: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS))
     counts: Counter[str] = field(default_factory=Counter)
 
     def lines(self) -> list[str]:
         """Return the statistics as lines of a report."""
-        found = []
+        report = []
         for name, histogram in (("submissions", self.submissions), ("polls", self.polls)):
             total = histogram.get_total_count()
-            at = ", ".join(f"p{part:g} {histogram.get_value_at_percentile(part)} ms" for part in (50, 90, 99, 100))
-            found.append(f"  {total} {name} answered: {at}" if total else f"  no {name}")
-        found.append("  " + (", ".join(f"{count} {what}" for what, count in sorted(self.counts.items())) or "all well"))
-        return found
+            percentiles = ", ".join(
+                f"p{percentile:g} {histogram.get_value_at_percentile(percentile)} ms"
+                for percentile in (50, 90, 99, 100)
+            )
+            report.append(f"  {total} {name} answered: {percentiles}" if total else f"  no {name}")
+        report.append(
+            "  " + (", ".join(f"{count} {event}" for event, count in sorted(self.counts.items())) or "all well")
+        )
+        return report
 
 
 @dataclass(frozen=True)
@@ -54,7 +59,7 @@
     idle_connections: int = 0
 
 
-USUAL_LOAD = UserLoad()
+DEFAULT_LOAD = UserLoad()
 
 
 class Users:
@@ -64,13 +69,13 @@
         self,
         stand_ins: StandIns,
         addresses: dict[str, str],
-        healthy: Callable[[], list[str]],
+        healthy_nodes: Callable[[], list[str]],
         waits: Callable[[], Waits],
-        load: UserLoad = USUAL_LOAD,
+        load: UserLoad = DEFAULT_LOAD,
     ) -> None:
-        """Send requests to the nodes that `healthy` returns, and record them in the object that `waits` returns."""
+        """Send requests to the nodes that `healthy_nodes` returns, and record them in what `waits` returns."""
         self._stand_ins, self._load = stand_ins, load
-        self._healthy, self._waits = healthy, waits
+        self._healthy_nodes, self._waits = healthy_nodes, waits
         self._clients = {node: HttpClient(address, load.idle_connections) for node, address in addresses.items()}
         # Number of jobs submitted, and the last state received for each job.
         self.count = 0
@@ -87,51 +92,51 @@
         spec = job(self.count, pieces=self._load.tasks, expected_s=self._load.task_s, true_s=self._load.task_s)
         self.count += 1
         self._stand_ins.rules.submitted(spec)
-        asyncio.get_running_loop().create_task(self._follow(spec))
+        asyncio.get_running_loop().create_task(self._submit_and_poll(spec))
 
-    async def _follow(self, spec: dict[str, Any]) -> None:
+    async def _submit_and_poll(self, spec: dict[str, Any]) -> None:
         job_id, waits = spec["name_id"], self._waits()
-        began = time.monotonic()
+        start_time = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
-            answer = await self._ask(job_id, "POST", "/submissions", sent(spec))
-            if answer is not None and answer.status in (200, 201):
+            response = await self._request(job_id, "POST", "/submissions", sent(spec))
+            if response is not None and response.status in (200, 201):
                 break
             waits.counts["submissions tried again"] += 1
             await asyncio.sleep(1)
         else:
             waits.counts["submissions given up"] += 1
             return
-        took_ms = (time.monotonic() - began) * 1000
-        waits.submissions.record_value(max(MIN_WAIT_MS, round(took_ms)))
-        waits.counts["submissions that took over 1 s"] += took_ms > SLOW_SUBMISSION_MS
-        polled = 0
-        while self.states.get(job_id) != "done" if self._load.polls is None else polled < self._load.polls:
+        elapsed_ms = (time.monotonic() - start_time) * 1000
+        waits.submissions.record_value(max(MIN_WAIT_MS, round(elapsed_ms)))
+        waits.counts["submissions that took over 1 s"] += elapsed_ms > SLOW_SUBMISSION_MS
+        poll_count = 0
+        while self.states.get(job_id) != "done" if self._load.polls is None else poll_count < self._load.polls:
             await asyncio.sleep(self._load.poll_interval_s)
             await self._poll(job_id)
-            polled += 1
+            poll_count += 1
 
     async def _poll(self, job_id: str) -> None:
-        waits, began = self._waits(), time.monotonic()
-        answer = await self._ask(job_id, "GET", f"/submissions/{job_id}", None)
-        if answer is None or answer.status != 200:
+        waits, start_time = self._waits(), time.monotonic()
+        response = await self._request(job_id, "GET", f"/submissions/{job_id}", None)
+        if response is None or response.status != 200:
             waits.counts["polls without an answer"] += 1
             return
-        waits.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - began) * 1000)))
-        self.states[job_id] = answer.body["status"]
+        waits.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - start_time) * 1000)))
+        self.states[job_id] = response.body["status"]
 
-    async def _ask(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
+    async def _request(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
         """Send a request as a load balancer does: try the next node if one does not respond or returns 503."""
         self._waits().counts["requests"] += 1
-        asked = asyncio.get_running_loop().time()
-        answer = None
-        for node in self._healthy():
+        sent_at = asyncio.get_running_loop().time()
+        response = None
+        for node in self._healthy_nodes():
             try:
-                answer = await self._clients[node].call(method, path, body, timeout=CALL_TIME)
+                response = await self._clients[node].call(method, path, body, timeout=CALL_TIMEOUT)
             except NoResponseError:
                 continue
-            if answer.status != 503:
+            if response.status != 503:
                 break
-        if answer is not None:
-            state = answer.body.get("status") if isinstance(answer.body, dict) else None
-            self._stand_ins.rules.observe_response(job_id, answer.status, state, asked)
-        return answer
+        if response is not None:
+            state = response.body.get("status") if isinstance(response.body, dict) else None
+            self._stand_ins.rules.observe_response(job_id, response.status, state, sent_at)
+        return response
