--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -145,7 +145,7 @@
         return await HttpServer(handle, MAX_SERVER_CONNECTIONS).start(HOST, 0)
 
     def _on_machine_running(self, machine: SimulatedMachine) -> None:
-        machine_type = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
+        machine_type = next(machine_type for machine_type in TYPES if machine_type["name"] == machine.machine_type)
         self._workers[machine.name] = Worker(self._surroundings, machine, machine_type, LEASE_S)
 
     def _on_machine_deleted(self, name: str) -> None:
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -98,10 +98,8 @@
     if level > 1:
         await until_level(world, level)
     for number in range(machines // MACHINES_PER_JOB):
-        task_count = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, TASKS_SIGMA) * MEDIAN_TASKS) + 1)
-        spec = job(
-            number, pieces=task_count, true_s=TASK_RUN_TIME_S, expected_s=TASK_RUN_TIME_S, kit=f"img-{number % 7}"
-        )
+        pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, TASKS_SIGMA) * MEDIAN_TASKS) + 1)
+        spec = job(number, pieces=pieces, true_s=TASK_RUN_TIME_S, expected_s=TASK_RUN_TIME_S, kit=f"img-{number % 7}")
         if not await world.submit(spec):
             raise AssertionError(f"submission of {spec['name_id']} was not accepted")
         await asyncio.sleep(SUBMISSION_PERIOD_S / (machines // MACHINES_PER_JOB))
