--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -14,7 +14,7 @@
 
 def test_real_controllers_are_upgraded_with_jobs_running_and_a_rollback_is_refused(tmp_path: Path) -> None:
     with real_loop() as loop:
-        upgrade = Upgrade(loop, tmp_path, Options(earlier=None, gate=True, soak_s=2.0))
+        upgrade = Upgrade(loop, tmp_path, Options(earlier=None, rollout_enabled=True, soak_s=2.0))
         loop.run_until_complete(upgrade.run())
     assert upgrade.stand_ins.rules.broken == []
     assert upgrade.level() == SUPPORTED.highest
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -23,9 +23,9 @@
 from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
-from tools.loopback import HOST, RealLoop, StandIns, free_ports, real_loop
+from tools.loopback import HOST, RealLoop, SimulatedServices, free_ports, real_loop
 from tools.processes import Node
-from tools.users import Users, Waits
+from tools.users import Users, RequestStats
 
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
@@ -36,7 +36,7 @@
 CHECK_INTERVAL_S = 0.5
 
 
-class ForwardedServices(StandIns):
+class ForwardedServices(SimulatedServices):
     """Simulated services whose workers reach each controller through the forwarder of their zone."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
@@ -62,7 +62,7 @@
         self.faults = LinkFaults()
         self.stand_ins = ForwardedServices(loop, self.addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
-        self.waits = Waits()
+        self.waits = RequestStats()
         self.users = Users(self.stand_ins, self.addresses, lambda: list(NODES), lambda: self.waits)
         self._printed_lines: dict[str, list[str]] = {}
 
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -81,7 +81,7 @@
         asyncio.set_event_loop(None)
 
 
-class StandIns:
+class SimulatedServices:
     """Simulated state service, cloud and workers for the controllers in `controllers` (node to address)."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -23,8 +23,8 @@
 from typing import Any
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, StandIns
-from tools.users import UserLoad, Users, Waits
+from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, SimulatedServices
+from tools.users import UserLoad, Users, RequestStats
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE = "loom-0"
@@ -115,11 +115,11 @@
         """Write profiles to the directory `output`; None disables profiling."""
         self._machines, self._jobs, self._output = machines, jobs, output
         self._address = f"{HOST}:18080"
-        self._stand_ins = StandIns(loop, {NODE: self._address}, machines)
-        self._counts = self._stand_ins.counts
+        self._services = SimulatedServices(loop, {NODE: self._address}, machines)
+        self._counts = self._services.counts
         self._client = HttpClient(self._address)
-        self._waits = Waits()
-        self._users = Users(self._stand_ins, {NODE: self._address}, lambda: [NODE], lambda: self._waits, LOAD)
+        self._stats = RequestStats()
+        self._users = Users(self._services, {NODE: self._address}, lambda: [NODE], lambda: self._stats, LOAD)
         self.phases: list[tuple[Phase, Path | None]] = []
 
     async def run(self) -> None:
@@ -148,19 +148,19 @@
         return ControllerProcess(settings, output)
 
     async def _start_services(self, folder: Path) -> Path:
-        await self._stand_ins.start()
+        await self._services.start()
         settings = folder / "settings.toml"
-        settings.write_text(self._stand_ins.settings(NODE, {NODE: f"{HOST}:18081"}, self._machines * 3))
+        settings.write_text(self._services.settings(NODE, {NODE: f"{HOST}:18081"}, self._machines * 3))
         return settings
 
     async def _run_phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
         self._counts.clear()
-        self._waits = Waits()
+        self._stats = RequestStats()
         start_time, start_cpu_s = time.monotonic(), controller.cpu_s()
         await work
         wall_s, cpu_s = time.monotonic() - start_time, controller.cpu_s() - start_cpu_s
         requests = Counter(self._counts) + Counter(
-            {f"users' {event}": count for event, count in self._waits.counts.items()}
+            {f"users' {event}": count for event, count in self._stats.counts.items()}
         )
         phase = Phase(name, wall_s, cpu_s, controller.memory_mb(), requests)
         self.phases.append((phase, await controller.end_phase()))
@@ -181,7 +181,7 @@
     async def _submit_while_machines_start(self) -> None:
         """Submit half of the jobs before all machines start, and the other half while they start."""
         await self._submit(self._jobs // 2, 5.0)
-        self._stand_ins.add_machines(self._machines)
+        self._services.add_machines(self._machines)
         await self._submit(self._jobs // 2, 5.0)
 
     async def _submit(self, jobs: int, duration_s: float) -> None:
@@ -190,9 +190,9 @@
             await asyncio.sleep(duration_s / jobs)
 
     async def _outage(self) -> None:
-        self._stand_ins.store.outage(True)
+        self._services.store.outage(True)
         await asyncio.sleep(OUTAGE_S)
-        self._stand_ins.store.outage(False)
+        self._services.store.outage(False)
 
 
 def component_of(path: str) -> str | None:
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -47,9 +47,9 @@
 ROLLOUT_FORMS: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
 
 
-def schemas_of(forms: dict[str, Any]) -> dict[str, Any]:
+def schemas_of(schema_types: dict[str, Any]) -> dict[str, Any]:
     """Return the schema of each type, by name; fields that the type does not declare are not allowed."""
-    return {name: _schema(schema_type) for name, schema_type in forms.items()}
+    return {name: _schema(schema_type) for name, schema_type in schema_types.items()}
 
 
 def _schema(schema_type: Any) -> dict[str, Any]:
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -17,9 +17,9 @@
 from pathlib import Path
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, StandIns, free_ports, real_loop
+from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, SimulatedServices, free_ports, real_loop
 from tools.processes import Node
-from tools.users import Users, Waits
+from tools.users import Users, RequestStats
 
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
@@ -34,7 +34,7 @@
     """Options of an upgrade run."""
 
     earlier: Path | None
-    gate: bool
+    rollout_enabled: bool
     soak_s: float
 
 
@@ -48,9 +48,14 @@
         ports = free_ports(2 * len(NODES))
         self._addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self._peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
-        self.stand_ins = StandIns(loop, self._addresses, MACHINES)
+        self.stand_ins = SimulatedServices(loop, self._addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
-        self.waits = {"before": Waits(), "upgrade": Waits(), "after": Waits(), "rollback": Waits()}
+        self.waits = {
+            "before": RequestStats(),
+            "upgrade": RequestStats(),
+            "after": RequestStats(),
+            "rollback": RequestStats(),
+        }
         self._phase = "before"
         self._running_nodes: list[str] = []
         self._users = Users(
@@ -67,7 +72,7 @@
         for node in NODES:
             self.nodes[node].settings.write_text(self.stand_ins.settings(node, self._peers, 200))
         (self._folder / "rollout.toml").write_text(
-            f"[rollout]\nenabled = true\nsoak_s = {self._options.soak_s}\n" if self._options.gate else ""
+            f"[rollout]\nenabled = true\nsoak_s = {self._options.soak_s}\n" if self._options.rollout_enabled else ""
         )
         try:
             await self._run_steps()
@@ -88,7 +93,7 @@
             await asyncio.sleep(DOWNTIME_S)
             await self._start_this_version(node)
             await asyncio.sleep(RESTART_INTERVAL_S)
-        if self._options.gate:
+        if self._options.rollout_enabled:
             await self._wait_until_level_in_use()
         self._phase = "after"
         await asyncio.sleep(5)
@@ -182,7 +187,7 @@
     def report(self) -> list[str]:
         """Return the lines of the report."""
         lines = [f"{event_time:7.2f} s  {event}" for event_time, event in self.happened]
-        lines += self.durations() if self._options.gate else ["the rollout is off"]
+        lines += self.durations() if self._options.rollout_enabled else ["the rollout is off"]
         for phase, waits in self.waits.items():
             lines += [f"users, {phase}:", *waits.lines()]
         starts = self.stand_ins.rules.starts
--- a/tools/users.py
+++ b/tools/users.py
@@ -11,7 +11,7 @@
 
 from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
 from tests.world.specs import job, sent
-from tools.loopback import CALL_TIMEOUT, StandIns
+from tools.loopback import CALL_TIMEOUT, SimulatedServices
 
 # Bounds of the latency histograms in milliseconds, and their number of significant digits.
 MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS = 1, 60_000, 3
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Waits:
+class RequestStats:
     """Latencies of users' requests in one phase, and counts of requests and failures."""
 
     submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS))
@@ -67,15 +67,15 @@
 
     def __init__(
         self,
-        stand_ins: StandIns,
+        services: SimulatedServices,
         addresses: dict[str, str],
         healthy_nodes: Callable[[], list[str]],
-        waits: Callable[[], Waits],
+        current_stats: Callable[[], RequestStats],
         load: UserLoad = DEFAULT_LOAD,
     ) -> None:
-        """Send requests to the nodes that `healthy_nodes` returns, and record them in what `waits` returns."""
-        self._stand_ins, self._load = stand_ins, load
-        self._healthy_nodes, self._waits = healthy_nodes, waits
+        """Send requests to the nodes that `healthy_nodes` returns, and record them in what `current_stats` returns."""
+        self._services, self._load = services, load
+        self._healthy_nodes, self._current_stats = healthy_nodes, current_stats
         self._clients = {node: HttpClient(address, load.idle_connections) for node, address in addresses.items()}
         # Number of jobs submitted, and the last state received for each job.
         self.count = 0
@@ -91,24 +91,24 @@
         """Submit a job and poll it in a background task."""
         spec = job(self.count, pieces=self._load.tasks, expected_s=self._load.task_s, true_s=self._load.task_s)
         self.count += 1
-        self._stand_ins.rules.submitted(spec)
+        self._services.rules.submitted(spec)
         asyncio.get_running_loop().create_task(self._submit_and_poll(spec))
 
     async def _submit_and_poll(self, spec: dict[str, Any]) -> None:
-        job_id, waits = spec["name_id"], self._waits()
+        job_id, stats = spec["name_id"], self._current_stats()
         start_time = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
             response = await self._request(job_id, "POST", "/submissions", sent(spec))
             if response is not None and response.status in (200, 201):
                 break
-            waits.counts["submissions tried again"] += 1
+            stats.counts["submissions tried again"] += 1
             await asyncio.sleep(1)
         else:
-            waits.counts["submissions given up"] += 1
+            stats.counts["submissions given up"] += 1
             return
         elapsed_ms = (time.monotonic() - start_time) * 1000
-        waits.submissions.record_value(max(MIN_WAIT_MS, round(elapsed_ms)))
-        waits.counts["submissions that took over 1 s"] += elapsed_ms > SLOW_SUBMISSION_MS
+        stats.submissions.record_value(max(MIN_WAIT_MS, round(elapsed_ms)))
+        stats.counts["submissions that took over 1 s"] += elapsed_ms > SLOW_SUBMISSION_MS
         poll_count = 0
         while self.states.get(job_id) != "done" if self._load.polls is None else poll_count < self._load.polls:
             await asyncio.sleep(self._load.poll_interval_s)
@@ -116,17 +116,17 @@
             poll_count += 1
 
     async def _poll(self, job_id: str) -> None:
-        waits, start_time = self._waits(), time.monotonic()
+        stats, start_time = self._current_stats(), time.monotonic()
         response = await self._request(job_id, "GET", f"/submissions/{job_id}", None)
         if response is None or response.status != 200:
-            waits.counts["polls without an answer"] += 1
+            stats.counts["polls without an answer"] += 1
             return
-        waits.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - start_time) * 1000)))
+        stats.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - start_time) * 1000)))
         self.states[job_id] = response.body["status"]
 
     async def _request(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
         """Send a request as a load balancer does: try the next node if one does not respond or returns 503."""
-        self._waits().counts["requests"] += 1
+        self._current_stats().counts["requests"] += 1
         sent_at = asyncio.get_running_loop().time()
         response = None
         for node in self._healthy_nodes():
@@ -138,5 +138,5 @@
                 break
         if response is not None:
             state = response.body.get("status") if isinstance(response.body, dict) else None
-            self._stand_ins.rules.observe_response(job_id, response.status, state, sent_at)
+            self._services.rules.observe_response(job_id, response.status, state, sent_at)
         return response
