--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -16,7 +16,7 @@
     with real_loop() as loop:
         upgrade = Upgrade(loop, tmp_path, Options(earlier=None, rollout_enabled=True, soak_s=2.0))
         loop.run_until_complete(upgrade.run())
-    assert upgrade.stand_ins.rules.broken == []
+    assert upgrade.services.rules.broken == []
     assert upgrade.level() == SUPPORTED.highest
     told = [what for _, what in upgrade.happened]
     assert f"{NODES[0]}, rolled back, answers /ready with 503" in told
@@ -25,7 +25,7 @@
     assert len(refusals) == 1 and refusals[0].startswith("ERROR")
     # Every user was answered in the end, and hardly anything was started again for the upgrade.
     assert all(waits.counts["submissions given up"] == 0 for waits in upgrade.waits.values())
-    starts = upgrade.stand_ins.rules.starts
+    starts = upgrade.services.rules.starts
     assert sum(starts.values()) < 1.1 * len(starts)
 
 
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -60,10 +60,10 @@
         self.addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.faults = LinkFaults()
-        self.stand_ins = ForwardedServices(loop, self.addresses, MACHINES)
+        self.services = ForwardedServices(loop, self.addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
         self.waits = RequestStats()
-        self.users = Users(self.stand_ins, self.addresses, lambda: list(NODES), lambda: self.waits)
+        self.users = Users(self.services, self.addresses, lambda: list(NODES), lambda: self.waits)
         self._printed_lines: dict[str, list[str]] = {}
 
     def log(self, message: str) -> None:
@@ -72,23 +72,23 @@
 
     async def start(self) -> None:
         """Start all services and processes; the controllers may take a few seconds to become ready."""
-        await self.stand_ins.start()
+        await self.services.start()
         for node in NODES:
             for zone in ZONES:
                 worker_link = self._start_forwarder(f"{WORKERS}/{zone}", node, self.addresses[node])
-                self.stand_ins.routes[zone, node] = await worker_link
+                self.services.routes[zone, node] = await worker_link
             await self._write_settings(node)
         operators = self.folder / "rollout.toml"
         operators.write_text(f"[rollout]\nenabled = true\nsoak_s = {SOAK_S}\n")
         for process in self.nodes.values():
             command = [sys.executable, "-m", "elmthread.cli", "serve", "--operators", str(operators)]
             await process.start(command, ROOT)
-        self.stand_ins.add_machines(MACHINES)
+        self.services.add_machines(MACHINES)
 
     async def _write_settings(self, node: str) -> None:
         peers = {other: await self._start_forwarder(node, other, self.peers[other]) for other in NODES if other != node}
-        text = self.stand_ins.settings(node, peers | {node: self.peers[node]}, MAX_CONNECTIONS)
-        store = self.stand_ins.store_address
+        text = self.services.settings(node, peers | {node: self.peers[node]}, MAX_CONNECTIONS)
+        store = self.services.store_address
         self.nodes[node].settings.write_text(text.replace(store, await self._start_forwarder(node, STORE, store)))
 
     async def _start_forwarder(self, source: str, target: str, address: str) -> str:
@@ -101,8 +101,8 @@
 
     def register_submitted_jobs(self) -> None:
         """Register jobs that were submitted by external clients, so that the simulated workers can run them."""
-        rules = self.stand_ins.rules
-        for key, record in newest(self.stand_ins.store.values()).items():
+        rules = self.services.rules
+        for key, record in newest(self.services.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
                 spec = record["spec"]
                 optional_fields = {"builds": None, "yard": None, "due_s": None}
@@ -182,7 +182,7 @@
     for job_id, state in sorted(final_states.items()):
         print(f"  {job_id}: {state}")
     print("\n".join(cluster.waits.lines()))
-    rules = cluster.stand_ins.rules
+    rules = cluster.services.rules
     print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
     return 0 if finished and not rules.broken else 1
 
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -48,7 +48,7 @@
         ports = free_ports(2 * len(NODES))
         self._addresses = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self._peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
-        self.stand_ins = SimulatedServices(loop, self._addresses, MACHINES)
+        self.services = SimulatedServices(loop, self._addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
         self.waits = {
             "before": RequestStats(),
@@ -59,7 +59,7 @@
         self._phase = "before"
         self._running_nodes: list[str] = []
         self._users = Users(
-            self.stand_ins, self._addresses, lambda: self._running_nodes[:], lambda: self.waits[self._phase]
+            self.services, self._addresses, lambda: self._running_nodes[:], lambda: self.waits[self._phase]
         )
         self.happened: list[tuple[float, str]] = []
 
@@ -68,9 +68,9 @@
 
     async def run(self) -> None:
         """Run the upgrade and the rollback, and wait until every job is done."""
-        await self.stand_ins.start()
+        await self.services.start()
         for node in NODES:
-            self.nodes[node].settings.write_text(self.stand_ins.settings(node, self._peers, 200))
+            self.nodes[node].settings.write_text(self.services.settings(node, self._peers, 200))
         (self._folder / "rollout.toml").write_text(
             f"[rollout]\nenabled = true\nsoak_s = {self._options.soak_s}\n" if self._options.rollout_enabled else ""
         )
@@ -83,7 +83,7 @@
     async def _run_steps(self) -> None:
         for node in NODES:
             await self._start_earlier_version(node)
-        self.stand_ins.add_machines(MACHINES)
+        self.services.add_machines(MACHINES)
         await asyncio.sleep(3)
         submit_task = asyncio.get_running_loop().create_task(self._users.submit())
         await asyncio.sleep(5)
@@ -165,7 +165,7 @@
 
     def level(self) -> int:
         """Return the active level in the store."""
-        stored = self.stand_ins.store.items.get("rollout/level")
+        stored = self.services.store.items.get("rollout/level")
         return 1 if stored is None else int(stored[0]["level"])
 
     def durations(self) -> list[str]:
@@ -190,9 +190,9 @@
         lines += self.durations() if self._options.rollout_enabled else ["the rollout is off"]
         for phase, waits in self.waits.items():
             lines += [f"users, {phase}:", *waits.lines()]
-        starts = self.stand_ins.rules.starts
+        starts = self.services.rules.starts
         lines.append(f"{sum(starts.values())} starts of {len(starts)} tasks; level {self.level()}")
-        lines.append(f"rules broken: {self.stand_ins.rules.broken or 'none'}")
+        lines.append(f"rules broken: {self.services.rules.broken or 'none'}")
         lines.append("said by the node that was rolled back:")
         refusals = [line for _, line in self.nodes[NODES[0]].lines if "does not take part" in line]
         return lines + [f"  {line}" for line in refusals[-1:] or ["nothing"]]
@@ -210,7 +210,7 @@
         upgrade = Upgrade(loop, Path(folder), options)
         loop.run_until_complete(upgrade.run())
         print("\n".join(upgrade.report()))
-    return 1 if upgrade.stand_ins.rules.broken else 0
+    return 1 if upgrade.services.rules.broken else 0
 
 
 if __name__ == "__main__":
