--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -24,7 +24,7 @@
     refusals = [line for _, line in upgrade.nodes[NODES[0]].lines if "it does not take part" in line]
     assert len(refusals) == 1 and refusals[0].startswith("ERROR")
     # Every user was answered in the end, and hardly anything was started again for the upgrade.
-    assert all(waits.counts["submissions given up"] == 0 for waits in upgrade.waits.values())
+    assert all(request_stats.counts["submissions given up"] == 0 for request_stats in upgrade.request_stats.values())
     starts = upgrade.services.rules.starts
     assert sum(starts.values()) < 1.1 * len(starts)
 
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -62,8 +62,8 @@
         self.faults = LinkFaults()
         self.services = ForwardedServices(loop, self.addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
-        self.waits = RequestStats()
-        self.users = Users(self.services, self.addresses, lambda: list(NODES), lambda: self.waits)
+        self.request_stats = RequestStats()
+        self.users = Users(self.services, self.addresses, lambda: list(NODES), lambda: self.request_stats)
         self._printed_lines: dict[str, list[str]] = {}
 
     def log(self, message: str) -> None:
@@ -181,7 +181,7 @@
     print(f"{cluster.users.count} jobs: {', '.join(f'{count} {state}' for state, count in states.items())}")
     for job_id, state in sorted(final_states.items()):
         print(f"  {job_id}: {state}")
-    print("\n".join(cluster.waits.lines()))
+    print("\n".join(cluster.request_stats.lines()))
     rules = cluster.services.rules
     print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
     return 0 if finished and not rules.broken else 1
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -50,7 +50,7 @@
         self._peers = {node: f"{HOST}:{ports.pop()}" for node in NODES}
         self.services = SimulatedServices(loop, self._addresses, MACHINES)
         self.nodes = {node: Node(node, folder, self._start_time) for node in NODES}
-        self.waits = {
+        self.request_stats = {
             "before": RequestStats(),
             "upgrade": RequestStats(),
             "after": RequestStats(),
@@ -59,7 +59,7 @@
         self._phase = "before"
         self._running_nodes: list[str] = []
         self._users = Users(
-            self.services, self._addresses, lambda: self._running_nodes[:], lambda: self.waits[self._phase]
+            self.services, self._addresses, lambda: self._running_nodes[:], lambda: self.request_stats[self._phase]
         )
         self.happened: list[tuple[float, str]] = []
 
@@ -188,8 +188,8 @@
         """Return the lines of the report."""
         lines = [f"{event_time:7.2f} s  {event}" for event_time, event in self.happened]
         lines += self.durations() if self._options.rollout_enabled else ["the rollout is off"]
-        for phase, waits in self.waits.items():
-            lines += [f"users, {phase}:", *waits.lines()]
+        for phase, request_stats in self.request_stats.items():
+            lines += [f"users, {phase}:", *request_stats.lines()]
         starts = self.services.rules.starts
         lines.append(f"{sum(starts.values())} starts of {len(starts)} tasks; level {self.level()}")
         lines.append(f"rules broken: {self.services.rules.broken or 'none'}")
