--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -18,7 +18,7 @@
         loop.run_until_complete(upgrade.run())
     assert upgrade.services.rules.broken == []
     assert upgrade.level() == SUPPORTED.highest
-    told = [what for _, what in upgrade.happened]
+    told = [what for _, what in upgrade.events]
     assert f"{NODES[0]}, rolled back, answers /ready with 503" in told
     assert f"{NODES[0]}, new again, answers /ready with 200" in told
     refusals = [line for _, line in upgrade.nodes[NODES[0]].lines if "it does not take part" in line]
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -61,10 +61,10 @@
         self._users = Users(
             self.services, self._addresses, lambda: self._running_nodes[:], lambda: self.request_stats[self._phase]
         )
-        self.happened: list[tuple[float, str]] = []
+        self.events: list[tuple[float, str]] = []
 
     def _record_event(self, event: str) -> None:
-        self.happened.append((time.monotonic() - self._start_time, event))
+        self.events.append((time.monotonic() - self._start_time, event))
 
     async def run(self) -> None:
         """Run the upgrade and the rollback, and wait until every job is done."""
@@ -186,7 +186,7 @@
 
     def report(self) -> list[str]:
         """Return the lines of the report."""
-        lines = [f"{event_time:7.2f} s  {event}" for event_time, event in self.happened]
+        lines = [f"{event_time:7.2f} s  {event}" for event_time, event in self.events]
         lines += self.durations() if self._options.rollout_enabled else ["the rollout is off"]
         for phase, request_stats in self.request_stats.items():
             lines += [f"users, {phase}:", *request_stats.lines()]
