--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -44,7 +44,7 @@
     "message reply": ForwardedResponse,
     "link view": LinkViewMessage,
 }
-ROLLOUT_FORMS: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
+ROLLOUT_SCHEMA_TYPES: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
 
 
 def schemas_of(schema_types: dict[str, Any]) -> dict[str, Any]:
@@ -86,7 +86,7 @@
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
     (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(FORMS)))
-    (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_FORMS)))
+    (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_SCHEMA_TYPES)))
 
 
 if __name__ == "__main__":
