--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -29,7 +29,7 @@
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
 # Name of each stored record or message -> the type that the code encodes and decodes it with.
-FORMS: dict[str, Any] = {
+SCHEMA_TYPES: dict[str, Any] = {
     "leader": LeaderRecord,
     "slot": PageRecord,
     "job": JobRecord,
@@ -85,7 +85,7 @@
 
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
-    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(FORMS)))
+    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(SCHEMA_TYPES)))
     (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_SCHEMA_TYPES)))
 
 
