--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -47,7 +47,7 @@
 ROLLOUT_SCHEMA_TYPES: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
 
 
-def schemas_of(schema_types: dict[str, Any]) -> dict[str, Any]:
+def make_schemas(schema_types: dict[str, Any]) -> dict[str, Any]:
     """Return the schema of each type, by name; fields that the type does not declare are not allowed."""
     return {name: _schema(schema_type) for name, schema_type in schema_types.items()}
 
@@ -85,8 +85,8 @@
 
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
-    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(schemas_of(SCHEMA_TYPES)))
-    (FOLDER / "rollout.json").write_text(text_of(schemas_of(ROLLOUT_SCHEMA_TYPES)))
+    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(text_of(make_schemas(SCHEMA_TYPES)))
+    (FOLDER / "rollout.json").write_text(text_of(make_schemas(ROLLOUT_SCHEMA_TYPES)))
 
 
 if __name__ == "__main__":
