--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -26,7 +26,7 @@
 from tests.world.rollouts import begin_before, replace, until_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
-from tools.schemas import SCHEMA_TYPES, ROLLOUT_SCHEMA_TYPES, make_schemas, encode_schemas
+from tools.schemas import FORMAT_TYPES, ROLLOUT_SCHEMA_TYPES, make_schemas, encode_schemas
 
 ROOT = Path(__file__).resolve().parent.parent
 SAMPLES = ROOT / "tests" / "samples"
@@ -88,13 +88,13 @@
     elif form == "link view":
         read_view(msgspec.Raw(msgspec.json.encode(value)), "loom-0", "loom-1", value["echoes"].get("loom-1", 0))
     else:
-        msgspec.convert(value, SCHEMA_TYPES[form])
+        msgspec.convert(value, FORMAT_TYPES[form])
 
 
 def test_the_newest_files_are_those_of_the_code() -> None:
     """Otherwise a form has changed: it needs a new level, a gate and a file of its own."""
     assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == encode_schemas(
-        make_schemas(SCHEMA_TYPES)
+        make_schemas(FORMAT_TYPES)
     )
     assert (ROOT / "schemas" / "rollout.json").read_text() == encode_schemas(make_schemas(ROLLOUT_SCHEMA_TYPES))
 
@@ -120,7 +120,7 @@
             seen.add((level, one["form"]))
     # What the next level changes: the announcement, and the view in it.
     assert {form for level, form in seen if level == 3} == {"message lead", "link view"}
-    forms_before = set(SCHEMA_TYPES) - {"rental", "link view"}
+    forms_before = set(FORMAT_TYPES) - {"rental", "link view"}
     assert {form for level, form in seen if level == 2} == forms_before
     assert {form for level, form in seen if level == 1} >= forms_before - {"fence", "layout"}
 
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -29,7 +29,7 @@
 DIALECT = "https://json-schema.org/draft/2020-12/schema"
 
 # Name of each stored record or message -> the type that the code encodes and decodes it with.
-SCHEMA_TYPES: dict[str, Any] = {
+FORMAT_TYPES: dict[str, Any] = {
     "leader": LeaderRecord,
     "slot": PageRecord,
     "job": JobRecord,
@@ -85,7 +85,7 @@
 
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
-    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(encode_schemas(make_schemas(SCHEMA_TYPES)))
+    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(encode_schemas(make_schemas(FORMAT_TYPES)))
     (FOLDER / "rollout.json").write_text(encode_schemas(make_schemas(ROLLOUT_SCHEMA_TYPES)))
 
 
