--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -44,7 +44,7 @@
     "message reply": ForwardedResponse,
     "link view": LinkViewMessage,
 }
-ROLLOUT_SCHEMA_TYPES: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
+ROLLOUT_FORMAT_TYPES: dict[str, Any] = {"announcement": AnnouncementRecord, "level": LevelRecord}
 
 
 def make_schemas(schema_types: dict[str, Any]) -> dict[str, Any]:
@@ -86,7 +86,7 @@
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
     (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(encode_schemas(make_schemas(FORMAT_TYPES)))
-    (FOLDER / "rollout.json").write_text(encode_schemas(make_schemas(ROLLOUT_SCHEMA_TYPES)))
+    (FOLDER / "rollout.json").write_text(encode_schemas(make_schemas(ROLLOUT_FORMAT_TYPES)))
 
 
 if __name__ == "__main__":
