--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -26,7 +26,7 @@
 from tests.world.rollouts import begin_before, replace, until_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
-from tools.schemas import FORMAT_TYPES, ROLLOUT_FORMAT_TYPES, make_schemas, encode_schemas
+from tools.schemas import FORMAT_TYPES, ROLLOUT_FORMAT_TYPES, make_schemas, serialize_schemas
 
 ROOT = Path(__file__).resolve().parent.parent
 SAMPLES = ROOT / "tests" / "samples"
@@ -93,10 +93,10 @@
 
 def test_the_newest_files_are_those_of_the_code() -> None:
     """Otherwise a form has changed: it needs a new level, a gate and a file of its own."""
-    assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == encode_schemas(
+    assert (ROOT / "schemas" / f"level-{SUPPORTED.highest}.json").read_text() == serialize_schemas(
         make_schemas(FORMAT_TYPES)
     )
-    assert (ROOT / "schemas" / "rollout.json").read_text() == encode_schemas(make_schemas(ROLLOUT_FORMAT_TYPES))
+    assert (ROOT / "schemas" / "rollout.json").read_text() == serialize_schemas(make_schemas(ROLLOUT_FORMAT_TYPES))
 
 
 def test_published_files_have_not_changed_and_each_level_has_one() -> None:
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -78,15 +78,15 @@
     return cleaned
 
 
-def encode_schemas(schemas: dict[str, Any]) -> str:
+def serialize_schemas(schemas: dict[str, Any]) -> str:
     """Return the schemas as the text of a file."""
     return json.dumps(schemas, indent=1, sort_keys=True) + "\n"
 
 
 def main() -> None:
     """Write the schema files of the newest level and of the rollout records."""
-    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(encode_schemas(make_schemas(FORMAT_TYPES)))
-    (FOLDER / "rollout.json").write_text(encode_schemas(make_schemas(ROLLOUT_FORMAT_TYPES)))
+    (FOLDER / f"level-{SUPPORTED.highest}.json").write_text(serialize_schemas(make_schemas(FORMAT_TYPES)))
+    (FOLDER / "rollout.json").write_text(serialize_schemas(make_schemas(ROLLOUT_FORMAT_TYPES)))
 
 
 if __name__ == "__main__":
