--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -25,7 +25,7 @@
 from tools.forwarder import Forwarder
 from tools.loopback import HOST, RealLoop, SimulatedServices, free_ports, real_loop
 from tools.processes import Node
-from tools.users import Users, RequestStats
+from tools.users import RequestStats, Users
 
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -24,7 +24,7 @@
 
 from elmthread.net.http_client import HttpClient, NoResponseError
 from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, SimulatedServices
-from tools.users import UserLoad, Users, RequestStats
+from tools.users import RequestStats, UserLoad, Users
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE = "loom-0"
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -19,7 +19,7 @@
 from elmthread.net.http_client import HttpClient, NoResponseError
 from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, SimulatedServices, free_ports, real_loop
 from tools.processes import Node
-from tools.users import Users, RequestStats
+from tools.users import RequestStats, Users
 
 ROOT = Path(__file__).resolve().parent.parent
 NODES = ["loom-0", "loom-1", "loom-2"]
