--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -3,9 +3,10 @@
     PYTHONPATH=src:. python -m tools.cut_links                   runs a cluster for manual use until Ctrl-C
     PYTHONPATH=src:. python -m tools.cut_links SCHEDULE.toml     submits jobs, cuts links, and prints a timeline
 
-The state service, cloud, workers and users are simulated (`tests/world`); every link passes through a forwarder.
-A schedule is a list of faults (`tests/world/links.py`; docs/reachability.md has an example). Exit code 0: every
-job is done and no rule was violated; 1: otherwise; 2: the schedule is invalid.
+The state service, cloud, workers and users are simulated (`tests/world`). The links between controllers, to the
+state service and from the workers pass through forwarders. A schedule is a list of faults
+(`tests/world/links.py`; docs/reachability.md has an example). Exit code 0: every job is done and no rule was
+violated; 1: otherwise; 2: the schedule is invalid.
 """
 
 import argparse
@@ -75,8 +76,8 @@
         await self.services.start()
         for node in NODES:
             for zone in ZONES:
-                worker_link = self._start_forwarder(f"{WORKERS}/{zone}", node, self.addresses[node])
-                self.services.routes[zone, node] = await worker_link
+                starting_forwarder = self._start_forwarder(f"{WORKERS}/{zone}", node, self.addresses[node])
+                self.services.routes[zone, node] = await starting_forwarder
             await self._write_settings(node)
         operators = self.folder / "rollout.toml"
         operators.write_text(f"[rollout]\nenabled = true\nsoak_s = {SOAK_S}\n")
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -26,7 +26,7 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-LARGEST_RECORD = 64 * 1024
+MAX_RECORD_BYTES = 64 * 1024
 # Run time of each task, and the period over which jobs are submitted.
 TASK_RUN_TIME_S, SUBMISSION_PERIOD_S = 18.0, 45.0
 # Machines per job, and the log-normal distribution of tasks per job: median, sigma, and upper bound.
@@ -36,7 +36,7 @@
 def measure(level: int, machines: int, value_kb: float) -> list[str]:
     """Run the load on a level and return the lines of the report."""
     world, counts = World(1, 3, machines), Counter[str]()
-    record_sizes = {prefix: HdrHistogram(1, LARGEST_RECORD, 3) for prefix in ("m/", "d/", "j/")}
+    record_sizes = {prefix: HdrHistogram(1, MAX_RECORD_BYTES, 3) for prefix in ("m/", "d/", "j/")}
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
     world.store.limit(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
--- a/tools/users.py
+++ b/tools/users.py
@@ -14,7 +14,7 @@
 from tools.loopback import CALL_TIMEOUT, SimulatedServices
 
 # Bounds of the latency histograms in milliseconds, and their number of significant digits.
-MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS = 1, 60_000, 3
+MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS = 1, 60_000, 3
 # Attempts per submission, at intervals of 1 s: the protocol allows 60 s.
 MAX_ATTEMPTS = 60
 SLOW_SUBMISSION_MS = 1000
@@ -24,8 +24,8 @@
 class RequestStats:
     """Latencies of users' requests in one phase, and counts of requests and failures."""
 
-    submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS))
-    polls: Any = field(default_factory=lambda: HdrHistogram(MIN_WAIT_MS, MAX_WAIT_MS, SIGNIFICANT_DIGITS))
+    submissions: Any = field(default_factory=lambda: HdrHistogram(MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS))
+    polls: Any = field(default_factory=lambda: HdrHistogram(MIN_LATENCY_MS, MAX_LATENCY_MS, SIGNIFICANT_DIGITS))
     counts: Counter[str] = field(default_factory=Counter)
 
     def lines(self) -> list[str]:
@@ -107,7 +107,7 @@
             stats.counts["submissions given up"] += 1
             return
         elapsed_ms = (time.monotonic() - start_time) * 1000
-        stats.submissions.record_value(max(MIN_WAIT_MS, round(elapsed_ms)))
+        stats.submissions.record_value(max(MIN_LATENCY_MS, round(elapsed_ms)))
         stats.counts["submissions that took over 1 s"] += elapsed_ms > SLOW_SUBMISSION_MS
         poll_count = 0
         while self.states.get(job_id) != "done" if self._load.polls is None else poll_count < self._load.polls:
@@ -121,7 +121,7 @@
         if response is None or response.status != 200:
             stats.counts["polls without an answer"] += 1
             return
-        stats.polls.record_value(max(MIN_WAIT_MS, round((time.monotonic() - start_time) * 1000)))
+        stats.polls.record_value(max(MIN_LATENCY_MS, round((time.monotonic() - start_time) * 1000)))
         self.states[job_id] = response.body["status"]
 
     async def _request(self, job_id: str, method: str, path: str, body: Any) -> ClientResponse | None:
