--- a/src/elmthread/api/forwarding.py
+++ b/src/elmthread/api/forwarding.py
@@ -62,7 +62,7 @@
         if service is None or request.fencing_token != service.fencing_token:
             return _reply(request, responses.not_leading())
         response = await self._carry_out(request)
-        return _reply(request, response.checked())
+        return _reply(request, response.check_precondition())
 
     async def _forward(self, leader: str, request: ForwardedRequest) -> Response:
         sent_at = self._node.clock()
--- a/src/elmthread/api/tests/test_job_service.py
+++ b/src/elmthread/api/tests/test_job_service.py
@@ -18,7 +18,7 @@
 from elmthread.store.write_queue import WritePriority
 from tests.world.loop import SimLoop, play
 from tests.world.specs import job as wire
-from tests.world.term import SureTerm, term_context
+from tests.world.term import StubTerm, term_context
 
 
 class Store:
@@ -60,7 +60,7 @@
 
 
 def job_service(max_waiting: int = 5) -> tuple[SimLoop, Store, TermContext, JobService]:
-    loop, store, term = SimLoop(), Store(), SureTerm(7)
+    loop, store, term = SimLoop(), Store(), StubTerm(7)
     asyncio.set_event_loop(loop)
     context = term_context(loop.clock, ClusterState(100), store, term)
     leases = WorkerLeases(seconds(17), seconds(0))
@@ -102,7 +102,7 @@
         assert (await ending).body["status"] == "cancelled"
         assert service.status("run-000001").body["status"] == "cancelled"
         # A leader whose lease may have expired confirms nothing, though it has the state.
-        cast(SureTerm, context.term).sure = False
+        cast(StubTerm, context.term).lease_valid = False
         assert (await submit(service, 1)).status == 503 and (await service.cancel("run-000001")).status == 503
 
     play(main(), loop)
--- a/src/elmthread/autoscaling/deferrable_scaling.py
+++ b/src/elmthread/autoscaling/deferrable_scaling.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
-from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_DECISION
 from elmthread.autoscaling.instance_selection import DeferrableBacklog, fewest_instances
 from elmthread.autoscaling.lateness import CoreSupply, DeadlineGroup
 from elmthread.autoscaling.running_work import RunningWork
@@ -133,7 +133,7 @@
                 core_seconds_ahead += request.count * request.cpus * running.task_time_s(job)
         usable += view.usable_cores(machine_set.urgent) + running_cores - sum(supply.cores for supply in supplies)
         backlog = DeferrableBacklog(groups, core_seconds_ahead, usable)
-        chosen = fewest_instances(backlog, supplies, offers, MAX_INSTANCES_PER_ROUND)
+        chosen = fewest_instances(backlog, supplies, offers, MAX_INSTANCES_PER_DECISION)
         if chosen:
             _log_scale_out(len(chosen), backlog, supplies)
         self._offers.request(chosen, for_deferrable_pool=True)
--- a/src/elmthread/autoscaling/instance_offers.py
+++ b/src/elmthread/autoscaling/instance_offers.py
@@ -19,7 +19,7 @@
 # Instances whose price per core is above this many times the cheapest are requested only if no others are available.
 EXPENSIVE_PRICE_RATIO = 1.6
 # Maximum number of instances requested at once for one purpose.
-MAX_INSTANCES_PER_ROUND = 500
+MAX_INSTANCES_PER_DECISION = 500
 
 
 class PendingRequest(Protocol):
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from elmthread.autoscaling.context import RoundView, ScalingContext, usable_cores
-from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_offers import BOOT_TIME_FACTOR, MAX_INSTANCES_PER_DECISION
 from elmthread.autoscaling.instance_selection import cover_shortfall
 from elmthread.autoscaling.replica_room import (
     DemandTrend,
@@ -95,7 +95,7 @@
         remaining = unplaced_requests(waiting, self._expected_capacity(waiting, now), remaining_quotas)
         if remaining:
             offers = self._offers.for_requests(remaining)
-            chosen = instances_for_replicas(remaining, offers, remaining_quotas, MAX_INSTANCES_PER_ROUND)
+            chosen = instances_for_replicas(remaining, offers, remaining_quotas, MAX_INSTANCES_PER_DECISION)
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _expected_capacity(self, waiting: Sequence[TaskRequest], now: timedelta) -> list[FreeCapacity]:
@@ -149,7 +149,7 @@
         if decision is BandDecision.SCALE_OUT or need.projected_cores > cores:
             offers = self._offers.for_requests([self._scheduler.request_for_one_task(job) for job in on_demand_only])
             shortfall = max(need.current_cores / theta, need.projected_cores) - cores
-            chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_ROUND)
+            chosen = cover_shortfall(offers, shortfall, MAX_INSTANCES_PER_DECISION)
             self._offers.request(chosen, for_deferrable_pool=False)
 
     def _mark_reserved(self, on_demand_machines: list[Machine], need: _OnDemandNeed | None) -> None:
--- a/src/elmthread/autoscaling/urgent_band.py
+++ b/src/elmthread/autoscaling/urgent_band.py
@@ -10,7 +10,7 @@
 
 from elmthread.autoscaling.context import RoundView, ScalingContext
 from elmthread.autoscaling.idle_time import MIN_IDLE_TIME, boot_idle_time
-from elmthread.autoscaling.instance_offers import MAX_INSTANCES_PER_ROUND
+from elmthread.autoscaling.instance_offers import MAX_INSTANCES_PER_DECISION
 from elmthread.autoscaling.instance_selection import cover_shortfall
 from elmthread.cluster.machine import Machine, MachineState
 from elmthread.cluster.machine_deletion import DeletionReason
@@ -109,7 +109,7 @@
         offers = self._offers.for_requests([request for request in view.requests if request.urgent] or view.requests)
         inexpensive = self._offers.without_expensive(offers)
         shortfall = urgent_cores / (self.theta if inexpensive else 1.0) - cores
-        chosen = cover_shortfall(inexpensive or offers, shortfall, MAX_INSTANCES_PER_ROUND)
+        chosen = cover_shortfall(inexpensive or offers, shortfall, MAX_INSTANCES_PER_DECISION)
         self._offers.request(chosen, for_deferrable_pool=False)
 
     def _scale_in(self, unneeded: Sequence[Machine], urgent_cores: float, cores: float) -> None:
--- a/src/elmthread/net/http_messages.py
+++ b/src/elmthread/net/http_messages.py
@@ -31,7 +31,7 @@
     body: bytes = b""
     # When the previous request on the same connection was answered. A client sends the next one
     # only after it has that response, so that response has arrived.
-    previous_answered_at: timedelta | None = None
+    previous_response_at: timedelta | None = None
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
     # was made. Where it no longer holds, PRECONDITION_FAILED is sent instead.
     precondition: Precondition | None = None
 
-    def checked(self) -> "Response":
+    def check_precondition(self) -> "Response":
         """Return this response if its precondition holds, else the one that is to be sent instead."""
         if self.precondition is not None and not self.precondition():
             return PRECONDITION_FAILED
@@ -78,7 +78,7 @@
 
 def encode_response(response: Response, close: bool) -> bytes:
     """Return the bytes to send now; `close` says that the connection ends after them."""
-    response = response.checked()
+    response = response.check_precondition()
     payload = b"" if response.body is None else cbor2.dumps(response.body)
     after = response.retry_after
     retry_s = None if after is None else max(1, round(after.total_seconds()))
--- a/src/elmthread/store/tests/test_writer.py
+++ b/src/elmthread/store/tests/test_writer.py
@@ -27,7 +27,7 @@
 from tests.world.service_ports import ServiceFaults, SimulatedClient
 from tests.world.simulated_store import SimulatedStore
 from tests.world.stored import stored_pages, stored_records
-from tests.world.term import SureTerm
+from tests.world.term import StubTerm
 
 MAX_VALUE_BYTES = 2 * 1024
 
@@ -45,7 +45,7 @@
         self.store.apply("POST", "/txn", wire(messages.put(LEADER_KEY, {"node": "a"})))
         self.faults = ServiceFaults()
         client = KeyValueStore(SimulatedClient(self.store, self.faults), TokenBucket(100, 100, self.loop.clock))
-        self.term = SureTerm(self.store.items[LEADER_KEY][1])
+        self.term = StubTerm(self.store.items[LEADER_KEY][1])
         limits = WriteLimits(TokenBucket(rate, rate, self.loop.clock), 8)
         self.writer = RecordWriter(client, RecordPages(page_capacity(2)), self.term, limits, self.loop.clock)
 
@@ -227,7 +227,7 @@
     stored: list[str] = []
 
     async def script() -> None:
-        harness.store.limit(1.0, 2, 30.0)
+        harness.store.set_limits(1.0, 2, 30.0)
         for number in range(12):
             key, text = f"k/{number}", "x" * (1500 if number == 5 else 100)
             harness.writer.write(key, WritePriority.ASSIGNMENT, partial(str, text), partial(stored.append, key))
@@ -245,7 +245,7 @@
     harness = WriterHarness(rate=30.0)
 
     async def script() -> None:
-        harness.store.limit(2.0, 8, 4.0)
+        harness.store.set_limits(2.0, 8, 4.0)
         for number in range(200):
             harness.writer.write(f"k/{number}", WritePriority.ASSIGNMENT, lambda: "x" * 150)
         await asyncio.sleep(60)
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -80,7 +80,7 @@
     ) -> Response:
         """Handle the newest heartbeat of a machine that has received this term's fencing token."""
         now = self._clock()
-        self._responsiveness.observe_heartbeat(machine, heartbeat, request.previous_answered_at, now)
+        self._responsiveness.observe_heartbeat(machine, heartbeat, request.previous_response_at, now)
         machine.last_heartbeat_id = heartbeat_id
         machine.last_heartbeat_at = now
         machine.heartbeat_overdue = False
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -7,9 +7,9 @@
 
 from elmthread.common.features import SUPPORTED
 from elmthread.reachability.succession import Succession
-from tests.world.cut_days import BEFORE, Script, cut, cut_day
+from tests.world.cut_days import PREVIOUS_LEVELS, Script, cut, cut_day
 from tests.world.history import History
-from tests.world.rollouts import replace, until_level
+from tests.world.rollouts import replace, wait_for_level
 from tests.world.settings import NODES
 from tests.world.world import World, start
 
@@ -98,6 +98,6 @@
             await world.play_faults(
                 [cut("leader", "workers", at=1.0, length=9.0), cut("leader", "follower", length=3.0)]
             )
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
 
-    cut_day(script, levels=BEFORE)
+    cut_day(script, levels=PREVIOUS_LEVELS)
--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -13,10 +13,10 @@
 from elmthread.leadership.election import Election
 from elmthread.leadership.role import Role
 from elmthread.reachability.backoff import LeadershipBackoff
-from tests.world.cut_days import Script, cut, cut_day, plays
+from tests.world.cut_days import Script, cut, cut_day, fault_script
 from tests.world.history import History
-from tests.world.links import BadScheduleError, draw, read_schedule
-from tests.world.random_troubles import HISTORIES
+from tests.world.links import InvalidScheduleError, draw_schedule, read_schedule
+from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.settings import NODES
 from tests.world.world import World
 
@@ -27,23 +27,23 @@
 ENDS += [("leader", "workers"), ("follower", "workers"), ("leader", "workers/east"), ("workers/north", "leader")]
 
 
-@settings(HISTORIES, max_examples=12, phases=[Phase.generate, Phase.shrink])
+@settings(HISTORY_SETTINGS, max_examples=12, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), st.integers(2, 3))
 def test_drawn_schedules_break_no_rule(seed: int, count: int) -> None:
-    cut_day(plays(*draw(seed, ENDS, count, 40.0)), seed=seed)
+    cut_day(fault_script(*draw_schedule(seed, ENDS, count, 40.0)), seed=seed)
 
 
 def test_a_schedule_is_played_again_from_its_file(tmp_path: Path) -> None:
-    faults = draw(7, ENDS, 3, 30.0)
+    faults = draw_schedule(7, ENDS, 3, 30.0)
     path = tmp_path / "schedule.toml"
     tables = ["\n".join(f"{key} = {json.dumps(value)}" for key, value in fault.items()) for fault in faults]
     path.write_text("".join(f"[[faults]]\n{table}\n" for table in tables))
     again = read_schedule(path)
     assert again == faults
-    terms = [cut_day(plays(*one), seed=3).terms for one in (faults, again)]
+    terms = [cut_day(fault_script(*one), seed=3).terms for one in (faults, again)]
     assert terms[0] == terms[1]
     path.write_text(path.read_text().replace("for_s", "fro_s", 1))
-    with pytest.raises(BadScheduleError, match="schedule.toml: faults.0: .*for_s"):
+    with pytest.raises(InvalidScheduleError, match="schedule.toml: faults.0: .*for_s"):
         read_schedule(path)
 
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,7 +8,7 @@
 from elmthread.leadership.step_down import StepDownReason
 from tests.world.balancer import Balancer
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World, start
@@ -26,7 +26,7 @@
             world.loop.call_later(1, start, world, name)
             await asyncio.sleep(5)
             assert world.leader is not None and await world.poll("run-000001") == "running"
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     day(script, controllers=controllers)
 
@@ -45,7 +45,7 @@
         await asyncio.sleep(4)
         for name in names:
             world.start(name)
-        states = await world.until_over([f"run-{n:06d}" for n in range(4)], 120)
+        states = await world.wait_until_finished([f"run-{n:06d}" for n in range(4)], 120)
         assert set(states.values()) == {"done"}
 
     world = day(script)
@@ -65,7 +65,7 @@
         assert world.loop.now - asked < 0.5
         await asyncio.sleep(9)
         world.store.outage(False)
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
@@ -81,7 +81,7 @@
         await asyncio.sleep(10)
         assert world.leader is not None and world.leader is not old
         assert old.election.role.name == "FOLLOWER"
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     day(script)
 
@@ -97,14 +97,14 @@
         name = old.node
         world.ports[name].cloud.faults.cut = True
         # The links between controllers are cut too, but workers still reach the old leader.
-        set_apart(world, name, True)
+        set_isolated(world, name, True)
         for worker in list(world.workers):
             world.cut_worker_links |= {(worker, node) for node in NODES if node != name}
         await asyncio.sleep(35)
         world.cut_worker_links.clear()
-        set_apart(world, name, False)
+        set_isolated(world, name, False)
         world.ports[name].cloud.faults.cut = False
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     day(script)
 
@@ -122,7 +122,7 @@
             if world.leader is not None:
                 world.leader.election.step_down(StepDownReason.FAULT)
             await asyncio.sleep(world.rng.uniform(0.3, 3.0))
-        assert set((await world.until_over(ids, 300)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 300)).values()) == {"done"}
 
     for number in range(4):
         day(script, seed=number, machines=6)
@@ -144,7 +144,7 @@
         for name in ("large", "large"):
             world.rent(name, "east")
         assert await world.submit(job(2, crew="red", pieces=12))
-        assert (await world.until_over(["run-000002"], 120)) == {"run-000002": "done"}
+        assert (await world.wait_until_finished(["run-000002"], 120)) == {"run-000002": "done"}
 
     day(script)
 
@@ -160,8 +160,8 @@
             return (await world.ask("GET", "/ready", node=node)).status == 200
 
         assert all([await ready(node) for node in NODES])
-        reach = world.reach
-        world.reach = lambda one, other: cut not in (one, other) and reach(one, other)  # type: ignore[method-assign]
+        can_reach = world.can_reach
+        world.can_reach = lambda one, other: cut not in (one, other) and can_reach(one, other)  # type: ignore[method-assign]
         world.ports[cut].store.faults.cut = True
         # The user asks again, here while it may be over at once, and then on a connection to another node.
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
@@ -170,7 +170,7 @@
         assert not await ready(cut) and await ready(name)
         response = await world.ask("GET", "/submissions/run-000001", node=cut)
         assert (response.status, response.close) == (503, True)
-        world.reach = reach  # type: ignore[method-assign]
+        world.can_reach = can_reach  # type: ignore[method-assign]
         world.ports[cut].store.faults.cut = False
         await asyncio.sleep(3)
         assert await ready(cut)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -71,7 +71,7 @@
         assert heard >= 0.95 * len(world.workers)
         for job_id in ids:
             assert await world.poll(job_id) is not None
-        assert set((await world.until_over(ids, 150)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 150)).values()) == {"done"}
 
     world = day(script, machines=0, each=MACHINES)
     starts = sum(world.rules.starts.values())
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -114,7 +114,7 @@
             await gap(world, ids[round_ * 6 : round_ * 6 + 6])
             await asyncio.sleep(world.rng.uniform(2, 20))
         restore(world)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert set(states.values()) <= {"done", "cancelled"}, states
         watcher.cancel()
 
@@ -188,7 +188,7 @@
         assert world.leader is not None and world.leader is not old
         machine = world.leader.leader.cluster.machines[body["loom"]]  # type: ignore[union-attr]
         machine.last_heartbeat_id = NO_HEARTBEAT
-        answer = await world.report(body, world.leader.node)
+        answer = await world.send_heartbeat(body, world.leader.node)
         assert answer.status == 200 and answer.body["baton"] > body["baton"]
         told = {(order["verb"], order["piece"], order["try"]) for order in answer.body["orders"]}
         running = [one for one in body["pieces"] if one["piece"].startswith("run-000001") and one["status"] != "exited"]
@@ -227,7 +227,7 @@
         if all_there:
             # The same term goes on: nobody has won meanwhile, and nothing had to be loaded anew.
             assert world.leader is leader
-        assert await world.until_over(["run-000001"], 400) == {"run-000001": "done"}
+        assert await world.wait_until_finished(["run-000001"], 400) == {"run-000001": "done"}
 
     world = day(script, machines=4)
     assert max(world.rules.starts.values()) == (1 if all_there else 2)
--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -6,15 +6,15 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.random_troubles import HISTORIES, TROUBLES, befall, restore
+from tests.world.random_troubles import FAULT_NAMES, HISTORY_SETTINGS, inject_fault, restore
 from tests.world.specs import job
 from tests.world.world import World
 
 
-@settings(HISTORIES, max_examples=40)
+@settings(HISTORY_SETTINGS, max_examples=40)
 @given(
     st.integers(0, 10_000),
-    st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
+    st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 15.0)), min_size=2, max_size=7),
 )
 def test_rules_hold_whatever_fails(number: int, troubles: list[tuple[str, float]]) -> None:
     async def script(world: World) -> None:
@@ -37,12 +37,12 @@
             if await world.submit(spec):
                 ids.append(spec["name_id"])
         for kind, pause in troubles:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
             await asyncio.sleep(pause)
             for job_id in ids:
                 await world.poll(job_id)
         restore(world)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
     day(script, seed=number)
--- a/tests/test_heartbeats.py
+++ b/tests/test_heartbeats.py
@@ -55,7 +55,7 @@
             assert any(on == name for on, _ in world.rules.running)
         else:
             assert name in world.cloud.deleted
-        states = await world.until_over(["run-000001", "run-000002"], 300)
+        states = await world.wait_until_finished(["run-000001", "run-000002"], 300)
         assert set(states.values()) == {"done"}
 
     day(script, each=0)
@@ -88,7 +88,7 @@
             await asyncio.sleep(0.5)
         # Copies were no sign of life: it is given up in about the time it takes without them.
         assert world.loop.now - died < 45
-        states = await world.until_over(ids, 300)
+        states = await world.wait_until_finished(ids, 300)
         assert set(states.values()) == {"done"}
         await asyncio.sleep(100)
         # Nor do they make machines that stay.
@@ -121,7 +121,7 @@
         assert sorted(world.rules.running) == sorted(before)
         assert world.leader.leader is not None
         assert len(world.leader.leader.cluster.jobs["run-000001"].allocations) == 3
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
@@ -144,14 +144,14 @@
             {"pieces": [{"piece": "run-000001/0", "try": -5, "status": "running"}]},
             {"pieces": "none"},
         ):
-            response = await world.report(good | change, leader.node)
+            response = await world.send_heartbeat(good | change, leader.node)
             assert response.status == 400, change
-        assert (await world.report([1, 2], leader.node)).status == 400
+        assert (await world.send_heartbeat([1, 2], leader.node)).status == 400
         # Of a machine that nobody knows: it gets the token, and nothing else changes.
         stranger = good | {"loom": "m-999999", "baton": 0, "pieces": []}
-        assert (await world.report(stranger, leader.node)).status == 200
+        assert (await world.send_heartbeat(stranger, leader.node)).status == 200
         assert world.leader is leader and sorted(world.rules.running) == before
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
@@ -167,6 +167,6 @@
         await asyncio.sleep(8)
         name = busiest(world)
         world.workers[name].restart(session)
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -12,7 +12,7 @@
     async def script(world: World) -> None:
         for number in range(6):
             assert await world.submit(job(number, urgency="high" if number % 2 else "normal"))
-        states = await world.until_over([f"run-{n:06d}" for n in range(6)], 90)
+        states = await world.wait_until_finished([f"run-{n:06d}" for n in range(6)], 90)
         assert set(states.values()) == {"done"}
 
     world = day(script)
@@ -72,7 +72,7 @@
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=100_000, true_s=1.0, expected_s=1.0))
         assert await world.submit(job(2, urgency="high"))
-        assert (await world.until_over(["run-000002"], 60)) == {"run-000002": "done"}
+        assert (await world.wait_until_finished(["run-000002"], 60)) == {"run-000002": "done"}
         await asyncio.sleep(20)
         done = len(world.rules.finished)
         assert done > 100
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -30,7 +30,7 @@
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
         assert world.loop.now - asked < 3
-        assert set((await world.until_over(ids, 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     for seed in range(6):
         day(script, seed=seed)
@@ -55,7 +55,7 @@
         world.leader.election.step_down(StepDownReason.FAULT)
         await asyncio.sleep(5)
         assert (await world.ask("POST", "/submissions", job(0, pieces=30))).body["status"] == "cancelled"
-        states = await world.until_over(ids, 300)
+        states = await world.wait_until_finished(ids, 300)
         assert set(states.values()) == {"done", "cancelled"}
 
     for seed in range(3):
@@ -77,7 +77,7 @@
         await asyncio.sleep(8)
         assert world.leader is not None and world.cloud.requests == rented
         ids = [f"run-{number:06d}" for number in range(1, 5)]
-        assert set((await world.until_over(ids, 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     day(script, machines=8, each=20)
 
@@ -113,7 +113,7 @@
             assert len(tokens) == 1 and old.leader is None
         # The withdrawal may have come after the job's end; either answer stays.
         end = await withdrawn
-        states = await world.until_over(ids, 300)
+        states = await world.wait_until_finished(ids, 300)
         assert states.pop(ids[0]) == end in ("cancelled", "done") and set(states.values()) == {"done"}
         assert world.loop.now - stood < 200
 
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from elmthread.reachability.bounds import BACKOFF_JITTER
-from tests.world.cut_days import cut, cut_day, plays, submit_and_cancel
+from tests.world.cut_days import cut, cut_day, fault_script, submit_and_cancel
 from tests.world.history import History
 from tests.world.links import Fault
 from tests.world.settings import NODES
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("faults", [*SINGLE.values(), *PAIRS.values()], ids=[*SINGLE, *PAIRS])
 def test_no_cut_of_one_or_two_links_breaks_a_rule(faults: list[Fault]) -> None:
-    cut_day(plays(*faults))
+    cut_day(fault_script(*faults))
 
 
 def test_a_leader_without_workers_names_a_node_that_hears_them_and_it_wins() -> None:
@@ -77,7 +77,7 @@
         rest = world.leader.reachability.bounds.max_backoff.total_seconds() * (1 - BACKOFF_JITTER)
         late = [at for at, _, _ in history.terms if at > 300]
         assert len(late) <= len(NODES) * (300 / rest + 1), late
-        assert set((await world.until_over(await users, 300)).values()) <= {"done", "cancelled"}
+        assert set((await world.wait_until_finished(await users, 300)).values()) <= {"done", "cancelled"}
 
     cut_day(script)
 
@@ -106,11 +106,11 @@
         await asyncio.sleep(75)
         assert not set(silent) & set(world.cloud.machines)
         world.cut_worker_links.clear()
-        assert set((await world.until_over(["run-000050"], 300)).values()) == {"done"}
+        assert set((await world.wait_until_finished(["run-000050"], 300)).values()) == {"done"}
         # Users come back, so there are machines to hear.
         assert await world.submit(job(51, pieces=8, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(20)
-        assert set((await world.until_over(["run-000051"], 100)).values()) == {"done"}
+        assert set((await world.wait_until_finished(["run-000051"], 100)).values()) == {"done"}
 
     cut_day(script)
 
@@ -129,7 +129,7 @@
 def test_a_ring_of_cuts_in_which_no_node_sees_all() -> None:
     one, two, three = NODES
     faults = [cut(one, two), cut(two, "workers/east"), cut(two, three, at=2.0), cut(three, "workers/north", at=2.0)]
-    cut_day(plays(*faults, cut(three, one, at=4.0), cut(one, "store", at=4.0)))
+    cut_day(fault_script(*faults, cut(three, one, at=4.0), cut(one, "store", at=4.0)))
 
 
 def test_without_peers_the_node_that_workers_reach_leads() -> None:
@@ -158,10 +158,10 @@
         assert [node for _, node, _ in history.terms] == [leader, reached]
         running += len(before)
         kept += len(before & set(world.rules.running))
-        assert set((await world.until_over(long_jobs, 300)).values()) == {"done"}
+        assert set((await world.wait_until_finished(long_jobs, 300)).values()) == {"done"}
         assert await world.submit(job(70, pieces=8, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(15)
-        assert set((await world.until_over(["run-000070"], 100)).values()) == {"done"}
+        assert set((await world.wait_until_finished(["run-000070"], 100)).values()) == {"done"}
 
     for seed in range(8):
         cut_day(script, seed=seed)
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import restore, set_apart
+from tests.world.random_troubles import restore, set_isolated
 from tests.world.specs import job
 from tests.world.world import World
 
@@ -22,7 +22,7 @@
         assert old is not None
         name = old.node
         world.drift[name] = drift
-        set_apart(world, name, True)
+        set_isolated(world, name, True)
         # Half of the workers hear only the old leader, which answers them for a bounded time.
         with_old = sorted(world.workers)[::2]
         world.cut_worker_links |= {(worker, node) for worker in with_old for node in world.nodes if node != name}
@@ -32,12 +32,12 @@
         assert world.loop.now - apart < 20
         # It comes back in the middle of all that, and the workers with it.
         await asyncio.sleep(world.rng.uniform(0.0, 10.0))
-        set_apart(world, name, False)
+        set_isolated(world, name, False)
         world.cut_worker_links.clear()
         assert await world.withdraw("run-000002") == "cancelled"
         await asyncio.sleep(31)
         world.rules.check_cancelled()
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     for seed in range(3):
         day(script, seed=seed, machines=6)
@@ -68,7 +68,7 @@
         # A worker gives a node four seconds; those that were sent back once may come too late.
         assert len(kept) > len(running) * 0.6, len(kept)
         world.cut_worker_links.clear()
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(3):
         day(script, seed=seed, machines=24, each=0)
@@ -85,7 +85,7 @@
         world.nodes_without_responses.add(old.node)
         await asyncio.sleep(14)
         assert world.leader is not None and world.leader is not old
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     for seed in range(2):
         day(script, seed=seed, machines=24, each=0)
@@ -112,7 +112,7 @@
         world.cut_worker_links.clear()
         for one in world.workers.values():
             one.hung = False
-        assert (await world.until_over(["run-000001"], 200)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 200)) == {"run-000001": "done"}
 
     day(script, machines=6)
 
@@ -146,7 +146,7 @@
         world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes}
         await asyncio.sleep(130)
         assert not west & set(world.cloud.machines)
-        assert set((await world.until_over(["run-000001", "run-000002"], 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(["run-000001", "run-000002"], 200)).values()) == {"done"}
 
     day(script, machines=4, each=2)
 
@@ -180,7 +180,7 @@
             assert first.election.fencing_token == won
         restore(world)
         world.cut_worker_links.clear()
-        states = await world.until_over([f"run-{number:06d}" for number in range(4)], 200)
+        states = await world.wait_until_finished([f"run-{number:06d}" for number in range(4)], 200)
         assert set(states.values()) == {"done"}
         if others_live:
             assert max(world.rules.starts.values()) == 1
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -14,7 +14,7 @@
         assert await world.submit(job(1, pieces=200, expected_s=20.0, true_s=20.0))
         await asyncio.sleep(60)
         assert len(world.cloud.machines) > 1
-        states = await world.until_over(["run-000001"], 240)
+        states = await world.wait_until_finished(["run-000001"], 240)
         assert states == {"run-000001": "done"}
         await asyncio.sleep(90)
         assert len(world.cloud.machines) <= 1
@@ -29,7 +29,7 @@
         world.workers[sick].faulty = True
         for number in range(14):
             assert await world.submit(job(number))
-        await world.until_over([f"run-{n:06d}" for n in range(14)], 120)
+        await world.wait_until_finished([f"run-{n:06d}" for n in range(14)], 120)
         assert sick in world.cloud.deleted
 
     day(script)
@@ -99,7 +99,7 @@
             await asyncio.sleep(1.5)
         if name in world.cloud.machines:
             del world.cloud.machines[name]
-            world.machine_gone(name)
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+            world.on_machine_deleted(name)
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     day(script)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -12,9 +12,9 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.meetings import TROUBLES, watch
+from tests.world.meetings import FAULT_SCRIPTS, check_continuously
 from tests.world.random_troubles import restore
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 from tests.world.world import World
 
 # Each meeting: troubles, and how long after the first each begins.
@@ -86,15 +86,15 @@
     """Play the troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
 
     async def script(world: World) -> None:
-        stage = Stage(world)
-        watcher = world.loop.create_task(watch(world))
-        await stage.work()
+        stage = Scenario(world)
+        watcher = world.loop.create_task(check_continuously(world))
+        await stage.submit_initial_jobs()
         await asyncio.sleep(6)
         began = world.loop.now
 
         async def befall(name: str, at: float) -> None:
             await asyncio.sleep(began + at - world.loop.now)
-            await TROUBLES[name](stage)
+            await FAULT_SCRIPTS[name](stage)
 
         await asyncio.gather(*(befall(name, at) for name, at in troubles))
         await stage.end()
@@ -104,8 +104,8 @@
         world.cut_worker_links.clear()
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
-        states = await world.until_over(stage.ids, 420)
+        world.rules.faults_cleared_at = world.loop.now
+        states = await world.wait_until_finished(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
         # Whoever asks whichever node hears the same for ever.
         for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
@@ -124,7 +124,7 @@
 
 def mixture(seed: int, counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
     rng = random.Random(seed)
-    return [(rng.choice(sorted(TROUBLES)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
+    return [(rng.choice(sorted(FAULT_SCRIPTS)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -25,7 +25,7 @@
             world.start(node)
         await asyncio.sleep(3)
         world.store.outage(False)
-        world.rules.calm_since = calm = world.loop.now
+        world.rules.faults_cleared_at = calm = world.loop.now
         left = {(node, job_id) for node in world.nodes for job_id in ids}
         while left and world.loop.now < calm + 90:
             for node, job_id in sorted(left):
@@ -33,7 +33,7 @@
                     left.discard((node, job_id))
             await asyncio.sleep(0.5)
         assert world.loop.now - calm < 20, left
-        assert set((await world.until_over(ids, 120)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 120)).values()) == {"done"}
 
     day(script)
 
@@ -44,13 +44,13 @@
     for number in (1, 2):
         world.rules.submitted(job(number))
         world.rules.observe_response(f"run-{number:06d}", 201, "queued")
-    world.rules.calm_since = 0.0
+    world.rules.faults_cleared_at = 0.0
     for now in range(90):
         world.loop.now = float(now)
         world.rules.observe_response("run-000001", 200, "queued")
         world.rules.observe_response("run-000002", 503, None)
     world.loop.close()
-    assert [entry.split()[1:3] for entry in world.rules.broken[:1]] == [["forgotten:", "run-000002:"]]
+    assert [entry.split()[1:3] for entry in world.rules.violations[:1]] == [["forgotten:", "run-000002:"]]
 
 
 def test_large_jobs_begin_in_time_whatever_the_load() -> None:
@@ -101,7 +101,7 @@
             assert await world.submit(spec)
             ids.append(spec["name_id"])
             await asyncio.sleep(1.5)
-        states = await world.until_over(ids, 240)
+        states = await world.wait_until_finished(ids, 240)
         specs = world.rules.specs
         groups = {
             **{kind: [i for i in ids if specs[i]["docket"] == kind] for kind in ("rush", "nightly", "sort")},
@@ -150,7 +150,7 @@
         assert set(running) <= set(world.rules.running)
         behind(leader, 0.0)
         assert await answers(other) == [200, 200, 200]
-        assert (await world.until_over(["run-000001"], 150)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 150)) == {"run-000001": "done"}
 
     world = day(script)
     assert max(world.rules.starts.values()) == 1
--- a/tests/test_real_rollout.py
+++ b/tests/test_real_rollout.py
@@ -16,7 +16,7 @@
     with real_loop() as loop:
         upgrade = Upgrade(loop, tmp_path, Options(earlier=None, rollout_enabled=True, soak_s=2.0))
         loop.run_until_complete(upgrade.run())
-    assert upgrade.services.rules.broken == []
+    assert upgrade.services.rules.violations == []
     assert upgrade.level() == SUPPORTED.highest
     told = [what for _, what in upgrade.events]
     assert f"{NODES[0]}, rolled back, answers /ready with 503" in told
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,11 +15,11 @@
 
 from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.world.day import day
-from tests.world.random_troubles import HISTORIES, TROUBLES
-from tests.world.settings import NEXT, NODES
+from tests.world.random_troubles import FAULT_NAMES, HISTORY_SETTINGS
+from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
-from tests.world.upgrades import begin_old, fall, rollout, upgrade
+from tests.world.upgrades import configure_earlier_version, lower_store_limits, run_upgrade, upgrade
 from tests.world.world import World, start
 
 TYPES_MANY = 12
@@ -37,17 +37,17 @@
     return stored_records(world.store)
 
 
-@settings(HISTORIES, max_examples=25)
+@settings(HISTORY_SETTINGS, max_examples=25)
 @given(
     st.integers(0, 10_000),
     st.permutations(NODES),
-    st.lists(st.tuples(st.sampled_from(TROUBLES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
+    st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
     st.floats(0.0, 40.0),
 )
 def test_rules_hold_through_an_upgrade_and_falling_limits(
     number: int, order: list[str], troubles: list[tuple[str, float]], falls: float
 ) -> None:
-    rollout(number, order, troubles, falls, begin_old)
+    run_upgrade(number, order, troubles, falls, configure_earlier_version)
 
 
 def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
@@ -68,13 +68,13 @@
         await asyncio.sleep(8)
         order = [node] + [other for other in world.nodes if other != node]
         await upgrade(world, order, 12.0)
-        fall(world)
+        lower_store_limits(world)
         for number in range(20, 22):
             assert await world.submit(daemon(number), 10)
-        states = await world.until_over(ids, 120)
+        states = await world.wait_until_finished(ids, 120)
         assert set(states.values()) == {"done"}
 
-    world = day(script, machines=10, before=begin_old)
+    world = day(script, machines=10, before=configure_earlier_version)
     assert max(world.rules.starts.values()) == 1
 
 
@@ -82,23 +82,23 @@
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        assert max(sizes(world)) > NEXT["value_kb"] * 1024
-        await world.until_over([f"run-{number:06d}" for number in range(120)], 300)
+        assert max(sizes(world)) > NEXT_LIMITS["value_kb"] * 1024
+        await world.wait_until_finished([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
-        fall(world)
+        lower_store_limits(world)
         # Whatever is written takes some of the large pages along.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        await world.until_over([f"run-{number:06d}" for number in range(200, 300)], 300)
+        await world.wait_until_finished([f"run-{number:06d}" for number in range(200, 300)], 300)
         # Large pages may still stand there until they are overwritten, but nothing in them is current.
-        pages = RecordPages(page_capacity(NEXT["value_kb"]))
+        pages = RecordPages(page_capacity(NEXT_LIMITS["value_kb"]))
         pages.load(stored_pages(world.store))
         assert not pages._oversized
         after = records(world)
         assert {key: after[key] for key in before} == before
 
-    day(script, before=begin_old, controllers=2)
+    day(script, before=configure_earlier_version, controllers=2)
 
 
 def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
@@ -113,7 +113,7 @@
         most = max(len([task for name, task in world.rules.running if name == machine]) for machine in world.workers)
         assert most > 100
         await upgrade(world, list(world.nodes), 6.0)
-        fall(world)
+        lower_store_limits(world)
         await asyncio.sleep(3)
         assert await world.submit(job(3, pieces=150, cpus=0.1, ram_gb=0.05, true_s=10.0, expected_s=10.0))
         # What could never be stored is refused at once, not taken and lost.
@@ -121,13 +121,13 @@
         assert answer.status == 422 and "larger" in answer.body["error"]
         assert await world.poll("run-000001") == "running"
         assert await world.withdraw("run-000001", 5) == "cancelled"
-        states = await world.until_over(["run-000002", "run-000003"], 300)
+        states = await world.wait_until_finished(["run-000002", "run-000003"], 300)
         assert set(states.values()) == {"done"}
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
         assert await world.poll("run-000001") == "cancelled"
 
-    world = day(script, before=begin_old)
+    world = day(script, before=configure_earlier_version)
     # Machines and done marks were taken over: nothing was run again.
     assert max(world.rules.starts.values()) == 1
 
@@ -141,11 +141,11 @@
         assert await world.submit(job(1, pieces=90, cpus=0.17, ram_gb=0.1, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(10)
         assert max(len(worker.tasks) for worker in world.workers.values()) >= 80
-        assert (await world.until_over(["run-000001"], 120)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 120)) == {"run-000001": "done"}
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
-        fall(world)
+        world.limits = dict(NEXT_LIMITS)
+        lower_store_limits(world)
         world.cloud.capacity = {}
 
     day(script, machines=0, before=before)
@@ -167,8 +167,8 @@
         world.cloud.down = False
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
-        fall(world)
+        world.limits = dict(NEXT_LIMITS)
+        lower_store_limits(world)
         world.cloud.types = [*world.cloud.types] + [
             world.cloud.types[0] | {"name": f"small-{number}"} for number in range(TYPES_MANY)
         ]
@@ -202,12 +202,12 @@
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.1)
         assert world.loop.now - crashed < 6
-        states = await world.until_over(ids, 300)
+        states = await world.wait_until_finished(ids, 300)
         assert set(states.values()) == {"done"}
 
     def before(world: World) -> None:
-        world.limits = dict(NEXT)
-        fall(world)
+        world.limits = dict(NEXT_LIMITS)
+        lower_store_limits(world)
 
     world = day(script, machines=machines, each=machines, before=before)
     assert world.store.rate_limited <= 2
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -5,17 +5,17 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.faulty_rollouts import FAULTS
+from tests.world.faulty_rollouts import MUTATIONS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
-from tests.world.random_troubles import HISTORIES
-from tests.world.rollouts import RolloutMonitor, begin_before, monitored
-from tests.world.settings import NEXT
+from tests.world.random_troubles import HISTORY_SETTINGS
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
+from tests.world.settings import NEXT_LIMITS
 from tests.world.staged_days import staged_day
 from tests.world.world import World
 
 
 # A history that fails is made smaller, unlike those of the other worlds: its steps tell which guard is missing.
-@settings(HISTORIES, max_examples=30, phases=[Phase.generate, Phase.shrink])
+@settings(HISTORY_SETTINGS, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
 def test_repeated_upgrades_and_rollbacks_beside_all_troubles(
     number: int, steps: list[tuple[str, str, float]], falls: float
@@ -24,30 +24,30 @@
         await upgrades_and_rollbacks(world, monitor, steps, falls)
 
     def before(world: World) -> None:
-        begin_before(world)
-        world.limits = dict(NEXT)
+        configure_previous_version(world)
+        world.limits = dict(NEXT_LIMITS)
 
     staged_day(script, before, seed=number)
 
 
-@pytest.mark.parametrize("fault", FAULTS)
+@pytest.mark.parametrize("fault", MUTATIONS)
 def test_the_checks_see_a_rollout_that_lacks_a_guard(fault: str) -> None:
-    patch, script = FAULTS[fault]
+    patch, script = MUTATIONS[fault]
 
     def seen() -> list[str]:
         """Return what the monitor and the rules find on that day."""
-        broken: list[str] = []
+        violations: list[str] = []
 
         async def watched(world: World) -> None:
             with monitored(world) as monitor:
                 await script(world)
-            broken.extend(monitor.broken)
+            violations.extend(monitor.violations)
 
         try:
-            day(watched, before=begin_before, machines=2)
+            day(watched, before=configure_previous_version, machines=2)
         except AssertionError as error:
-            broken.append(str(error))
-        return broken
+            violations.append(str(error))
+        return violations
 
     # The same day with the guard shows nothing, but for the errors of processes that are rightly refused.
     assert all("is active, this version reads" in what for what in seen())
--- a/tests/test_rollout_faults.py
+++ b/tests/test_rollout_faults.py
@@ -13,18 +13,18 @@
 from tests.world.faulty_rollouts import announce_late, roll_back_unannounced
 from tests.world.loop import play
 from tests.world.rollouts import (
-    BEFORE,
+    PREVIOUS_LEVELS,
     SOAK_S,
     RolloutMonitor,
-    begin_before,
+    configure_previous_version,
     monitored,
     replace,
     stored_level,
-    until_level,
+    wait_for_level,
 )
 from tests.world.settings import NODES
 from tests.world.specs import job
-from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
+from tests.world.staged_days import staged_day, submit_some, upgrade_all, wait_until_done
 from tests.world.world import World, start
 
 
@@ -46,7 +46,7 @@
             # The leader itself is rolled back: the others serve on, and nobody works on what it would misread.
             assert world.leader is not None
             back = world.leader.node
-            replace(world, back, BEFORE, 0.3)
+            replace(world, back, PREVIOUS_LEVELS, 0.3)
             await asyncio.sleep(8)
             await check_refused(world, back)
             assert world.leader is not None and world.leader.node != back
@@ -59,12 +59,12 @@
             assert world.leader is None
             for node in NODES:
                 replace(world, node, SUPPORTED, 0.5)
-            await until_done(world, ids)
+            await wait_until_done(world, ids)
             assert (await world.ask("GET", "/ready", node=back)).status == 200
-        assert monitor.broken == [] and len(monitor.activations) == 1
+        assert monitor.violations == [] and len(monitor.activations) == 1
 
     world = World(3)
-    begin_before(world)
+    configure_previous_version(world)
 
     async def main() -> None:
         world.rent("large", "east")
@@ -74,7 +74,7 @@
 
     with caplog.at_level(logging.ERROR, "elmthread"):
         play(main(), world.loop)
-    assert world.rules.broken == []
+    assert world.rules.violations == []
     errors = [record.getMessage() for record in caplog.records]
     # Logged once, not at every try.
     assert len(errors) == 1
@@ -117,8 +117,8 @@
         await asyncio.sleep(2 * SOAK_S)
         for node in NODES:
             world.ports[node].store.faults.lost_response_share = 0.0
-        await until_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_for_level(world, SUPPORTED.highest)
+        await wait_until_done(world, ids)
 
     staged_day(script, seed=seed)
 
@@ -144,8 +144,8 @@
         earlier_reader.read(world.store.values())
         ids = await submit_some(world)
         start(world, ended[0])
-        await until_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_for_level(world, SUPPORTED.highest)
+        await wait_until_done(world, ids)
 
     staged_day(script)
 
@@ -204,7 +204,7 @@
         assert stored_level(world) == 1
         # The node itself sets it right, and comes back new.
         replace(world, NODES[2], SUPPORTED, 0.5)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
 
     staged_day(script)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,21 +48,21 @@
     one.observe_response("run-000001", 200, "done", asked=-1.0)
 
 
-def impossible(one: Rules) -> None:
+def invalid_jobs(one: Rules) -> None:
     one.submitted(job(3, cpus=99.0))
-    one.impossible.add("run-000003")
+    one.invalid_jobs.add("run-000003")
     one.observe_response("run-000003", 201, "queued")
 
 
 def waits(one: Rules) -> None:
-    one.calm_since = 0.0
+    one.faults_cleared_at = 0.0
     for now in (0.0, 50.0, 91.0):
         one.loop.now = now
         one.check_waiting(lambda spec: True)
 
 
 def forgotten(one: Rules) -> None:
-    one.calm_since = 0.0
+    one.faults_cleared_at = 0.0
     for now in (0.0, 76.0):
         one.loop.now = now
         one.observe_response("run-000001", 503, None)
@@ -106,7 +106,7 @@
     "invented": [lambda one: one.observe_response("run-000009", 200, "queued")],
     "not_done": [lambda one: one.observe_response("run-000001", 200, "done")],
     "went_back": [older_answer, two_ends, lambda one: one.observe_response("run-000001", 200, "cancelled")],
-    "accepted": [impossible],
+    "accepted": [invalid_jobs],
     "waits": [waits],
 }
 
@@ -116,7 +116,7 @@
     one = rules()
     BREAKS[rule][number](one)
     one.loop.close()
-    assert {entry.split()[1].rstrip(":") for entry in one.broken} == {rule}
+    assert {entry.split()[1].rstrip(":") for entry in one.violations} == {rule}
 
 
 def test_what_keeps_the_rules_breaks_none() -> None:
@@ -134,4 +134,4 @@
     one.check_cancelled()
     on(one, "run-000001/2")
     one.loop.close()
-    assert one.broken and one.broken[0].split()[1] == "ran_cancelled:" and len(one.late_starts) == 1
+    assert one.violations and one.violations[0].split()[1] == "ran_cancelled:" and len(one.late_starts) == 1
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.world.counting import count_calls, count_changes, observe_calls
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
+from tests.world.random_troubles import set_isolated
 from tests.world.specs import job
 from tests.world.world import World, start
 
@@ -63,7 +63,7 @@
         for job_id in ids:
             assert await world.poll(job_id) is not None
         world.start(old.node)
-        states = await world.until_over(ids, 100)
+        states = await world.wait_until_finished(ids, 100)
         assert set(states.values()) == {"done"}
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
@@ -134,7 +134,7 @@
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
-        over = world.rules.calm_since = world.loop.now
+        over = world.rules.faults_cleared_at = world.loop.now
         returned = note_returns(world)
         while await world.poll(ids[0]) is None:
             assert world.loop.now < over + 6
@@ -151,7 +151,7 @@
         sessions = [worker.incarnation for worker in world.workers.values()]
         assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
         assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
-        assert set((await world.until_over(ids, 200)).values()) == {"done"}
+        assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
 
@@ -160,19 +160,19 @@
     """Cut a zone off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
-    set_apart(world, cut_off, True)
+    set_isolated(world, cut_off, True)
     world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
     await asyncio.sleep(10)
     await more(5)
     await asyncio.sleep(20)
-    set_apart(world, cut_off, False)
+    set_isolated(world, cut_off, False)
     world.cut_worker_links.clear()
     await asyncio.sleep(5)
 
 
 async def refuse_peer_links(world: World, job_id: str) -> str:
     """Cut all links between controllers: users at followers are refused at once, the leader serves on; return it."""
-    reach, world.reach = world.reach, lambda one, other: False  # type: ignore[method-assign]
+    can_reach, world.can_reach = world.can_reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
     for node in world.nodes:
@@ -180,7 +180,7 @@
         status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
         assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
     await asyncio.sleep(10)
-    world.reach = reach  # type: ignore[method-assign]
+    world.can_reach = can_reach  # type: ignore[method-assign]
     return leader
 
 
@@ -225,8 +225,8 @@
         await asyncio.sleep(20)
         for worker in world.workers.values():
             worker.hung = False
-        world.rules.calm_since = world.loop.now
-        assert set((await world.until_over(ids, 150)).values()) == {"done"}
+        world.rules.faults_cleared_at = world.loop.now
+        assert set((await world.wait_until_finished(ids, 150)).values()) == {"done"}
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -23,7 +23,7 @@
 from elmthread.store.machine_records import read_machine
 from tests.world.day import day
 from tests.world.earlier_reader import newest
-from tests.world.rollouts import begin_before, replace, until_level
+from tests.world.rollouts import configure_previous_version, replace, wait_for_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
 from tools.schemas import FORMAT_TYPES, ROLLOUT_FORMAT_TYPES, make_schemas, serialize_schemas
@@ -184,13 +184,13 @@
         for node in world.nodes:
             replace(world, node, SUPPORTED, 0.5)
             await check_for(4)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert await world.submit(job(10, pieces=300, cpus=0.1, ram_gb=0.1, true_s=9.0, expected_s=9.0))
         assert await world.submit(daemon(11))
         await check_for(20)
         check_rollout_records(world)
 
-    day(script, before=begin_before, machines=6)
+    day(script, before=configure_previous_version, machines=6)
     newest_level = SUPPORTED.highest
     assert {(1, "done"), (1, "job")} <= sent
     assert {(newest_level, form) for form in ("done", "fence", "machine", "link view")} <= sent
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -12,9 +12,9 @@
 from elmthread.settings import operators, platform
 from elmthread.store.machine_type import MachineType
 from tests.world.day import day
-from tests.world.service_days import ordinary, served
+from tests.world.service_days import rent_on_demand, wait_until_serving
 from tests.world.settings import ZONES, settings
-from tests.world.specs import daemon, job, sent
+from tests.world.specs import daemon, job, submission_body
 from tests.world.world import World
 
 
@@ -71,13 +71,13 @@
         # Spot machines may come, but no ordinary one: the service must get room that is taken.
         world.cloud.capacity = {kind: 0 if not kind[2] else 9 for kind in world.cloud.capacity}
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        assert await served(world, "run-000002", 15, 6) < 15
+        assert await wait_until_serving(world, "run-000002", 15, 6) < 15
         mine = dict(world.rules.machines_of)
         assert await world.submit(job(3, pieces=60, urgency="high", true_s=20.0, expected_s=20.0))
         await asyncio.sleep(60)
         for number in range(6):
             assert world.rules.machines_of[f"run-000002/{number}"] == mine[f"run-000002/{number}"]
-        states = await world.until_over(["run-000001", "run-000003"], 400)
+        states = await world.wait_until_finished(["run-000001", "run-000003"], 400)
         assert set(states.values()) == {"done"}
 
     day(script)
@@ -92,7 +92,7 @@
         world.rent("small", "east")
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6))
-        assert await served(world, "run-000001", 45, 6) < 45
+        assert await wait_until_serving(world, "run-000001", 45, 6) < 45
         zones = {world.workers[name].zone for name, task in world.rules.running}
         assert len(zones) >= 2
         assert not any(world.workers[name].spot for name, _ in world.rules.running)
@@ -107,7 +107,7 @@
             world.rent("large", zone)
         await asyncio.sleep(6)
         assert await world.submit(daemon(1, pieces=6, scatter=False))
-        await served(world, "run-000001", 10, 6)
+        await wait_until_serving(world, "run-000001", 10, 6)
         names = [name for name, _ in world.rules.running]
         assert max(names.count(name) for name in names) <= 2
 
@@ -116,7 +116,7 @@
 
 def test_others_wait_no_longer_than_their_bound_while_services_hold_cores_all_day() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(4)
         for number in range(4):
             assert await world.submit(daemon(number, pieces=4, cpus=2.0))
@@ -130,7 +130,7 @@
         await asyncio.sleep(240)
         for job_id in ids:
             assert world.rules.first_start[job_id] - came < 240
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert set(states.values()) == {"done"}
         for number in range(4):
             assert world.rules.serving(f"run-{number:06d}") == 4
@@ -140,7 +140,7 @@
 
 def test_expected_time_of_nothing_teaches_the_work_model_nothing() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=35.0))
         await asyncio.sleep(150)
@@ -155,7 +155,7 @@
     """Deferrable work is judged by its deadline; a service has none, and would wait beside all of it."""
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
     jobs = JobFactory(facts, operators.parse("urgent = \"priority == 'high'\""), ActiveFeatures())
-    spec = sent(daemon(1))
+    spec = submission_body(daemon(1))
     assert jobs.new(read_submission(spec), seconds(0)).urgent
     assert not jobs.new(read_submission(spec | {"form": "batch"}), seconds(0)).urgent
 
@@ -164,13 +164,13 @@
     """They move one at a time, so a service is never without more than one of them."""
 
     async def script(world: World) -> None:
-        ordinary(world, 2)
+        rent_on_demand(world, 2)
         await asyncio.sleep(5)
         # Work of three cores on each machine leaves room for one replica on each.
         assert await world.submit(job(1, urgency="high", pieces=6, cpus=3.0, true_s=30.0, expected_s=30.0))
         await asyncio.sleep(6)
         assert await world.submit(daemon(2, pieces=6, scatter=False))
-        await served(world, "run-000002", 15, 6)
+        await wait_until_serving(world, "run-000002", 15, 6)
         assert len({name for name, task in world.rules.running if task.startswith("run-000002")}) == 6
         await asyncio.sleep(300)
         # A move costs replica time: nothing is emptied lightly.
@@ -191,7 +191,7 @@
 
 def test_aims_for_a_class_of_services_say_how_soon_its_replicas_are_to_serve() -> None:
     facts = platform.parse(settings("loom-0", ["loom-0"])).cluster
-    spec = read_submission(sent(daemon(1)))
+    spec = read_submission(submission_body(daemon(1)))
     due = []
     aims = [("none", None, None), ("wait", 20.0, None), ("up", None, 12.0), ("finished", 5.0, None)]
     for kind, within, after in aims:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,18 +7,18 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import set_apart
-from tests.world.service_days import known, ordinary, served
+from tests.world.random_troubles import set_isolated
+from tests.world.service_days import leader_job, rent_on_demand, wait_until_serving
 from tests.world.specs import daemon, job
 from tests.world.world import World, start
 
 
 def test_service_runs_until_it_is_withdrawn_and_is_never_done() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1))
-        await served(world, "run-000001", 8)
+        await wait_until_serving(world, "run-000001", 8)
         answer = await world.ask("GET", "/submissions/run-000001")
         assert answer.body == {"name_id": "run-000001", "status": "running", "done": 0, "running": 3}
         await asyncio.sleep(300)
@@ -36,17 +36,17 @@
 @pytest.mark.parametrize("ends", ["done", "error", "halted"])
 def test_replica_that_ends_is_started_again_whatever_it_says(ends: str) -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, true_s=40.0, ends=ends))
         await asyncio.sleep(250)
         # Each ended five times or so; the breaks are short, and no end was taken for the last.
         assert sum(world.rules.starts.values()) >= 15
-        assert await served(world, "run-000001", 15) < 15
+        assert await wait_until_serving(world, "run-000001", 15) < 15
         assert await world.poll("run-000001") == "running"
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(10)
-        assert known(world, "run-000001").is_service and known(world, "run-000001").done_count == 0
+        assert leader_job(world, "run-000001").is_service and leader_job(world, "run-000001").done_count == 0
 
     world = day(script, machines=0, controllers=5)
     assert not any(key.startswith("d/") for page in record_keys_by_page(world) for key in page)
@@ -58,12 +58,12 @@
 
 def test_replica_that_ends_at_once_is_not_started_in_a_loop_and_blames_no_machine() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         assert await world.submit(daemon(1, pieces=2, true_s=0.0, ends="done"))
         assert await world.submit(daemon(2, pieces=2, true_s=0.0, ends="error"))
         assert await world.submit(daemon(3))
-        await served(world, "run-000003", 10)
+        await wait_until_serving(world, "run-000003", 10)
         rented = len(world.cloud.requests)
         for _ in range(240):
             await asyncio.sleep(1)
@@ -99,22 +99,22 @@
 @pytest.mark.parametrize(("loss", "within"), [(lose_machine, 11.0), (recall, 11.0), (cut_zone, 20.0)])
 def test_replicas_return_after_loss(loss: Callable[[World, str], None], within: float) -> None:
     async def script(world: World) -> None:
-        ordinary(world, 3)
+        rent_on_demand(world, 3)
         await asyncio.sleep(5)
         # Replicas that may run on whatever machine, spread or not, and deferrable work beside them.
         assert await world.submit(daemon(1))
         assert await world.submit(daemon(2, pieces=4, scatter=False))
         assert await world.submit(job(3, pieces=20, true_s=30.0, expected_s=30.0))
-        await served(world, "run-000001", 10)
-        await served(world, "run-000002", 10, 4)
+        await wait_until_serving(world, "run-000001", 10)
+        await wait_until_serving(world, "run-000002", 10, 4)
         name = next(machine for machine, task in world.rules.running if task.startswith("run-000001"))
         mine = {task for machine, task in world.rules.running if machine == name}
         loss(world, name)
         lost = world.loop.now
         while any(world.rules.machines_of.get(task) == [name] for task in mine):
             await asyncio.sleep(0.1)
-        await served(world, "run-000001", within)
-        await served(world, "run-000002", within, 4)
+        await wait_until_serving(world, "run-000001", within)
+        await wait_until_serving(world, "run-000002", within, 4)
         assert world.loop.now - lost < within
 
     day(script, machines=0)
@@ -122,12 +122,12 @@
 
 def test_no_change_of_leader_stops_or_doubles_a_replica() -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         for number in range(3):
             assert await world.submit(daemon(number))
         for number in range(3):
-            await served(world, f"run-{number:06d}", 12)
+            await wait_until_serving(world, f"run-{number:06d}", 12)
         for turn in range(4):
             leader = world.leader
             assert leader is not None
@@ -136,8 +136,8 @@
                 world.kill(node)
                 world.loop.call_later(0.3, start, world, node)
             else:
-                set_apart(world, node, True)
-                world.loop.call_later(20, set_apart, world, node, False)
+                set_isolated(world, node, True)
+                world.loop.call_later(20, set_isolated, world, node, False)
             await asyncio.sleep(30)
 
     world = day(script, machines=0)
@@ -147,7 +147,7 @@
 @pytest.mark.parametrize("moment", ["fetching", "saving", "lost"])
 def test_withdrawal_ends_a_service_whatever_its_replicas_do(moment: str) -> None:
     async def script(world: World) -> None:
-        ordinary(world)
+        rent_on_demand(world)
         await asyncio.sleep(5)
         spec = daemon(1, snapshot_every_s=5.0, snapshot_s=2.0)
         assert await world.submit(spec)
@@ -155,7 +155,7 @@
             while not any(task.state == "fetching" for w in world.workers.values() for task in w.tasks.values()):
                 await asyncio.sleep(0.05)
         else:
-            await served(world, "run-000001", 10)
+            await wait_until_serving(world, "run-000001", 10)
             name = next(machine for machine, _ in world.rules.running)
             if moment == "lost":
                 lose_machine(world, name)
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -9,17 +9,17 @@
 from elmthread.settings.rollout import RolloutSettings
 from tests.world import earlier_reader
 from tests.world.rollouts import (
-    BEFORE,
+    PREVIOUS_LEVELS,
     SOAK_S,
     RolloutMonitor,
-    begin_before,
+    configure_previous_version,
     done_in_store,
     replace,
     stored_level,
-    until_level,
+    wait_for_level,
 )
 from tests.world.settings import NODES
-from tests.world.staged_days import staged_day, submit_some, until_done, upgrade_all
+from tests.world.staged_days import staged_day, submit_some, upgrade_all, wait_until_done
 from tests.world.world import World
 
 
@@ -33,7 +33,7 @@
             if node != NODES[-1]:
                 # Whoever leads, and whatever it writes: the version before could read it.
                 earlier_reader.read(world.store.values())
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert len(monitor.activations) == 1
         for one in world.controllers.values():
             assert one.rollout.features.is_active(Feature.DONE_BITMAPS)
@@ -44,7 +44,7 @@
         await asyncio.sleep(14)
         assert world.leader is not None
         world.kill(world.leader.node)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
         assert monitor.loads >= 2
 
     world = staged_day(script)
@@ -92,11 +92,11 @@
         follower = next(node for node in NODES if world.leader and node != world.leader.node)
         replace(world, follower, SUPPORTED, 0.1)
         again = world.loop.now
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         assert monitor.activations[0] - again >= 10.0
 
     def before(world: World) -> None:
-        begin_before(world)
+        configure_previous_version(world)
         world.rollout = RolloutSettings(enabled=True, soak_s=10.0)
 
     staged_day(script, before)
@@ -120,7 +120,7 @@
         if kind == "end":
             world.kill(node)
         else:
-            replace(world, node, BEFORE if kind == "back" else SUPPORTED, 0.5)
+            replace(world, node, PREVIOUS_LEVELS if kind == "back" else SUPPORTED, 0.5)
             await asyncio.sleep(1)
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
@@ -134,8 +134,8 @@
                 assert all(one.rollout.gate.admitted for one in world.controllers.values())
             else:
                 await take(world, kind, NODES[int(number[0])])
-        await until_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_for_level(world, SUPPORTED.highest)
+        await wait_until_done(world, ids)
 
     staged_day(script)
 
@@ -151,11 +151,11 @@
             assert stored_level(world) == 1
             replace(world, node, SUPPORTED, 1.0)
             await asyncio.sleep(6)
-        await until_level(world, SUPPORTED.highest)
-        await until_done(world, ids)
+        await wait_for_level(world, SUPPORTED.highest)
+        await wait_until_done(world, ids)
 
     def before(world: World) -> None:
-        world.levels = dict.fromkeys(world.nodes, BEFORE)
+        world.levels = dict.fromkeys(world.nodes, PREVIOUS_LEVELS)
 
     staged_day(script, before)
 
@@ -175,6 +175,6 @@
             replace(world, node, SUPPORTED, 0.5)
         await asyncio.sleep(5)
         assert all(one.rollout.features.level == SUPPORTED.highest for one in world.controllers.values() if one.leader)
-        await until_done(world, ids)
+        await wait_until_done(world, ids)
 
     staged_day(script, lambda world: None)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -22,7 +22,7 @@
 
 def test_store_of_the_earlier_layout_is_migrated_once() -> None:
     async def script(world: World) -> None:
-        assert (await world.until_over(["run-000001"], 60)) == {"run-000001": "done"}
+        assert (await world.wait_until_finished(["run-000001"], 60)) == {"run-000001": "done"}
         assert await world.poll("run-000002") == "done"
         assert await world.poll("run-000003") is None
         # Tasks 0 to 2 were done before.
@@ -89,7 +89,7 @@
         assert world.leader is not None
         world.kill(world.leader.node)
         killed = world.loop.now
-        world.rules.calm_since = killed
+        world.rules.faults_cleared_at = killed
         left = {f"run-{number:06d}" for number in (1, 77, 1234, count - 1)} | {"run-009000"}
         while left:
             for job_id in sorted(left):
@@ -97,7 +97,7 @@
                     left.discard(job_id)
             await asyncio.sleep(0.3)
             assert world.loop.now - killed < 8, left
-        assert (await world.until_over(["run-009000"], 60)) == {"run-009000": "done"}
+        assert (await world.wait_until_finished(["run-009000"], 60)) == {"run-009000": "done"}
 
     def before(world: World) -> None:
         ids = [f"run-{number:06d}" for number in range(count)]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -16,10 +16,10 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
 from tests.world import earlier_reader
 from tests.world.day import day
-from tests.world.random_troubles import befall, restore
-from tests.world.specs import daemon, job, sent
+from tests.world.random_troubles import inject_fault, restore
+from tests.world.specs import daemon, job, submission_body
 from tests.world.stored import stored_records
-from tests.world.upgrades import begin_old, fall, upgrade
+from tests.world.upgrades import configure_earlier_version, lower_store_limits, upgrade
 from tests.world.world import World
 
 SAMPLES: dict[str, Any] = json.loads((Path(__file__).parent / "samples" / "production.json").read_text())
@@ -46,7 +46,7 @@
 
 def test_the_model_refuses_what_the_earlier_version_could_not_read() -> None:
     """A reader that reads anything would find nothing."""
-    spec = sent(daemon(1))
+    spec = submission_body(daemon(1))
     bad: list[dict[str, Any]] = [
         {"j/run-000001": {"state": "open", "tasks": 3, "at": 1.0, "chunk": 64, "spec": spec}},
         {"j/run-000001": {"state": "standing", "tasks": 3}},
@@ -103,7 +103,7 @@
     for text in SAMPLES["frames"]:
         message = decode(text.encode())
         assert json.loads(encode(message)) == json.loads(text)
-    spec = sent(job(1))
+    spec = submission_body(job(1))
     for message in (
         LeaderAnnouncement("loom-1", 41, "loom-0", 2, [("m-000001", 1, 88)], 46),
         ForwardedRequest(5, "submit", "run-000001", 41, msgspec.to_builtins(read_submission(spec))),
@@ -165,7 +165,9 @@
         ids = await submit_of_many_sizes(world)
 
         async def trouble() -> None:
-            await befall(world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids)
+            await inject_fault(
+                world, world.rng.choice(["kill", "back", "still", "lossy", "die", "cancel", "step_down"]), ids
+            )
             await check_often(20, 0.3)
 
         # Up to the last but one: whichever leads, an earlier version may be next.
@@ -173,12 +175,12 @@
         await check_often(60, 0.5)
         restore(world)
         await upgrade(world, world.nodes[2:], 10.0)
-        fall(world)
-        states = await world.until_over(ids, 400)
+        lower_store_limits(world)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         assert checks > 90
 
-    day(script, seed=seed, before=begin_old)
+    day(script, seed=seed, before=configure_earlier_version)
 
 
 def test_the_first_service_is_written_only_when_one_is_asked_for() -> None:
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -8,7 +8,7 @@
 from tests.trace.pins import SimulatedTime, pinned
 from tests.trace.recorder import Recorder
 from tests.trace.users import ask_until_end, leader_of, rent_more, take_back, use
-from tests.world.rollouts import begin_before, until_level
+from tests.world.rollouts import configure_previous_version, wait_for_level
 from tests.world.world import World, start
 
 Script = Callable[[World, random.Random], Awaitable[None]]
@@ -43,7 +43,7 @@
     await asyncio.sleep(20)
     world.store.outage(False)
     await asyncio.sleep(15)
-    world.store.limit(8.0, 8, 15.0)
+    world.store.set_limits(8.0, 8, 15.0)
     await users
     await ask_until_end(world, rng, 170.0)
 
@@ -104,7 +104,7 @@
         del world.levels[node]
         world.loop.call_later(1.0, start, world, node)
         await asyncio.sleep(9)
-    await until_level(world, LEVEL)
+    await wait_for_level(world, LEVEL)
     await asyncio.sleep(10)
     for source, target in (("leader", "workers"), ("leader", "follower"), ("leader", "store")):
         await world.play_faults([{"at_s": 0.0, "for_s": 12.0, "from": source, "to": target, "both": True}])
@@ -119,7 +119,7 @@
     "outage": (outage, lambda world: None),
     "cuts": (cuts, lambda world: None),
     "kills": (kills, lambda world: None),
-    "levels": (levels, begin_before),
+    "levels": (levels, configure_previous_version),
 }
 
 
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -13,7 +13,7 @@
 from tests.world.day import day
 from tests.world.history import History
 from tests.world.links import Fault, check_schedule
-from tests.world.rollouts import until_level
+from tests.world.rollouts import wait_for_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
@@ -21,7 +21,7 @@
 Script = Callable[[World, History], Awaitable[None]]
 # What workers need to find a leader again, once there is one: their wait, each node once, two reports.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
-BEFORE = SupportedLevels(1, 2)
+PREVIOUS_LEVELS = SupportedLevels(1, 2)
 
 
 def cut(source: str, target: str, at: float = 0.0, length: float = 15.0, **more: Any) -> Fault:
@@ -55,19 +55,19 @@
 
     async def played(world: World) -> None:
         history = histories[0]
-        await until_level(world, levels.highest)
+        await wait_for_level(world, levels.highest)
         users = asyncio.ensure_future(submit_and_cancel(world, 6, 0.0))
         await asyncio.sleep(8)
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
         await until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
-        states = await world.until_over(await users, 300)
+        states = await world.wait_until_finished(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
         assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
     world = day(played, seed=seed, before=before, machines=8)
     assert histories[0].acts > 0
-    assert histories[0].broken == []
+    assert histories[0].violations == []
     for reported in world.rules.history.values():
         assert len({state for _, state in reported if state in ("done", "cancelled")}) == 1
     return histories[0]
@@ -86,7 +86,7 @@
     return ids
 
 
-def plays(*faults: Fault) -> Script:
+def fault_script(*faults: Fault) -> Script:
     async def script(world: World, history: History) -> None:
         await world.play_faults(check_schedule({"faults": list(faults)}))
 
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -44,6 +44,6 @@
     with errors_logged() as faults:
         play(main(), world.loop)
     assert faults == []
-    assert world.rules.broken == []
+    assert world.rules.violations == []
     assert world.store.bad_requests == []
     return world
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -16,7 +16,7 @@
 from elmthread.rollout.view import Announcement, RolloutView
 from elmthread.settings.rollout import RolloutSettings
 from elmthread.store import messages as store
-from tests.world.rollouts import BEFORE, SOAK_S, replace, stored_level, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, SOAK_S, replace, stored_level, wait_for_level
 from tests.world.settings import NODES
 from tests.world.staged_days import submit_some, upgrade_all
 from tests.world.world import World
@@ -36,7 +36,7 @@
             await asyncio.sleep(0.02)
             world.kill(NODES[2])
             world.ports[NODES[2]].store.faults.delivered_after_end = True
-        replace(world, NODES[2], BEFORE, 0.05)
+        replace(world, NODES[2], PREVIOUS_LEVELS, 0.05)
         await asyncio.sleep(1.0)
         assert world.store.items[f"rollout/nodes/{NODES[2]}"][0]["highest"] == 1
         await asyncio.sleep(12 + SOAK_S)
@@ -53,14 +53,14 @@
     back = next(node for node in NODES if node != world.leader.node)
     # Without the setting it announces nothing, as a version that knows no levels.
     world.rollout = RolloutSettings()
-    replace(world, back, BEFORE, 0.2)
+    replace(world, back, PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(0.5)
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     await asyncio.sleep(4 * SOAK_S)
     assert world.store.items[f"rollout/nodes/{back}"][0]["highest"] == SUPPORTED.highest
     assert stored_level(world) == 1, "active though a node runs a version that announced nothing"
     replace(world, back, SUPPORTED, 0.2)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
 
 
 # Faults: one guard less, or another rule. A day made for each of them shows that a check sees it.
@@ -68,7 +68,7 @@
 
 def by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
     """Raise the level once most nodes have it."""
-    able = {node for node, one in view.announcements.items() if getattr(one, "levels", BEFORE).highest >= 2}
+    able = {node for node, one in view.announcements.items() if getattr(one, "levels", PREVIOUS_LEVELS).highest >= 2}
     if view.level < 2 and len(able) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
         return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in able))
@@ -91,7 +91,7 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3)
     # If the version before leads, one of the others does from now on.
-    replace(world, NODES[2], BEFORE, 3.0)
+    replace(world, NODES[2], PREVIOUS_LEVELS, 3.0)
     await asyncio.sleep(4 * SOAK_S)
 
 
@@ -147,7 +147,7 @@
         assert world.store._transact(transaction([], put)).status == 200
 
     before_putting(world, f"rollout/nodes/{NODES[2]}", raised)
-    replace(world, NODES[2], BEFORE, 0.2)
+    replace(world, NODES[2], PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(10)
 
 
@@ -166,7 +166,7 @@
 async def roll_all_back(world: World) -> None:
     await mark_tasks_done(world)
     for node in NODES:
-        replace(world, node, BEFORE, 0.2)
+        replace(world, node, PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(10)
 
 
@@ -175,7 +175,7 @@
     rollout._rollout.features.raise_level(rollout._level)
 
 
-FAULTS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
+MUTATIONS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
     "a majority is enough": (lambda: mock.patch.object(term_module, "plan_activation", by_majority), upgrade_most),
     "the activation does not compare the announcements": (
         lambda: mock.patch.object(term_module, "store_messages", GuardsLeftOut("/nodes/")),
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -72,7 +72,7 @@
         self.granted: dict[str, float] = {}
         self._sure_until: dict[str, float] = {}
         self.acts = 0
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         world.on_start.append(self._watch)
         world.on_answer.append(self._answered)
 
@@ -85,7 +85,7 @@
         self.acts += 1
         now = self.world.loop.now
         if now > self._sure_until.get(node, 0.0) + 1e-6:
-            self.broken.append(f"{now:.2f} {node}: {what} without a sure lease")
+            self.violations.append(f"{now:.2f} {node}: {what} without a sure lease")
 
     def _watch(self, node: str, controller: Controller) -> None:
         election = controller.election
@@ -125,4 +125,4 @@
         confirmed = (self.world.loop.clock(self.world.drift[node]) - election._no_later_term_at).total_seconds()
         until = max(self._sure_until.get(node, 0.0), now - confirmed) + election.settings.grace_period.total_seconds()
         if now > until + 1e-6:
-            self.broken.append(f"{now:.2f} {node}: a worker is answered past the holding time")
+            self.violations.append(f"{now:.2f} {node}: a worker is answered past the holding time")
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -46,7 +46,7 @@
 Changed = Callable[[str, Fault, list[tuple[str, str]]], None]
 
 
-class BadScheduleError(Exception):
+class InvalidScheduleError(Exception):
     """A schedule that can't be played; names the field."""
 
 
@@ -55,13 +55,13 @@
     error = jsonschema.exceptions.best_match(jsonschema.Draft202012Validator(SCHEMA).iter_errors(schedule))
     if error is not None:
         field = ".".join(map(str, error.absolute_path)) or "the schedule"
-        raise BadScheduleError(f"{field}: {error.message}")
+        raise InvalidScheduleError(f"{field}: {error.message}")
     faults: list[Fault] = schedule["faults"]
     for number, fault in enumerate(faults):
         if ("on_s" in fault) != ("off_s" in fault) or fault.get("on_s", 1) + fault.get("off_s", 1) < 0.1:
-            raise BadScheduleError(f"faults.{number}: on_s and off_s belong together and last 0.1 s at least")
+            raise InvalidScheduleError(f"faults.{number}: on_s and off_s belong together and last 0.1 s at least")
         if fault.get("kind") == "delay" and "delay_s" not in fault:
-            raise BadScheduleError(f"faults.{number}: a delay needs delay_s")
+            raise InvalidScheduleError(f"faults.{number}: a delay needs delay_s")
     return faults
 
 
@@ -69,8 +69,8 @@
     """Return the faults in a file. Raises BadScheduleError, naming the file and the field."""
     try:
         return check_schedule(tomllib.loads(path.read_text()))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, BadScheduleError) as error:
-        raise BadScheduleError(f"{path}: {error}") from error
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, InvalidScheduleError) as error:
+        raise InvalidScheduleError(f"{path}: {error}") from error
 
 
 def spans(fault: Fault) -> list[tuple[float, float]]:
@@ -85,7 +85,7 @@
     return found
 
 
-def draw(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
+def draw_schedule(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
     """Draw random faults of these links, all over after `length` seconds."""
     rng = random.Random(seed)
     links = sorted(ends)
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -30,7 +30,7 @@
 )
 from tests.world.world import World
 
-TROUBLES: dict[str, Trouble] = {
+FAULT_SCRIPTS: dict[str, Trouble] = {
     one.__name__: one
     for one in (
         leader_ends,
@@ -64,7 +64,7 @@
 }
 
 
-async def watch(world: World) -> None:
+async def check_continuously(world: World) -> None:
     """Check all the time what runs on machines, and whether work waits beside room."""
     while True:
         await asyncio.sleep(0.25)
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -190,9 +190,9 @@
 
     def passes(self, node: str, other: str) -> bool:
         """Whether what one controller sends reaches the other."""
-        return self.reach(node, other) and self.link_faults.passes(node, other)
+        return self.can_reach(node, other) and self.link_faults.passes(node, other)
 
-    def reach(self, one: str, other: str) -> bool:
+    def can_reach(self, one: str, other: str) -> bool:
         out = self.cut_nodes | self.isolated_nodes
         return one in self.controllers and other in self.controllers and not {one, other} & out
 
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -3,11 +3,11 @@
 import asyncio
 
 from tests.world.settings import ZONES
-from tests.world.stage import Stage, add_for
+from tests.world.stage import Scenario, add_for
 from tests.world.user_troubles import cancel_now
 
 
-async def leader_apart(stage: Stage) -> None:
+async def leader_apart(stage: Scenario) -> None:
     """Cut the leader off from the store and the other nodes, not from workers and users, who cancel jobs."""
     world, leader = stage.world, stage.leader()
     if leader is None:
@@ -24,7 +24,7 @@
     now.refused = now.cut = False
 
 
-async def zone_cut(stage: Stage) -> None:
+async def zone_cut(stage: Scenario) -> None:
     """Cut off a zone with its workers and a controller, which goes on inside, for longer than a lease."""
     world = stage.world
     zone, node = world.rng.choice(ZONES), world.rng.choice(world.nodes)
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -6,17 +6,17 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SUPPORTED
-from tests.world.random_troubles import TROUBLES, befall, restore
-from tests.world.rollouts import BEFORE, RolloutMonitor, begin_before, replace, until_level
-from tests.world.settings import NEXT, NODES
+from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
+from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, wait_for_level
+from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.staged_days import staged_day, submit_some
-from tests.world.upgrades import fall
+from tests.world.upgrades import lower_store_limits
 from tests.world.versions import EarlierVersion
 from tests.world.world import World
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["new", "new", "new", "before", "before", *TROUBLES]),
+        st.sampled_from(["new", "new", "new", "before", "before", *FAULT_NAMES]),
         st.sampled_from(NODES),
         st.floats(0.05, 9.0),
     ),
@@ -29,13 +29,13 @@
     world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
 ) -> None:
     """Nodes change their version again and again beside every trouble; in the end all are new."""
-    world.loop.call_later(falls, fall, world)
+    world.loop.call_later(falls, lower_store_limits, world)
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
         if kind in ("new", "before"):
-            replace(world, node, SUPPORTED if kind == "new" else BEFORE, world.rng.uniform(0.02, 4.0))
+            replace(world, node, SUPPORTED if kind == "new" else PREVIOUS_LEVELS, world.rng.uniform(0.02, 4.0))
         else:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
         await asyncio.sleep(pause)
         for job_id in ids:
             await world.poll(job_id)
@@ -44,9 +44,9 @@
         if world.levels[node] != SUPPORTED:
             replace(world, node, SUPPORTED, world.rng.uniform(0.02, 4.0))
     await asyncio.sleep(5)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
     ids += await submit_some(world, 3, 20)
-    states = await world.until_over(ids, 400)
+    states = await world.wait_until_finished(ids, 400)
     assert all(state in ("done", "cancelled") for state in states.values()), states
     await asyncio.sleep(max(0.0, falls - world.loop.now))
 
@@ -64,17 +64,17 @@
             world.earlier_nodes.discard(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
         await asyncio.sleep(5)
-        await until_level(world, SUPPORTED.highest)
+        await wait_for_level(world, SUPPORTED.highest)
         ids += await submit_some(world, 3, 20)
         await asyncio.sleep(14)
         await _roll_back(world, reads_level)
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
 
     def before(world: World) -> None:
-        begin_before(world)
+        configure_previous_version(world)
         world.levels.clear()
-        world.limits, world.earlier, world.earlier_nodes = dict(NEXT), earlier, set(world.nodes)
+        world.limits, world.earlier, world.earlier_nodes = dict(NEXT_LIMITS), earlier, set(world.nodes)
 
     staged_day(script, before, seed=seed)
 
@@ -82,12 +82,12 @@
 async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
     """Move nodes to either version at random, beside troubles."""
     for _ in range(12):
-        kind, node = rng.choice(["new", "new", "earlier", *rng.sample(TROUBLES, 2)]), rng.choice(NODES)
+        kind, node = rng.choice(["new", "new", "earlier", *rng.sample(FAULT_NAMES, 2)]), rng.choice(NODES)
         if kind in ("new", "earlier"):
             (world.earlier_nodes.discard if kind == "new" else world.earlier_nodes.add)(node)
             replace(world, node, SUPPORTED, rng.uniform(0.05, 4.0))
         else:
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
         await asyncio.sleep(rng.uniform(0.05, 9.0))
         for job_id in ids:
             await world.poll(job_id)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -12,7 +12,7 @@
 
 # How generated histories are played: the same in every run, and a failing one is told as it is,
 # since making it smaller takes minutes.
-HISTORIES = settings(
+HISTORY_SETTINGS = settings(
     deadline=None,
     database=None,
     derandomize=True,
@@ -21,7 +21,7 @@
 )
 
 
-async def befall(world: World, kind: str, ids: list[str]) -> None:
+async def inject_fault(world: World, kind: str, ids: list[str]) -> None:
     """Begin a trouble of that kind, where there is anything that it can befall."""
     await KINDS[kind](world, ids)
 
@@ -96,7 +96,7 @@
 
 async def _isolate(world: World, ids: list[str]) -> None:
     if world.controllers:
-        set_apart(world, world.rng.choice(list(world.controllers)), True)
+        set_isolated(world, world.rng.choice(list(world.controllers)), True)
 
 
 async def _restart_worker(world: World, ids: list[str]) -> None:
@@ -150,10 +150,10 @@
     "still": partial(_suspend, False),
     "still_all": partial(_suspend, True),
 }
-TROUBLES = list(KINDS)
+FAULT_NAMES = list(KINDS)
 
 
-def set_apart(world: World, node: str, apart: bool) -> None:
+def set_isolated(world: World, node: str, apart: bool) -> None:
     """Cut a node off from the store and the other controllers, or connect it again."""
     (world.isolated_nodes.add if apart else world.isolated_nodes.discard)(node)
     world.ports[node].store.faults.cut = apart
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -23,15 +23,15 @@
 from tests.world.earlier_reader import newest
 from tests.world.world import World, start
 
-BEFORE = SupportedLevels(1, 1)
+PREVIOUS_LEVELS = SupportedLevels(1, 1)
 SOAK_S = 4.0
 FENCE = "t/compatibility"
 
 
-def begin_before(world: World) -> None:
+def configure_previous_version(world: World) -> None:
     """All nodes run the version before, with the rollout switched on."""
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
-    world.levels = dict.fromkeys(world.nodes, BEFORE)
+    world.levels = dict.fromkeys(world.nodes, PREVIOUS_LEVELS)
 
 
 def replace(world: World, node: str, levels: SupportedLevels, after: float) -> None:
@@ -42,7 +42,7 @@
     world.loop.call_later(after, partial(start, world, node))
 
 
-async def until_level(world: World, level: int, patience: float = 60.0) -> float:
+async def wait_for_level(world: World, level: int, patience: float = 60.0) -> float:
     """Wait until every node knows that the level is active; return how long that took, in seconds."""
     began = world.loop.now
     while any(
@@ -111,14 +111,14 @@
     def __init__(self, world: World) -> None:
         """Watches the world's state service from now on."""
         self._world = world
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.activations: list[float] = []
         self.loads = 0
         self._transact = world.store._transact
         world.store._transact = self._watched  # type: ignore[method-assign]
 
     def _break(self, what: str) -> None:
-        self.broken.append(f"{self._world.loop.now:.2f} {what}")
+        self.violations.append(f"{self._world.loop.now:.2f} {what}")
 
     def _watched(self, body: Any) -> Any:
         before, fenced = stored_level(self._world), self._fence_stands()
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -25,21 +25,21 @@
         # The states of each job that were reported to users, and when, where they changed.
         self.history: dict[str, list[tuple[float, str]]] = {}
         # Jobs that must never be accepted, as they can't run or lack a field.
-        self.impossible: set[str] = set()
+        self.invalid_jobs: set[str] = set()
         # Tasks that began after their job was reported as cancelled.
         self.late_starts: list[str] = []
         self.waiting: dict[str, float] = {}
         self.cancelled_at: dict[str, float] = {}
         self.asked_to_cancel: set[str] = set()
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         # Since when a job's questions have gone unanswered, and since when there is no trouble.
         self.unanswered: dict[str, float] = {}
-        self.calm_since: float | None = None
+        self.faults_cleared_at: float | None = None
         self.first_start: dict[str, float] = {}
         self.starts: Counter[str] = Counter()
 
     def _break(self, rule: str, what: str) -> None:
-        self.broken.append(f"{self.loop.now:.2f} {rule}: {what}")
+        self.violations.append(f"{self.loop.now:.2f} {rule}: {what}")
 
     def submitted(self, spec: dict[str, Any]) -> None:
         self.specs[spec["name_id"]] = spec
@@ -109,7 +109,7 @@
         self._check_answered(job, status, before)
         if status not in (200, 201) or state is None or job not in self.specs:
             return
-        if job in self.impossible:
+        if job in self.invalid_jobs:
             self._break("accepted", f"{job}, which can't run or lacks a field")
         if state == "done":
             self._check_done(job)
@@ -131,7 +131,7 @@
             self.unanswered.pop(job, None)
         elif before is not None and before != "cancelled":
             since = self.unanswered.setdefault(job, self.loop.now)
-            if self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 75:
+            if self.faults_cleared_at is not None and self.loop.now - max(since, self.faults_cleared_at) > 75:
                 self._break("forgotten", f"{job}: no question answered since {since:.1f}")
         if status in (200, 201) and job not in self.specs:
             self._break("invented", job)
@@ -170,6 +170,6 @@
             since = self.waiting.setdefault(job, self.loop.now) if waits else None
             if since is None:
                 self.waiting.pop(job, None)
-            elif self.calm_since is not None and self.loop.now - max(since, self.calm_since) > 90:
+            elif self.faults_cleared_at is not None and self.loop.now - max(since, self.faults_cleared_at) > 90:
                 self._break("waits", f"{job} since {since:.1f}")
                 self.waiting[job] = self.loop.now
--- a/tests/world/service_days.py
+++ b/tests/world/service_days.py
@@ -7,19 +7,19 @@
 from tests.world.world import World
 
 
-def ordinary(world: World, each: int = 2) -> None:
+def rent_on_demand(world: World, each: int = 2) -> None:
     """Ordinary machines in every zone, as services that use no spot machine need them."""
     for zone in ZONES:
         for _ in range(each):
             world.rent("small", zone)
 
 
-def known(world: World, job_id: str) -> Job:
+def leader_job(world: World, job_id: str) -> Job:
     assert world.leader is not None and world.leader.leader is not None
     return world.leader.leader.cluster.jobs[job_id]
 
 
-async def served(world: World, job_id: str, within: float, replicas: int = 3) -> float:
+async def wait_until_serving(world: World, job_id: str, within: float, replicas: int = 3) -> float:
     """Wait until all replicas serve; return how long that took, in seconds."""
     began = world.loop.now
     while world.rules.serving(job_id) < replicas:
--- a/tests/world/settings.py
+++ b/tests/world/settings.py
@@ -74,7 +74,7 @@
 max_connections = 500
 """
 # Limits that the state service has from some moment on, where a day has such a moment.
-NEXT = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
+NEXT_LIMITS = {"value_kb": 2.0, "txn_ops": 4, "write_rps": 15.0}
 
 
 def settings(node: str, nodes: list[str], limits: dict[str, float] | None = None, cancel: float = 30.0) -> str:
--- a/tests/world/simulated_store.py
+++ b/tests/world/simulated_store.py
@@ -125,7 +125,7 @@
         pairs = [{"k": key, "value": self.items[key][0], "stamp": self.items[key][1]} for key in keys[:most]]
         return ClientResponse(200, {"pairs": pairs, "has_next": len(keys) > most, "ledger_rev": self.revision})
 
-    def limit(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
+    def set_limits(self, value_kb: float, txn_ops: int, write_rps: float) -> None:
         """Set new limits from now on; what is stored stays as it is."""
         self.value_bytes, self.max_changes = int(value_kb * 1024), txn_ops
         self.write_rps, self.write_tokens = write_rps, min(self.write_tokens, write_rps)
--- a/tests/world/specs.py
+++ b/tests/world/specs.py
@@ -48,6 +48,6 @@
     )
 
 
-def sent(spec: dict[str, Any]) -> dict[str, Any]:
+def submission_body(spec: dict[str, Any]) -> dict[str, Any]:
     """Return what a user sends of it: the rest is for the simulated workers only."""
     return {name: value for name, value in spec.items() if name not in ("true_s", "each_s", "ends")}
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -8,10 +8,10 @@
 from tests.world.specs import job
 from tests.world.world import World
 
-Trouble = Callable[["Stage"], Coroutine[Any, Any, None]]
+Trouble = Callable[["Scenario"], Coroutine[Any, Any, None]]
 
 
-class Stage:
+class Scenario:
     """A world with users in it, and the troubles that befall it."""
 
     def __init__(self, world: World) -> None:
@@ -96,7 +96,7 @@
         return [self.world.ports[node].store.faults for node in self.world.nodes]
 
 
-def add_for(stage: Stage, faulty: set[Any], added: set[Any], for_s: float) -> None:
+def add_for(stage: Scenario, faulty: set[Any], added: set[Any], for_s: float) -> None:
     """Add to one of the world's sets of what is faulty, and take it out again after so many seconds."""
     faulty |= added
     stage.world.loop.call_later(for_s, faulty.difference_update, added)
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -5,7 +5,7 @@
 
 from elmthread.common.features import SUPPORTED
 from tests.world.day import day
-from tests.world.rollouts import RolloutMonitor, begin_before, monitored, replace, until_level
+from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored, replace, wait_for_level
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World
@@ -13,13 +13,13 @@
 Script = Callable[[World, RolloutMonitor], Awaitable[None]]
 
 
-def staged_day(script: Script, before: Callable[[World], None] = begin_before, **more: Any) -> World:
+def staged_day(script: Script, before: Callable[[World], None] = configure_previous_version, **more: Any) -> World:
     """Play a day that begins with the version before; the monitor may see no promise broken."""
 
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
             await script(world, monitor)
-        assert monitor.broken == []
+        assert monitor.violations == []
         assert len(monitor.activations) <= 1
 
     return day(watched, before=before, **more)
@@ -39,8 +39,8 @@
 async def upgrade_all(world: World) -> None:
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
-    await until_level(world, SUPPORTED.highest)
+    await wait_for_level(world, SUPPORTED.highest)
 
 
-async def until_done(world: World, ids: list[str]) -> None:
-    assert set((await world.until_over(ids, 200)).values()) == {"done"}
+async def wait_until_done(world: World, ids: list[str]) -> None:
+    assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -2,11 +2,11 @@
 
 import asyncio
 
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 from tests.world.user_troubles import cancel_now
 
 
-async def refused_then_down(stage: Stage) -> None:
+async def refused_then_down(stage: Scenario) -> None:
     """Refuse the leader, then everybody for longer than `cancel_s`, while users cancel and ask."""
     world, leader = stage.world, stage.leader()
     if leader is None:
@@ -22,13 +22,13 @@
     world.ports[leader].store.faults.refused = False
 
 
-async def outage(stage: Stage) -> None:
+async def outage(stage: Scenario) -> None:
     stage.world.store.outage(True)
     await asyncio.sleep(stage.world.rng.uniform(1, 20))
     stage.world.store.outage(False)
 
 
-async def _fault(stage: Stage, share: str, value: float, for_s: float) -> None:
+async def _fault(stage: Scenario, share: str, value: float, for_s: float) -> None:
     """Set a share of ServiceFaults at every node's way to the store for so long."""
     for faults in stage.store_faults():
         setattr(faults, share, value)
@@ -37,17 +37,17 @@
         setattr(faults, share, 0.0)
 
 
-async def late_writes(stage: Stage) -> None:
+async def late_writes(stage: Scenario) -> None:
     """Carry out a share of the requests after newer ones, without a response."""
     await _fault(stage, "late_share", 0.3, 25)
 
 
-async def answers_lost(stage: Stage) -> None:
+async def answers_lost(stage: Scenario) -> None:
     """Carry out requests at once and lose a share of the responses."""
     await _fault(stage, "lost_response_share", 0.4, 25)
 
 
-async def slow_store(stage: Stage) -> None:
+async def slow_store(stage: Scenario) -> None:
     stage.world.store.latency = 1.2
     await asyncio.sleep(25)
     stage.world.store.latency = 0.004
--- a/tests/world/term.py
+++ b/tests/world/term.py
@@ -10,16 +10,16 @@
 from elmthread.leadership.step_down import StepDownReason
 
 
-class SureTerm:
-    """A term whose lease holds for as long as `sure` is set."""
+class StubTerm:
+    """A term whose lease holds for as long as `lease_valid` is set."""
 
     def __init__(self, fencing_token: int = 1) -> None:
         self.fencing_token = fencing_token
-        self.sure = True
+        self.lease_valid = True
         self.step_down_reasons: list[StepDownReason] = []
 
     def holds_lease(self) -> bool:
-        return self.sure
+        return self.lease_valid
 
     def step_down(self, reason: StepDownReason) -> None:
         self.step_down_reasons.append(reason)
@@ -31,7 +31,7 @@
 def term_context(clock: Clock, cluster: ClusterState, writer: Any = None, term: Any = None) -> TermContext:
     """Return what services of one term share; `writer` and `term` may be stand-ins."""
     return TermContext(
-        term=term or cast(Any, SureTerm()),
+        term=term or cast(Any, StubTerm()),
         store=cast(Any, None),
         writer=writer,
         cluster=cluster,
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -7,19 +7,19 @@
 from typing import Any
 
 from tests.world.day import day
-from tests.world.random_troubles import TROUBLES, befall, restore
-from tests.world.settings import NEXT, NODES, ZONES
+from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
+from tests.world.settings import NEXT_LIMITS, NODES, ZONES
 from tests.world.specs import daemon, job
 from tests.world.versions import EarlierVersion
 from tests.world.world import World, start
 
 
-def begin_old(world: World) -> None:
-    world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT)
+def configure_earlier_version(world: World) -> None:
+    world.earlier_nodes, world.limits = set(world.nodes), dict(NEXT_LIMITS)
 
 
-def fall(world: World) -> None:
-    world.store.limit(NEXT["value_kb"], int(NEXT["txn_ops"]), NEXT["write_rps"])
+def lower_store_limits(world: World) -> None:
+    world.store.set_limits(NEXT_LIMITS["value_kb"], int(NEXT_LIMITS["txn_ops"]), NEXT_LIMITS["write_rps"])
 
 
 async def upgrade(world: World, order: list[str], pause: float, trouble: Any = None) -> None:
@@ -37,16 +37,16 @@
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
     """Play the same with a version that really is an earlier one, drawn by the seed alone."""
     rng = random.Random(seed)
-    troubles = [(rng.choice(TROUBLES), rng.uniform(0.5, 12.0)) for _ in range(8)]
+    troubles = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
     def before(world: World) -> None:
-        begin_old(world)
+        configure_earlier_version(world)
         world.earlier = earlier
 
-    rollout(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
+    run_upgrade(seed, rng.sample(NODES, len(NODES)), troubles, rng.uniform(0.0, 40.0), before)
 
 
-def rollout(
+def run_upgrade(
     number: int,
     order: list[str],
     troubles: list[tuple[str, float]],
@@ -63,21 +63,21 @@
 
         async def trouble() -> None:
             kind, pause = next(waiting)
-            await befall(world, kind, ids)
+            await inject_fault(world, kind, ids)
             await asyncio.sleep(pause)
 
         await upgrade(world, order, world.rng.uniform(0.5, 12.0), trouble)
         # Nothing new is asked for before all nodes are new; then the limits fall, at any moment.
-        world.loop.call_later(falls, fall, world)
+        world.loop.call_later(falls, lower_store_limits, world)
         services = await _submit_services(world)
         for kind, pause in waiting:
-            await befall(world, kind, ids + services)
+            await inject_fault(world, kind, ids + services)
             await asyncio.sleep(pause)
             for job_id in ids + services:
                 await world.poll(job_id)
         restore(world)
         await asyncio.sleep(max(0.0, 41 - falls))
-        states = await world.until_over(ids, 400)
+        states = await world.wait_until_finished(ids, 400)
         assert all(state in ("done", "cancelled") for state in states.values()), states
         # What was not withdrawn serves again, all of it.
         for job_id in services:
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from tests.world.machine_troubles import cut_off, hang, held_up
-from tests.world.stage import Stage
+from tests.world.stage import Scenario
 
 
-async def cancel_now(stage: Stage) -> None:
+async def cancel_now(stage: Scenario) -> None:
     """Cancel some running jobs, first those of the team at its limit, within a fifth of a second."""
     on = {task.rpartition("/")[0] for _, task in stage.world.rules.running}
     jobs = stage.unfinished()
@@ -21,7 +21,7 @@
         )
 
 
-async def cancel_and_hang(stage: Stage) -> None:
+async def cancel_and_hang(stage: Scenario) -> None:
     """Cancel jobs while machines of the team at its limit hang or can't be reached."""
     world = stage.world
     specs = world.rules.specs
@@ -34,7 +34,7 @@
         hang(stage, theirs & world.workers.keys(), [10.0, 20.0])
 
 
-async def cancel_at_end(stage: Stage) -> None:
+async def cancel_at_end(stage: Scenario) -> None:
     """Cancel, query or resubmit jobs at the moment at which their last task ends."""
     world = stage.world
 
@@ -54,7 +54,7 @@
         await asyncio.sleep(world.rng.uniform(0.2, 2))
 
 
-async def stream(stage: Stage) -> None:
+async def stream(stage: Scenario) -> None:
     """Submit one-task jobs, four a second, a quarter of them cancelled, some at once."""
     world = stage.world
 
@@ -69,7 +69,7 @@
         await asyncio.sleep(0.25)
 
 
-async def close_looks(stage: Stage) -> None:
+async def close_looks(stage: Scenario) -> None:
     """Ask all nodes right after a job was accepted; cancel some at once."""
     world = stage.world
 
@@ -85,7 +85,7 @@
         await asyncio.sleep(world.rng.uniform(0.3, 3))
 
 
-async def odd_requests(stage: Stage) -> None:
+async def odd_requests(stage: Scenario) -> None:
     """Send jobs that can't run or lack a field, repetitions, and cancellations of what is done."""
     world = stage.world
     odd: list[dict[str, Any]] = [
@@ -101,7 +101,7 @@
         if number % 3 == 0:
             del spec[world.rng.choice(["crew", "pieces", "cpus", "kit", "urgency", "expected_s"])]
         world.rules.specs[spec["name_id"]] = spec
-        world.rules.impossible.add(spec["name_id"])
+        world.rules.invalid_jobs.add(spec["name_id"])
         answer = await world.offer(spec)
         assert answer.status in (400, 422, 429, 503, 504), answer
         assert answer.retry_after is not None or answer.status not in (429, 503), answer
@@ -114,7 +114,7 @@
         await asyncio.sleep(1)
 
 
-async def overload(stage: Stage) -> None:
+async def overload(stage: Scenario) -> None:
     """Submit more work than there is room for, urgent and not, over slow links."""
     stage.begin(held_up(stage))
     for _ in range(10):
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -12,7 +12,7 @@
 from elmthread.common import logs
 from elmthread.controller import Controller, ControllerEnvironment
 from elmthread.settings import operators, platform
-from tests.world.rollouts import BEFORE
+from tests.world.rollouts import PREVIOUS_LEVELS
 
 
 def main() -> None:
@@ -23,7 +23,9 @@
     options = parser.parse_args()
     logs.configure()
     controller = Controller(
-        platform.load(options.config), operators.load(options.operators), ControllerEnvironment(supported=BEFORE)
+        platform.load(options.config),
+        operators.load(options.operators),
+        ControllerEnvironment(supported=PREVIOUS_LEVELS),
     )
     asyncio.run(controller.run())
 
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -180,7 +180,7 @@
     def request(self, request: Request) -> Any:
         """Return the request as the earlier version's server makes it."""
         made = self.named("net.http_messages", "Request")
-        return made(request.method, request.path, request.query, request.body, request.previous_answered_at)
+        return made(request.method, request.path, request.query, request.body, request.previous_response_at)
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
         """Give the overriding methods the names by which the earlier version calls them."""
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class WorkerSurroundings:
+class WorkerEnvironment:
     """What all workers share: the loop, the controllers that they report to, and times in seconds."""
 
     loop: SimLoop
@@ -43,7 +43,7 @@
     """A machine's worker; it runs until it is terminated."""
 
     def __init__(
-        self, surroundings: WorkerSurroundings, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
+        self, surroundings: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
         """Begin to report; the lease lasts as long as the worker's own clock says."""
         self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -11,8 +11,8 @@
 from tests.world.nodes import ControllerNodes
 from tests.world.settings import TYPES
 from tests.world.simulated_cloud import SimulatedMachine
-from tests.world.specs import sent
-from tests.world.workers import Worker, WorkerSurroundings
+from tests.world.specs import submission_body
+from tests.world.workers import Worker, WorkerEnvironment
 
 # Of workers, as in the settings.
 HEARTBEAT_INTERVAL_S, LEASE_S = 3.0, 12.0
@@ -23,21 +23,21 @@
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
         super().__init__(seed, controllers, each, cancel)
-        self._surroundings = WorkerSurroundings(
+        self._worker_environment = WorkerEnvironment(
             self.loop, self.rng, self.rules, self.nodes, self._send, HEARTBEAT_INTERVAL_S
         )
-        self.cloud.on_running = self._machine_up
-        self.cloud.on_deleted = self.machine_gone
+        self.cloud.on_running = self._start_worker
+        self.cloud.on_deleted = self.on_machine_deleted
 
     # Workers
 
-    def _machine_up(self, machine: SimulatedMachine) -> None:
+    def _start_worker(self, machine: SimulatedMachine) -> None:
         machine_type = next(one for one in TYPES if one["name"] == machine.machine_type)
         # A worker's clock drifts from everybody else's.
         lease_s = LEASE_S * (1 + self.drift_rng.uniform(-0.0005, 0.0005))
-        self.workers[machine.name] = Worker(self._surroundings, machine, machine_type, lease_s)
+        self.workers[machine.name] = Worker(self._worker_environment, machine, machine_type, lease_s)
 
-    def machine_gone(self, name: str) -> None:
+    def on_machine_deleted(self, name: str) -> None:
         """End the worker of a machine that the cloud has taken back."""
         worker = self.workers.pop(name, None)
         if worker is not None:
@@ -46,7 +46,7 @@
     async def _send(self, worker: str, node: str, request: Request) -> Response:
         # A worker whose request is not answered ends the connection.
         connected_to, answered_at = self.worker_connections.pop(worker, (node, None))
-        request.previous_answered_at = answered_at if connected_to == node else None
+        request.previous_response_at = answered_at if connected_to == node else None
         await asyncio.sleep(self.rng.uniform(0.001, 0.01))
         zone = f"{WORKERS}/{self.workers[worker].zone}" if worker in self.workers else WORKERS
         await self._pass_link(worker, zone, node, request)
@@ -80,7 +80,7 @@
         if self._hangs(worker, node) or self.link_faults.has("drop", zone, node):
             await asyncio.sleep(60)
         if self.link_faults.has("duplicate", zone, node):
-            self.loop.call_later(3.0, self._copy, node, replace(request, previous_answered_at=None))
+            self.loop.call_later(3.0, self._copy, node, replace(request, previous_response_at=None))
         if node not in self.controllers:
             raise ConnectionError(node)
 
@@ -89,15 +89,15 @@
         if self.rng.random() < self.duplicate_share:
             for _ in range(self.rng.randint(1, 2)):
                 late, other = self.rng.uniform(*self.duplicate_delay_s), self.rng.choice(self.nodes)
-                self.loop.call_later(late, self._copy, other, replace(request, previous_answered_at=None))
+                self.loop.call_later(late, self._copy, other, replace(request, previous_response_at=None))
         if self.captured_requests is not None:
-            self.captured_requests.append(replace(request, previous_answered_at=None))
+            self.captured_requests.append(replace(request, previous_response_at=None))
 
     async def _maybe_delay(self) -> None:
         if self.delayed_share and self.rng.random() < self.delayed_share:
             await asyncio.sleep(self.rng.uniform(0.5, 6.0))
 
-    async def report(self, body: Any, node: str) -> Response:
+    async def send_heartbeat(self, body: Any, node: str) -> Response:
         return await self.serve(node, Request("POST", "/agent/beat", {}, cbor2.dumps(body)))
 
     def _copy(self, node: str, request: Request) -> None:
@@ -133,7 +133,7 @@
 
     async def offer(self, spec: dict[str, Any]) -> Response:
         """Submit a job once, or repeat its submission."""
-        response, _ = await self.about(spec["name_id"], "POST", "/submissions", sent(spec))
+        response, _ = await self.about(spec["name_id"], "POST", "/submissions", submission_body(spec))
         return response
 
     async def submit(self, spec: dict[str, Any], patience: float = 60.0) -> bool:
@@ -162,7 +162,7 @@
             await asyncio.sleep(1)
         return None
 
-    async def until_over(self, job_ids: list[str], patience: float) -> dict[str, str | None]:
+    async def wait_until_finished(self, job_ids: list[str], patience: float) -> dict[str, str | None]:
         end = self.loop.now + patience
         states: dict[str, str | None] = {}
         while self.loop.now < end:
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -21,7 +21,7 @@
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
 from tests.world.earlier_reader import newest
-from tests.world.links import STORE, WORKERS, BadScheduleError, Fault, LinkFaults, SchedulePlayer, read_schedule
+from tests.world.links import STORE, WORKERS, Fault, InvalidScheduleError, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
 from tools.loopback import HOST, RealLoop, SimulatedServices, free_ports, real_loop
@@ -184,8 +184,10 @@
         print(f"  {job_id}: {state}")
     print("\n".join(cluster.request_stats.lines()))
     rules = cluster.services.rules
-    print(f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.broken or 'none'}")
-    return 0 if finished and not rules.broken else 1
+    print(
+        f"{sum(rules.starts.values())} starts of {len(rules.starts)} tasks; rules broken: {rules.violations or 'none'}"
+    )
+    return 0 if finished and not rules.violations else 1
 
 
 async def run(loop: RealLoop, folder: Path, faults: list[Fault] | None) -> int:
@@ -207,7 +209,7 @@
     if options.schedule is not None:
         try:
             faults = read_schedule(options.schedule)
-        except BadScheduleError as error:
+        except InvalidScheduleError as error:
             print(f"cut_links: {error}", file=sys.stderr)
             return 2
     with real_loop() as loop, tempfile.TemporaryDirectory() as folder:
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -24,7 +24,7 @@
 from tests.world.settings import SETTINGS, TYPES
 from tests.world.simulated_cloud import SimulatedCloud, SimulatedMachine
 from tests.world.simulated_store import SimulatedStore
-from tests.world.workers import Worker, WorkerSurroundings
+from tests.world.workers import Worker, WorkerEnvironment
 
 HOST = "127.0.0.1"
 HEARTBEAT_INTERVAL_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
@@ -102,7 +102,7 @@
         self.cloud.on_running = self._on_machine_running
         self.cloud.on_deleted = self._on_machine_deleted
         nodes = list(controllers)
-        self._surroundings = WorkerSurroundings(
+        self._worker_environment = WorkerEnvironment(
             self._loop, self._rng, self.rules, nodes, self._send_heartbeat, HEARTBEAT_INTERVAL_S
         )
         self._workers: dict[str, Worker] = {}
@@ -146,7 +146,7 @@
 
     def _on_machine_running(self, machine: SimulatedMachine) -> None:
         machine_type = next(machine_type for machine_type in TYPES if machine_type["name"] == machine.machine_type)
-        self._workers[machine.name] = Worker(self._surroundings, machine, machine_type, LEASE_S)
+        self._workers[machine.name] = Worker(self._worker_environment, machine, machine_type, LEASE_S)
 
     def _on_machine_deleted(self, name: str) -> None:
         worker = self._workers.pop(name, None)
--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -21,7 +21,7 @@
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
 from tests.world.loop import play
-from tests.world.rollouts import BEFORE, until_level
+from tests.world.rollouts import PREVIOUS_LEVELS, wait_for_level
 from tests.world.settings import ZONES
 from tests.world.specs import job
 from tests.world.world import World
@@ -38,9 +38,9 @@
     world, counts = World(1, 3, machines), Counter[str]()
     record_sizes = {prefix: HdrHistogram(1, MAX_RECORD_BYTES, 3) for prefix in ("m/", "d/", "j/")}
     world.limits = {"value_kb": value_kb, "txn_ops": 4, "write_rps": 15.0}
-    world.store.limit(value_kb, 4, 15.0)
+    world.store.set_limits(value_kb, 4, 15.0)
     world.rollout = RolloutSettings(enabled=True, soak_s=0.2)
-    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else BEFORE)
+    world.levels = dict.fromkeys(world.nodes, SUPPORTED if level > 1 else PREVIOUS_LEVELS)
     transact, load = world.store._transact, StateLoader.load
 
     def recording_transact(body: Any) -> Any:
@@ -72,8 +72,8 @@
         mock.patch.object(StateLoader, "load", timed_load),
     ):
         play(run_load(), world.loop)
-    if world.rules.broken:
-        raise AssertionError(world.rules.broken)
+    if world.rules.violations:
+        raise AssertionError(world.rules.violations)
     return _report_lines(counts, record_sizes)
 
 
@@ -96,7 +96,7 @@
         world.start(node)
     await asyncio.sleep(3)
     if level > 1:
-        await until_level(world, level)
+        await wait_for_level(world, level)
     for number in range(machines // MACHINES_PER_JOB):
         pieces = min(MAX_TASKS_PER_JOB, int(rng.lognormvariate(0, TASKS_SIGMA) * MEDIAN_TASKS) + 1)
         spec = job(number, pieces=pieces, true_s=TASK_RUN_TIME_S, expected_s=TASK_RUN_TIME_S, kit=f"img-{number % 7}")
--- a/tools/upgrade_cluster.py
+++ b/tools/upgrade_cluster.py
@@ -192,7 +192,7 @@
             lines += [f"users, {phase}:", *request_stats.lines()]
         starts = self.services.rules.starts
         lines.append(f"{sum(starts.values())} starts of {len(starts)} tasks; level {self.level()}")
-        lines.append(f"rules broken: {self.services.rules.broken or 'none'}")
+        lines.append(f"rules broken: {self.services.rules.violations or 'none'}")
         lines.append("said by the node that was rolled back:")
         refusals = [line for _, line in self.nodes[NODES[0]].lines if "does not take part" in line]
         return lines + [f"  {line}" for line in refusals[-1:] or ["nothing"]]
@@ -210,7 +210,7 @@
         upgrade = Upgrade(loop, Path(folder), options)
         loop.run_until_complete(upgrade.run())
         print("\n".join(upgrade.report()))
-    return 1 if upgrade.services.rules.broken else 0
+    return 1 if upgrade.services.rules.violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/users.py
+++ b/tools/users.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram
 
 from elmthread.net.http_client import ClientResponse, HttpClient, NoResponseError
-from tests.world.specs import job, sent
+from tests.world.specs import job, submission_body
 from tools.loopback import CALL_TIMEOUT, SimulatedServices
 
 # Bounds of the latency histograms in milliseconds, and their number of significant digits.
@@ -98,7 +98,7 @@
         job_id, stats = spec["name_id"], self._current_stats()
         start_time = time.monotonic()
         for _ in range(MAX_ATTEMPTS):
-            response = await self._request(job_id, "POST", "/submissions", sent(spec))
+            response = await self._request(job_id, "POST", "/submissions", submission_body(spec))
             if response is not None and response.status in (200, 201):
                 break
             stats.counts["submissions tried again"] += 1
