--- a/src/elmthread/api/cancellation.py
+++ b/src/elmthread/api/cancellation.py
@@ -10,10 +10,10 @@
 
 
 class CancellationHandler:
-    """Cancels jobs that have not ended."""
+    """Cancels jobs that are not finished."""
 
     def __init__(self, context: TermContext, writes: JobWrites, status: StatusReporter) -> None:
-        """Cancel jobs: `writes` makes an end durable before it is confirmed, `status` makes the responses."""
+        """Initialize with `writes`, which persists a final state before it is confirmed; `status` builds responses."""
         self._cluster = context.cluster
         self._term = context.term
         self._events = context.events
@@ -21,7 +21,7 @@
         self._status = status
 
     async def cancel(self, job_id: str) -> Response:
-        """Return the response once the job's end, whichever it is, is durable."""
+        """Cancel the job unless it is finished, and return the response once its final state is durable."""
         job = self._cluster.jobs.get(job_id)
         if job is None:
             return responses.unknown_job()
@@ -30,21 +30,21 @@
             if failure is not None:
                 return failure
         if job.is_open:
-            refusal = self._writes.refuse_more()
-            if refusal is not None:
-                return refusal
+            rejection = self._writes.check_admission()
+            if rejection is not None:
+                return rejection
             self._cluster.close_job(job, JobState.CANCELLED)
             self._writes.write(job)
             self._events.notify_jobs_changed()
-        failure = await self._make_end_durable(job)
+        failure = await self._persist_final_state(job)
         if failure is not None:
             return failure
         if not self._term.holds_lease():
             return responses.not_leading()
-        end = StatusName.DONE if job.durable_state is JobState.DONE else StatusName.CANCELLED
-        return self._status.respond(job, 200, JobStatus(job.id, end))
+        final_state = StatusName.DONE if job.durable_state is JobState.DONE else StatusName.CANCELLED
+        return self._status.respond(job, 200, JobStatus(job.id, final_state))
 
-    async def _make_end_durable(self, job: Job) -> Response | None:
+    async def _persist_final_state(self, job: Job) -> Response | None:
         if job.durable_state is job.state:
             return None
         if not self._writes.is_pending(job.id):
--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -1,4 +1,4 @@
-"""The days that are traced: a script for each, and what is set before the world begins."""
+"""The simulated days that are traced: a script for each, and the preparation of its world."""
 
 import asyncio
 import random
@@ -7,25 +7,25 @@
 
 from tests.trace.pins import SimulatedTime, pinned
 from tests.trace.recorder import Recorder
-from tests.trace.users import ask_until_end, leader_of, rent_more, take_back, use
+from tests.trace.users import interrupt_spot_machines, leader_of, query_until, rent_machines, run_users
 from tests.world.rollouts import configure_previous_version, wait_for_level
 from tests.world.world import World, start
 
 Script = Callable[[World, random.Random], Awaitable[None]]
 MACHINES = 16
-# The level from which on controllers exchange views of their links.
-LEVEL = 3
+# The level from which controllers exchange views of their links.
+LINK_VIEW_LEVEL = 3
 
 
 async def ordinary(world: World, rng: random.Random) -> None:
-    """Jobs of all forms, questions, cancellations and spot machines that are taken back."""
-    await asyncio.gather(use(world, rng, 45), take_back(world, rng, 4, 25.0))
-    await ask_until_end(world, rng, 200.0)
+    """Submit, query and cancel jobs of all forms, and interrupt spot machines."""
+    await asyncio.gather(run_users(world, rng, 45), interrupt_spot_machines(world, rng, 4, 25.0))
+    await query_until(world, rng, 200.0)
 
 
 async def outage(world: World, rng: random.Random) -> None:
-    """Slow the store, lose and repeat its responses, take it down, and lower its limit."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    """Lose responses, delay and duplicate requests, take the store down, and lower its limit."""
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
         state, cloud = ports.store.faults, ports.cloud.faults
@@ -45,12 +45,12 @@
     await asyncio.sleep(15)
     world.store.set_limits(8.0, 8, 15.0)
     await users
-    await ask_until_end(world, rng, 170.0)
+    await query_until(world, rng, 170.0)
 
 
 async def cuts(world: World, rng: random.Random) -> None:
-    """Cuts of single links and of a zone, while machines hang, die and fail their tasks."""
-    users = asyncio.ensure_future(use(world, rng, 35))
+    """Cut single links and a zone, while machines hang, stop and fail their tasks."""
+    users = asyncio.ensure_future(run_users(world, rng, 35))
     await asyncio.sleep(12)
     names = sorted(world.workers)
     world.workers[names[0]].hung = True
@@ -70,12 +70,12 @@
     await asyncio.sleep(25)
     world.cut_worker_links.clear()
     await users
-    await ask_until_end(world, rng, 220.0)
+    await query_until(world, rng, 220.0)
 
 
 async def kills(world: World, rng: random.Random) -> None:
     """Kill and restart the leader, suspend a follower, kill and restart all."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     for _ in range(2):
         await asyncio.sleep(18)
         node = leader_of(world)
@@ -91,27 +91,27 @@
     for node in world.nodes:
         world.start(node)
     await users
-    await ask_until_end(world, rng, 180.0)
+    await query_until(world, rng, 180.0)
 
 
 async def levels(world: World, rng: random.Random) -> None:
-    """Nodes of the version before are replaced one by one, the level rises, and links are cut under it."""
-    users = asyncio.ensure_future(use(world, rng, 40))
+    """Upgrade nodes of the previous version one by one, wait for the new level, and cut links with it active."""
+    users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(12)
     for node in world.nodes:
-        # It comes back with all levels that the code has.
+        # It restarts with all levels that this version supports.
         world.kill(node)
         del world.levels[node]
         world.loop.call_later(1.0, start, world, node)
         await asyncio.sleep(9)
-    await wait_for_level(world, LEVEL)
+    await wait_for_level(world, LINK_VIEW_LEVEL)
     await asyncio.sleep(10)
     for source, target in (("leader", "workers"), ("leader", "follower"), ("leader", "store")):
         await world.play_faults([{"at_s": 0.0, "for_s": 12.0, "from": source, "to": target, "both": True}])
         await asyncio.sleep(14)
     await users
     world.kill(leader_of(world))
-    await ask_until_end(world, rng, 190.0)
+    await query_until(world, rng, 190.0)
 
 
 DAYS: dict[str, tuple[Script, Callable[[World], None]]] = {
@@ -124,8 +124,8 @@
 
 
 def play_day(name: str, seed: int) -> list[str]:
-    """Plays a day and returns its lines. Raises AssertionError where a rule of the world is broken."""
-    # Only here, as it draws in the tools of the tests.
+    """Run a day and return its lines. Raises AssertionError if a rule is violated."""
+    # Imported here, since it imports the test tools.
     from tests.world.day import day
 
     script, prepare = DAYS[name]
@@ -135,13 +135,13 @@
         recorder.world, clock.loop = world, world.loop
         prepare(world)
 
-    async def played(world: World) -> None:
-        rent_more(world, 12)
+    async def traced_script(world: World) -> None:
+        rent_machines(world, 12)
         await script(world, random.Random(seed))
-        # What is called off at the end comes in no certain order.
+        # Work that is cancelled at the end ends in no defined order.
         recorder.closed = True
 
     more: dict[str, Any] = {"machines": MACHINES, "each": 8, "before": before}
-    with pinned(seed, clock), recorder.watching():
-        day(played, seed=seed, **more)
+    with pinned(seed, clock), recorder.recording():
+        day(traced_script, seed=seed, **more)
     return recorder.lines
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -1,4 +1,4 @@
-"""Every trouble by its name, and the watch over what runs and waits meanwhile."""
+"""All faults by name, and a continuous check of running and waiting tasks."""
 
 import asyncio
 from functools import partial
@@ -17,7 +17,7 @@
     quick_machines,
 )
 from tests.world.partition_troubles import leader_apart, zone_cut
-from tests.world.stage import Trouble
+from tests.world.stage import FaultScript
 from tests.world.store_troubles import answers_lost, late_writes, outage, refused_then_down, slow_store
 from tests.world.user_troubles import (
     cancel_and_hang,
@@ -30,7 +30,7 @@
 )
 from tests.world.world import World
 
-FAULT_SCRIPTS: dict[str, Trouble] = {
+FAULT_SCRIPTS: dict[str, FaultScript] = {
     one.__name__: one
     for one in (
         leader_ends,
@@ -65,14 +65,14 @@
 
 
 async def check_continuously(world: World) -> None:
-    """Check all the time what runs on machines, and whether work waits beside room."""
+    """Check continuously that no cancelled task runs, and that no job waits while a machine has room."""
     while True:
         await asyncio.sleep(0.25)
         world.rules.check_cancelled()
-        world.rules.check_waiting(partial(_room, world))
+        world.rules.check_waiting(partial(_has_room, world))
 
 
-def _room(world: World, spec: dict[str, Any]) -> bool:
+def _has_room(world: World, spec: dict[str, Any]) -> bool:
     for worker in world.workers.values():
         live = [task for task in worker.tasks.values() if task.state != "exited"]
         used = sum(world.rules.specs[task.name.rpartition("/")[0]]["cpus"] for task in live)
