--- a/src/elmthread/api/messages.py
+++ b/src/elmthread/api/messages.py
@@ -1,4 +1,4 @@
-"""The users' requests and the responses to them, in the words of the wire."""
+"""Users' requests and the responses to them, with the field names used on the wire."""
 
 import math
 import re
@@ -15,11 +15,11 @@
 
 
 class InvalidSubmissionError(ElmthreadError):
-    """The body is no valid submission; the message names the field."""
+    """The body is not a valid submission; the message names the field."""
 
 
-# Fields that must be finite numbers, by the names that error messages use.
-_AMOUNTS = {
+# Fields that must be finite numbers: the name on the wire, which error messages use, and the attribute.
+_FINITE_NUMBERS = {
     "cpus": "cpus",
     "cards": "gpus",
     "ram_gb": "ram_gb",
@@ -31,10 +31,10 @@
 }
 
 
-def job_id_of(body: Any) -> str:
-    """Return the job's id alone, as the response for a known job does not depend on the rest.
+def read_job_id(body: Any) -> str:
+    """Return the job's id without validating the other fields. Raises InvalidSubmissionError.
 
-    Raises InvalidSubmissionError.
+    The response for a job that is already known does not depend on them.
     """
     if not isinstance(body, dict):
         raise InvalidSubmissionError("not a map")
@@ -45,13 +45,13 @@
 
 
 def read_submission(body: Any) -> JobSpec:
-    """Return the specification in a decoded body. Raises InvalidSubmissionError."""
-    job_id_of(body)
+    """Return the job specification in a decoded body. Raises InvalidSubmissionError."""
+    read_job_id(body)
     try:
         spec = msgspec.convert(body, JobSpec)
     except (msgspec.ValidationError, TypeError, ValueError, OverflowError) as error:
         raise InvalidSubmissionError(str(error)) from error
-    for name, field in _AMOUNTS.items():
+    for name, field in _FINITE_NUMBERS.items():
         value = getattr(spec, field)
         if value is not None and not math.isfinite(value):
             raise InvalidSubmissionError(f"{name}: not a finite number")
@@ -74,14 +74,14 @@
     omit_defaults=True,
     rename={"job_id": "name_id", "state": "status", "done_count": "done", "running_count": "running"},
 ):
-    """A job's state in a response to a user; the counts of tasks are for display."""
+    """A job's state in a response to a user; the task counts are for display only."""
 
     job_id: str
     state: StatusName
     done_count: int | None = None
     running_count: int | None = None
 
-    def body(self) -> dict[str, Any]:
-        """Return the status in the words of the wire."""
+    def to_body(self) -> dict[str, Any]:
+        """Return the response body, with the field names used on the wire."""
         fields: dict[str, Any] = msgspec.to_builtins(self)
         return fields
--- a/src/elmthread/api/readiness.py
+++ b/src/elmthread/api/readiness.py
@@ -1,4 +1,4 @@
-"""Readiness: whether the load balancer is to send users to this node."""
+"""The readiness check: whether the load balancer should send users to this node."""
 
 from datetime import timedelta
 
@@ -7,20 +7,20 @@
 from elmthread.common.clock import seconds
 from elmthread.net.http_messages import Response
 
-# A node that can't reach the leader is no longer ready after this time, as other nodes may reach it.
-UNREACHED_LEADER_GRACE = seconds(2.8)
-# Without a leader no node can serve better than another. A node that the load balancer takes out of service
-# would be missing for a while after a leader is elected.
+# A node that can't reach the leader becomes unready after this time, as other nodes may still reach it.
+UNREACHABLE_LEADER_GRACE = seconds(2.8)
+# Without a leader all nodes are equally unable to serve. A node that the load balancer has taken out of service
+# would stay out for a while after a leader is elected.
 NO_LEADER_GRACE = seconds(60)
 
 
 class Readiness:
-    """Remembers when this node could last serve users."""
+    """Determines readiness from the time at which this node could last serve users."""
 
     def __init__(self, node: ApiNode) -> None:
-        """Start not ready, until a leader has been reached."""
+        """Start as not ready, until a leader is reached."""
         self._node = node
-        self._could_serve_at: timedelta | None = None
+        self._last_able_to_serve_at: timedelta | None = None
 
     def check(self) -> Response:
         """Return the response to the load balancer: 200 if users may be sent here."""
@@ -29,9 +29,9 @@
         leader = self._node.election.leader
         now = self._node.clock()
         if self._node.leading_service() is not None or (leader is not None and self._node.peers.is_connected(leader)):
-            self._could_serve_at = now
-        other_leads = leader is not None and leader != self._node.name
-        grace = UNREACHED_LEADER_GRACE if other_leads else NO_LEADER_GRACE
-        if self._could_serve_at is not None and now - self._could_serve_at < grace:
+            self._last_able_to_serve_at = now
+        other_node_leads = leader is not None and leader != self._node.name
+        grace = UNREACHABLE_LEADER_GRACE if other_node_leads else NO_LEADER_GRACE
+        if self._last_able_to_serve_at is not None and now - self._last_able_to_serve_at < grace:
             return Response(200, {"ready": True})
         return responses.retry("no leader")
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -1,7 +1,7 @@
-"""Days with cuts of single links, while the controllers exchange what they reach.
+"""Simulated days on which single links are cut while controllers exchange views of their links.
 
-Judged by the rules of the protocol and by the recorded history (`tests/world/history.py`): nothing is done
-without a sure lease, each job comes to one end, and leadership comes to rest.
+Checked against the protocol's rules and the recorded history (`tests/world/history.py`): nothing is done
+without a valid lease, each job reaches a single final state, and leadership settles.
 """
 
 import asyncio
@@ -19,7 +19,7 @@
 from tests.world.world import World
 
 Script = Callable[[World, History], Awaitable[None]]
-# What workers need to find a leader again, once there is one: their wait, each node once, two reports.
+# Time in which workers find a new leader: one heartbeat timeout, one attempt per node, two heartbeat intervals.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
 PREVIOUS_LEVELS = SupportedLevels(1, 2)
 
@@ -28,9 +28,9 @@
     return {"at_s": at, "for_s": length, "from": source, "to": target, "both": True} | more
 
 
-async def until_led(world: World, patience: float) -> None:
-    """Wait until a leader and most of its machines receive each other's messages."""
-    end = world.loop.now + patience
+async def wait_until_led(world: World, timeout_s: float) -> None:
+    """Wait until a leader has confirmed the links in both directions to most of its machines."""
+    end = world.loop.now + timeout_s
     while world.loop.now < end:
         leader = world.leader
         if leader is not None and leader.leader is not None and leader.leader.loaded:
@@ -38,13 +38,13 @@
             if leader.election.holds_lease() and total.confirmed * 2 > total.expected:
                 return
         await asyncio.sleep(0.25)
-    raise AssertionError(f"no leader hears most machines {patience} s after the last cut")
+    raise AssertionError(f"no leader hears most machines {timeout_s} s after the last cut")
 
 
 def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
-    """Play a day on which views are exchanged before anything is cut; all jobs must come to an end.
+    """Run a day on which controllers exchange link views before anything is cut; all jobs must finish.
 
-    With other `levels` all nodes begin as a version before.
+    With other `levels`, all nodes begin as a previous version.
     """
     histories: list[History] = []
 
@@ -53,20 +53,20 @@
         world.levels = dict.fromkeys(world.nodes, levels)
         histories.append(History(world))
 
-    async def played(world: World) -> None:
+    async def full_script(world: World) -> None:
         history = histories[0]
         await wait_for_level(world, levels.highest)
         users = asyncio.ensure_future(submit_and_cancel(world, 6, 0.0))
         await asyncio.sleep(8)
         await script(world, history)
         bounds = next(iter(world.controllers.values())).reachability.bounds
-        await until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
+        await wait_until_led(world, bounds.max_time_without_leader.total_seconds() + FIND_LEADER_S)
         states = await world.wait_until_finished(await users, 300)
         assert set(states.values()) <= {"done", "cancelled"}, states
         assert len(history.terms) <= bounds.max_terms_per_hour(len(world.nodes))
 
-    world = day(played, seed=seed, before=before, machines=8)
-    assert histories[0].acts > 0
+    world = day(full_script, seed=seed, before=before, machines=8)
+    assert histories[0].checked_actions > 0
     assert histories[0].violations == []
     for reported in world.rules.history.values():
         assert len({state for _, state in reported if state in ("done", "cancelled")}) == 1
@@ -74,7 +74,7 @@
 
 
 async def submit_and_cancel(world: World, count: int, pause: float, first: int = 0) -> list[str]:
-    """Submit jobs, cancel the first and the last one later, and return the ids of all that were accepted."""
+    """Submit jobs, later cancel the first and the last, and return the ids of all accepted jobs."""
     ids = []
     for number in range(first, first + count):
         spec = job(number, pieces=6, true_s=25.0, expected_s=25.0, crew=["red", "blue"][number % 2])
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts that lack one guard each, and the days on which a check must see it."""
+"""Rollouts with one safeguard removed or one rule changed, and scenarios in which a check must detect it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,14 +23,14 @@
 
 
 async def announce_late(world: World) -> None:
-    """Replace a new process by an old one at once: the new one's announcement arrives after the old one's."""
+    """Replace a new process with an old one at once, so that the new one's announcement arrives last."""
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.1)
     await asyncio.sleep(6)
     for turn in range(6):
         replace(world, NODES[2], SUPPORTED, 0.05)
         await asyncio.sleep(0.052 + 0.004 * turn)
-        # Whatever it has sent by now arrives within six seconds.
+        # Requests that it has sent by now are delivered within six seconds.
         if NODES[2] in world.controllers:
             world.ports[NODES[2]].store.faults.late_share = 1.0
             await asyncio.sleep(0.02)
@@ -45,64 +45,66 @@
 
 
 async def roll_back_unannounced(world: World) -> None:
-    """Leave a node's announcement that names another process than the one that runs."""
+    """Leave an announcement in the store that names another process than the one that the node runs."""
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
     assert world.leader is not None
-    back = next(node for node in NODES if node != world.leader.node)
-    # Without the setting it announces nothing, as a version that knows no levels.
+    rolled_back_node = next(node for node in NODES if node != world.leader.node)
+    # With rollout disabled it announces nothing, like a version without levels.
     world.rollout = RolloutSettings()
-    replace(world, back, PREVIOUS_LEVELS, 0.2)
+    replace(world, rolled_back_node, PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(0.5)
     world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
     await asyncio.sleep(4 * SOAK_S)
-    assert world.store.items[f"rollout/nodes/{back}"][0]["highest"] == SUPPORTED.highest
-    assert stored_level(world) == 1, "active though a node runs a version that announced nothing"
-    replace(world, back, SUPPORTED, 0.2)
+    assert world.store.items[f"rollout/nodes/{rolled_back_node}"][0]["highest"] == SUPPORTED.highest
+    assert stored_level(world) == 1, "the level is active although a node runs a version that announced nothing"
+    replace(world, rolled_back_node, SUPPORTED, 0.2)
     await wait_for_level(world, SUPPORTED.highest)
 
 
-# Faults: one guard less, or another rule. A day made for each of them shows that a check sees it.
+# Mutations: each removes a safeguard or changes a rule, and has a scenario in which a check must detect it.
 
 
-def by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
-    """Raise the level once most nodes have it."""
-    able = {node for node, one in view.announcements.items() if getattr(one, "levels", PREVIOUS_LEVELS).highest >= 2}
-    if view.level < 2 and len(able) * 2 > len(members):
+def activate_by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
+    """Activate the level as soon as a majority of the nodes supports it."""
+    supporting = {
+        node for node, one in view.announcements.items() if getattr(one, "levels", PREVIOUS_LEVELS).highest >= 2
+    }
+    if view.level < 2 and len(supporting) * 2 > len(members):
         found = {node: one for node, one in view.announcements.items() if isinstance(one, Announcement)}
-        return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in able))
+        return Activate(2, view.level_mod_revision, tuple((node, found[node]) for node in supporting))
     return plan_activation(view, members, supported)
 
 
-class GuardsLeftOut:
-    """The store's messages, but keys of a kind are not compared."""
+class MessagesWithoutComparisons:
+    """The store's messages, without the comparisons of some keys."""
 
-    def __init__(self, left_out: str) -> None:
-        self._left_out, self.put = left_out, store.put
+    def __init__(self, omitted: str) -> None:
+        self._omitted, self.put = omitted, store.put
 
     def compare(self, key: str, mod_revision: int) -> store.Comparison:
-        """Return the comparison, of a key that never exists where it is left out."""
-        return store.compare("never", 0) if self._left_out in key else store.compare(key, mod_revision)
+        """Return the comparison, or for a key that is left out one with a key that never exists."""
+        return store.compare("never", 0) if self._omitted in key else store.compare(key, mod_revision)
 
 
 async def upgrade_most(world: World) -> None:
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3)
-    # If the version before leads, one of the others does from now on.
+    # If the node with the previous version leads, one of the others takes over.
     replace(world, NODES[2], PREVIOUS_LEVELS, 3.0)
     await asyncio.sleep(4 * SOAK_S)
 
 
 def transaction(comparisons: list[store.Comparison], put: store.Put) -> dict[str, Any]:
-    """Return the transaction as it is on the wire."""
+    """Return the transaction as encoded on the wire."""
     body: dict[str, Any] = msgspec.to_builtins(store.Transaction(comparisons, [put]))
     return body
 
 
 def announce_before(world: World, node: str) -> dict[str, Any]:
-    """Return the transaction by which a process of the version before announces itself."""
+    """Return the transaction with which a process of the previous version announces itself."""
     key = f"rollout/nodes/{node}"
     record = world.store.items[key][0] | {"lowest": 1, "highest": 1, "process": "rolled back"}
     comparisons = [store.compare(key, world.store.items[key][1])]
@@ -111,8 +113,8 @@
     return transaction(comparisons, store.put(key, record))
 
 
-def before_putting(world: World, key: str, call: Callable[[], None]) -> None:
-    """Call once, right before the first transaction that puts the key is carried out."""
+def call_before_put(world: World, key: str, call: Callable[[], None]) -> None:
+    """Call once, right before the first transaction that puts the key is applied."""
     transact, called = world.store._transact, False
 
     def watched(body: Any) -> Any:
@@ -126,11 +128,11 @@
 
 
 async def roll_back_as_the_level_rises(world: World) -> None:
-    def rolled_back() -> None:
+    def announce_rollback() -> None:
         answer = world.store._transact(announce_before(world, NODES[2]))
         assert answer.status == 200
 
-    before_putting(world, "rollout/level", rolled_back)
+    call_before_put(world, "rollout/level", announce_rollback)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(3 * SOAK_S)
@@ -141,12 +143,12 @@
         replace(world, node, SUPPORTED, 0.2)
     await asyncio.sleep(2)
 
-    def raised() -> None:
+    def raise_stored_level() -> None:
         fencing_token = world.store.items["leader"][1]
         put = store.put("rollout/level", {"level": 2, "token": fencing_token})
         assert world.store._transact(transaction([], put)).status == 200
 
-    before_putting(world, f"rollout/nodes/{NODES[2]}", raised)
+    call_before_put(world, f"rollout/nodes/{NODES[2]}", raise_stored_level)
     replace(world, NODES[2], PREVIOUS_LEVELS, 0.2)
     await asyncio.sleep(10)
 
@@ -157,7 +159,7 @@
 
 
 async def mark_tasks_done(world: World) -> None:
-    """Upgraded, with a job of which some tasks are done and stored."""
+    """Upgrade all nodes and run jobs until some tasks are stored as done."""
     await upgrade_all(world)
     await submit_some(world)
     await asyncio.sleep(16)
@@ -170,23 +172,26 @@
     await asyncio.sleep(10)
 
 
-def learn_at_once(rollout: TermRollout) -> None:
-    """Use new forms without the fence."""
+def raise_level_without_fence(rollout: TermRollout) -> None:
+    """Use new record forms without writing the fence."""
     rollout._rollout.features.raise_level(rollout._level)
 
 
 MUTATIONS: dict[str, tuple[Callable[[], Any], Callable[[World], Awaitable[None]]]] = {
-    "a majority is enough": (lambda: mock.patch.object(term_module, "plan_activation", by_majority), upgrade_most),
+    "a majority is enough": (
+        lambda: mock.patch.object(term_module, "plan_activation", activate_by_majority),
+        upgrade_most,
+    ),
     "the activation does not compare the announcements": (
-        lambda: mock.patch.object(term_module, "store_messages", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(term_module, "store_messages", MessagesWithoutComparisons("/nodes/")),
         roll_back_as_the_level_rises,
     ),
     "an announcement does not compare the level": (
-        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("rollout/level")),
+        lambda: mock.patch.object(gate_module, "store_messages", MessagesWithoutComparisons("rollout/level")),
         raise_the_level_as_a_process_announces_itself,
     ),
     "an announcement does not compare the one before it": (
-        lambda: mock.patch.object(gate_module, "store_messages", GuardsLeftOut("/nodes/")),
+        lambda: mock.patch.object(gate_module, "store_messages", MessagesWithoutComparisons("/nodes/")),
         announce_late,
     ),
     "new forms do not wait for the level": (
@@ -194,7 +199,7 @@
         mark_tasks_done_before_the_upgrade,
     ),
     "new forms do not wait for the fence": (
-        lambda: mock.patch.object(TermRollout, "_write_fence", learn_at_once),
+        lambda: mock.patch.object(TermRollout, "_write_fence", raise_level_without_fence),
         mark_tasks_done,
     ),
     "processes are not asked which they are": (
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -1,7 +1,7 @@
-"""Faults of single links, by a schedule that can be drawn from a seed, written to a file and played again.
+"""Faults of single links, from schedules that can be drawn from a seed, written to a file and replayed.
 
-A link leads from a source to a target; each direction is a link of its own. The same schedules are played in
-the simulated world and by `tools/cut_links.py`.
+A link leads from a source to a target; each direction is a separate link. The same schedules run in the
+simulated world and in `tools/cut_links.py`.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 import jsonschema
 
 STORE, WORKERS, PEERS, LEADER, FOLLOWER = "store", "workers", "peers", "leader", "follower"
-KINDS = ("drop", "delay", "duplicate", "reset", "refuse")
-END = {"type": "string", "pattern": f"^({STORE}|{WORKERS}(/[a-z-]+)?|{PEERS}|{LEADER}|{FOLLOWER}|[a-z]+-[0-9]+)$"}
+FAULT_KINDS = ("drop", "delay", "duplicate", "reset", "refuse")
+ENDPOINT = {"type": "string", "pattern": f"^({STORE}|{WORKERS}(/[a-z-]+)?|{PEERS}|{LEADER}|{FOLLOWER}|[a-z]+-[0-9]+)$"}
 SECONDS = {"type": "number", "minimum": 0, "maximum": 86400}
 FAULT = {
     "type": "object",
@@ -24,13 +24,13 @@
     "properties": {
         "at_s": SECONDS,
         "for_s": SECONDS,
-        "from": END,
-        "to": END,
-        "kind": {"enum": list(KINDS)},
-        # Both directions; otherwise only what goes from the one to the other.
+        "from": ENDPOINT,
+        "to": ENDPOINT,
+        "kind": {"enum": list(FAULT_KINDS)},
+        # Whether both directions are affected, or only traffic from the source to the target.
         "both": {"type": "boolean"},
         "delay_s": SECONDS,
-        # The fault comes and goes until `for_s` is over: so long it lasts, and so long it heals.
+        # An intermittent fault: active for `on_s`, then inactive for `off_s`, repeatedly until `for_s` is over.
         "on_s": SECONDS,
         "off_s": SECONDS,
     },
@@ -42,12 +42,12 @@
     "properties": {"faults": {"type": "array", "items": FAULT}, "jobs": {"type": "integer", "minimum": 0}},
 }
 Fault = dict[str, Any]
-# What happens, to which fault, on which links.
-Changed = Callable[[str, Fault, list[tuple[str, str]]], None]
+# Called with "begins" or "ends", the fault, and the affected links.
+FaultCallback = Callable[[str, Fault, list[tuple[str, str]]], None]
 
 
 class InvalidScheduleError(Exception):
-    """A schedule that can't be played; names the field."""
+    """A schedule is invalid; the message names the field."""
 
 
 def check_schedule(schedule: Any) -> list[Fault]:
@@ -73,8 +73,8 @@
         raise InvalidScheduleError(f"{path}: {error}") from error
 
 
-def spans(fault: Fault) -> list[tuple[float, float]]:
-    """Return when the fault is active, as pairs of begin and end."""
+def active_periods(fault: Fault) -> list[tuple[float, float]]:
+    """Return the periods in which the fault is active, as pairs of begin and end."""
     end = fault["at_s"] + fault["for_s"]
     if "on_s" not in fault:
         return [(fault["at_s"], end)]
@@ -86,7 +86,7 @@
 
 
 def draw_schedule(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
-    """Draw random faults of these links, all over after `length` seconds."""
+    """Draw random faults of these links that all end within `length` seconds."""
     rng = random.Random(seed)
     links = sorted(ends)
     faults: list[Fault] = []
@@ -94,7 +94,11 @@
         source, target = rng.choice(links)
         at = round(rng.uniform(0.0, length / 2), 2)
         fault: Fault = {"at_s": at, "for_s": round(rng.uniform(1.0, length - at), 2), "from": source, "to": target}
-        fault |= {"kind": rng.choice(KINDS), "both": rng.random() < 0.6, "delay_s": round(rng.uniform(0.1, 6.0), 2)}
+        fault |= {
+            "kind": rng.choice(FAULT_KINDS),
+            "both": rng.random() < 0.6,
+            "delay_s": round(rng.uniform(0.1, 6.0), 2),
+        }
         if rng.random() < 0.4:
             fault |= {"on_s": round(rng.uniform(0.5, 12.0), 2), "off_s": round(rng.uniform(0.1, 10.0), 2)}
         faults.append(fault)
@@ -102,15 +106,15 @@
 
 
 class LinkFaults:
-    """Which links have which faults now; each direction by itself."""
+    """The faults that each link has now; each direction is a separate link."""
 
     def __init__(self) -> None:
         self._active: list[tuple[str, str, str, float]] = []
-        # Whether there ever was one; where there was none, others decide over the links.
+        # Whether there ever was a fault; until then, tests set the faults of store clients themselves.
         self.used = False
 
     def begin(self, source: str, target: str, fault: Fault) -> list[tuple[str, str, str, float]]:
-        """Begin a fault between two resolved ends; return what ends it."""
+        """Begin a fault between two resolved endpoints; return the argument with which `end` ends it."""
         kind, delay = fault.get("kind", "drop"), fault.get("delay_s", 0.0)
         begun = [(source, target, kind, delay)]
         if fault.get("both", False):
@@ -125,9 +129,9 @@
             self._active.remove(one)
 
     def has(self, kind: str, source: str, target: str) -> bool:
-        """Return whether that link has such a fault."""
+        """Return whether the link has a fault of this kind."""
         return any(
-            kind == found and _meets(source, one) and _meets(target, other) for one, other, found, _ in self._active
+            kind == found and _matches(source, one) and _matches(target, other) for one, other, found, _ in self._active
         )
 
     def delay(self, source: str, target: str) -> float:
@@ -135,46 +139,46 @@
         return sum(
             late
             for one, other, kind, late in self._active
-            if kind == "delay" and _meets(source, one) and _meets(target, other)
+            if kind == "delay" and _matches(source, one) and _matches(target, other)
         )
 
     def passes(self, source: str, target: str) -> bool:
-        """Return whether the link passes anything."""
+        """Return whether the link delivers anything."""
         return not (self.has("drop", source, target) or self.has("reset", source, target))
 
 
-def _meets(end: str, pattern: str) -> bool:
-    """Return whether an end is the pattern; `workers` stands for those of all zones."""
-    return end == pattern or (pattern == WORKERS and end.startswith(f"{WORKERS}/"))
+def _matches(endpoint: str, pattern: str) -> bool:
+    """Return whether an endpoint matches a pattern; `workers` matches those of all zones."""
+    return endpoint == pattern or (pattern == WORKERS and endpoint.startswith(f"{WORKERS}/"))
 
 
 class SchedulePlayer:
-    """Plays a schedule on a running loop, whether its time is real or simulated."""
+    """Plays a schedule on a running loop, in real or simulated time."""
 
-    def __init__(self, faults: LinkFaults, nodes: list[str], leader: Callable[[], str], changed: Changed) -> None:
-        """`leader` names the node that leads now; `changed` is called after each begin and end of a fault."""
+    def __init__(self, faults: LinkFaults, nodes: list[str], leader: Callable[[], str], changed: FaultCallback) -> None:
+        """Take a function that returns the leading node, and a callback for each begin and end of a fault."""
         self._faults, self._nodes = faults, nodes
         self._leader, self._changed = leader, changed
 
     async def play(self, schedule: list[Fault]) -> None:
-        """Play all faults, from now to the end of the last."""
+        """Play all faults, starting now; return when the last has ended."""
         await asyncio.gather(*(self._play_one(fault) for fault in schedule))
 
     async def _play_one(self, fault: Fault) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        for start, end in spans(fault):
+        for start, end in active_periods(fault):
             await asyncio.sleep(max(0.0, began + start - loop.time()))
             pairs = [(one, two) for one in self._resolve(fault["from"]) for two in self._resolve(fault["to"])]
             begun = [self._faults.begin(one, two, fault) for one, two in pairs if one != two]
             self._changed("begins", fault, pairs)
             await asyncio.sleep(max(0.0, began + end - loop.time()))
-            for one_of_all in begun:
-                self._faults.end(one_of_all)
+            for started in begun:
+                self._faults.end(started)
             self._changed("ends", fault, pairs)
 
-    def _resolve(self, end: str) -> list[str]:
-        """Return the ends that a name of a schedule stands for now."""
+    def _resolve(self, endpoint: str) -> list[str]:
+        """Return the endpoints that a name in a schedule refers to now."""
         leader = self._leader()
         others = [node for node in self._nodes if node != leader]
-        return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(end, [end])
+        return {LEADER: [leader], FOLLOWER: others[:1], PEERS: others}.get(endpoint, [endpoint])
--- a/tests/world/loop.py
+++ b/tests/world/loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose time jumps to the next timer: minutes pass in milliseconds.
+"""An event loop with simulated time, which jumps to the next timer: minutes pass in milliseconds.
 
-What runs in a node's context (`NODE`) can be made to stand still while the clocks run on, as
-a process does that gets no processor: its callbacks wait and run, in order, when it goes on.
+What runs in a node's context (`NODE`) can be suspended while the clocks run on, like a process that
+gets no CPU time: its callbacks are queued and run in order when it is resumed.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 NODE: ContextVar[str] = ContextVar("NODE", default="")
 
 
-class _Jumping(selectors.SelectSelector):
-    """Never waits; tells the loop how far to jump instead."""
+class _JumpingSelector(selectors.SelectSelector):
+    """A selector that never waits, but advances the loop's time by the timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -24,14 +24,14 @@
     def select(self, timeout: float | None = None) -> list[Any]:
         found = super().select(0)
         if not found and timeout is None:
-            raise RuntimeError("the simulated world has come to a standstill")
+            raise RuntimeError("deadlock in the simulation: no callback is ready and no timer is pending")
         if not found and timeout and self.loop is not None:
             self.loop.now += timeout
         return found
 
 
-class _Gate:
-    """A node's callback: runs now, or once the node goes on, unless it was called off by then."""
+class _NodeCallback:
+    """A node's callback: runs now, or when the node is resumed, unless it was cancelled by then."""
 
     __slots__ = ("args", "callback", "context", "handle", "loop", "node")
 
@@ -51,9 +51,9 @@
 class SimLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self.now = 0.0
-        # Nodes that stand still, and what waits for them to go on.
-        self.suspended: dict[str, list[_Gate]] = {}
-        selector = _Jumping()
+        # Suspended nodes, and the callbacks that are queued until each is resumed.
+        self.suspended: dict[str, list[_NodeCallback]] = {}
+        selector = _JumpingSelector()
         super().__init__(selector)
         selector.loop = self
 
@@ -71,9 +71,9 @@
         node = context.get(NODE, "")
         if not node:
             return super().call_soon(callback, *args, context=context)
-        gate = _Gate(self, node, callback, args, context)
-        gate.handle = super().call_soon(gate, context=context)
-        return gate.handle
+        node_callback = _NodeCallback(self, node, callback, args, context)
+        node_callback.handle = super().call_soon(node_callback, context=context)
+        return node_callback.handle
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
@@ -82,21 +82,21 @@
         node = context.get(NODE, "")
         if not node:
             return super().call_at(when, callback, *args, context=context)
-        gate = _Gate(self, node, callback, args, context)
-        handle = super().call_at(when, gate, context=context)
-        gate.handle = handle
+        node_callback = _NodeCallback(self, node, callback, args, context)
+        handle = super().call_at(when, node_callback, context=context)
+        node_callback.handle = handle
         return handle
 
     def suspend(self, node: str) -> None:
         self.suspended.setdefault(node, [])
 
     def resume(self, node: str) -> None:
-        for gate in self.suspended.pop(node, []):
-            super().call_soon(gate, context=gate.context)
+        for node_callback in self.suspended.pop(node, []):
+            super().call_soon(node_callback, context=node_callback.context)
 
 
 def play(main: "Coroutine[Any, Any, None]", loop: SimLoop) -> None:
-    """Run `main` to its end in simulated time and end what it left running."""
+    """Run `main` to its end in simulated time, then cancel the tasks that it left running."""
     try:
         loop.run_until_complete(main)
     finally:
@@ -106,6 +106,6 @@
         for task in rest:
             task.cancel()
         if rest:
-            # Work of a node that was killed while it stood still never ends.
+            # Tasks of a node that was killed while suspended never end.
             loop.run_until_complete(asyncio.wait(rest, timeout=5))
         loop.close()
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades and rollbacks beside every trouble."""
+"""Repeated upgrades and rollbacks combined with random faults."""
 
 import asyncio
 import random
@@ -26,10 +26,10 @@
 
 
 async def upgrades_and_rollbacks(
-    world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], falls: float
+    world: World, monitor: RolloutMonitor, steps: list[tuple[str, str, float]], limits_lowered_at_s: float
 ) -> None:
-    """Nodes change their version again and again beside every trouble; in the end all are new."""
-    world.loop.call_later(falls, lower_store_limits, world)
+    """Change the nodes' versions repeatedly while faults occur; upgrade all of them in the end."""
+    world.loop.call_later(limits_lowered_at_s, lower_store_limits, world)
     ids = await submit_some(world, 6)
     for kind, node, pause in steps:
         if kind in ("new", "before"):
@@ -48,11 +48,11 @@
     ids += await submit_some(world, 3, 20)
     states = await world.wait_until_finished(ids, 400)
     assert all(state in ("done", "cancelled") for state in states.values()), states
-    await asyncio.sleep(max(0.0, falls - world.loop.now))
+    await asyncio.sleep(max(0.0, limits_lowered_at_s - world.loop.now))
 
 
 def day_beside_an_earlier_version(seed: int, earlier: EarlierVersion) -> None:
-    """Upgrades from, and rollbacks to, an earlier version (`tests/both.py`)."""
+    """Run a day of upgrades from, and rollbacks to, an actual earlier version (`tests/both.py`)."""
     rng = random.Random(seed)
     reads_level = earlier.reads_level(SUPPORTED.highest)
 
@@ -80,7 +80,7 @@
 
 
 async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
-    """Move nodes to either version at random, beside troubles."""
+    """Move random nodes to either version while faults occur."""
     for _ in range(12):
         kind, node = rng.choice(["new", "new", "earlier", *rng.sample(FAULT_NAMES, 2)]), rng.choice(NODES)
         if kind in ("new", "earlier"):
@@ -94,16 +94,16 @@
 
 
 async def _roll_back(world: World, reads_level: bool) -> None:
-    """Roll all nodes back after the activation: a version leads then if it reads the level, and only then."""
+    """Roll all nodes back after the activation: the earlier version leads if, and only if, it reads the level."""
     world.earlier_nodes.update(NODES)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
-    led = False
+    leader_found = False
     for _ in range(60):
         await asyncio.sleep(0.5)
-        led |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
-        assert not led or reads_level
-    assert led is reads_level
+        leader_found |= any(one.leader is not None and one.leader.loaded for one in world.controllers.values())
+        assert not leader_found or reads_level
+    assert leader_found is reads_level
     world.earlier_nodes.clear()
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -1,4 +1,4 @@
-"""Random troubles for generated histories: each is begun by its name, and all are ended together."""
+"""Random faults for generated histories: each is injected by name, and all are cleared together."""
 
 from collections.abc import Awaitable, Callable
 from functools import partial
@@ -10,8 +10,8 @@
 from tests.world.specs import job
 from tests.world.world import World, start
 
-# How generated histories are played: the same in every run, and a failing one is told as it is,
-# since making it smaller takes minutes.
+# Hypothesis settings of generated histories: the same examples in every run, and a failing example is reported
+# without shrinking, which takes minutes.
 HISTORY_SETTINGS = settings(
     deadline=None,
     database=None,
@@ -22,15 +22,15 @@
 
 
 async def inject_fault(world: World, kind: str, ids: list[str]) -> None:
-    """Begin a trouble of that kind, where there is anything that it can befall."""
-    await KINDS[kind](world, ids)
+    """Inject a fault of this kind, if there is anything that it can affect."""
+    await INJECTORS[kind](world, ids)
 
 
 async def _kill(world: World, ids: list[str]) -> None:
     _restart_one(world, 0.1, 8)
 
 
-async def _back(world: World, ids: list[str]) -> None:
+async def _restart_quickly(world: World, ids: list[str]) -> None:
     _restart_one(world, 0.02, 0.4)
 
 
@@ -78,7 +78,7 @@
 
 
 async def _step_down(world: World, ids: list[str]) -> None:
-    # Often the same node wins again while its responses to workers are still being made.
+    # Often the same node wins again while it is still preparing responses to workers.
     if world.leader is not None:
         world.leader.election.step_down(StepDownReason.FAULT)
 
@@ -127,8 +127,8 @@
         ids.append(spec["name_id"])
 
 
-# By the names, and in the order, from which histories are drawn.
-KINDS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
+# Generated histories are drawn from these names in this order.
+INJECTORS: dict[str, Callable[[World, list[str]], Awaitable[None]]] = {
     "kill": _kill,
     "kill_all": _kill_all,
     "outage": _outage,
@@ -145,12 +145,12 @@
     "copies": _duplicates,
     "apart": _isolate,
     "reborn": _restart_worker,
-    "back": _back,
+    "back": _restart_quickly,
     "twice": _duplicate_changes,
     "still": partial(_suspend, False),
     "still_all": partial(_suspend, True),
 }
-FAULT_NAMES = list(KINDS)
+FAULT_NAMES = list(INJECTORS)
 
 
 def set_isolated(world: World, node: str, apart: bool) -> None:
@@ -169,7 +169,7 @@
     for name in world.nodes:
         if name not in world.controllers:
             world.start(name)
-        trouble = world.ports[name].store.faults
-        trouble.refused = trouble.cut = False
-        trouble.duplicate_share = world.ports[name].cloud.faults.duplicate_share = 0.0
-        trouble.lost_response_share = trouble.late_share = 0.0
+        store_faults = world.ports[name].store.faults
+        store_faults.refused = store_faults.cut = False
+        store_faults.duplicate_share = world.ports[name].cloud.faults.duplicate_share = 0.0
+        store_faults.lost_response_share = store_faults.late_share = 0.0
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -1,8 +1,8 @@
-"""The version whose controllers a node runs: this one, or an earlier one from its own sources.
+"""Versions whose controllers a node can run: this one, or an earlier one imported from its own sources.
 
-An earlier version has other names for what this one has renamed since. `MODULES`, `CLASSES` and
-`ATTRIBUTES` map the present names that the simulated world uses to the earlier ones; whoever renames
-one of them adds the name that it had. The first earlier name that a version knows is taken.
+An earlier version uses names that have been changed since. `MODULES`, `CLASSES` and `ATTRIBUTES` map
+the present names that the simulated world uses to the earlier ones; whoever renames one of them adds
+the name that it had. The first name that a version has is used.
 """
 
 import importlib
@@ -42,6 +42,7 @@
     ("net.http_client", "NotSentError"): ("Withheld",),
     ("peers.connection", "PeerUnreachableError"): ("NotReached",),
     ("peers.network", "PeerNetwork"): ("Peers",),
+    ("settings.operators", "OperatorSettings"): ("Operators",),
     ("settings.operators", "OperatorsFile"): ("Raw",),
 }
 # Class, by its present module and name -> present attribute or method -> earlier names.
@@ -74,7 +75,7 @@
         """Return the module that has that name in this version."""
         return importlib.import_module(f"{self.package}.{name}")
 
-    def named(self, module: str, name: str) -> Any:
+    def lookup(self, module: str, name: str) -> Any:
         """Return what has that name in that module of this version."""
         return getattr(self.module(module), name)
 
@@ -94,7 +95,7 @@
         )
 
     def request(self, request: Request) -> Any:
-        """Return the request as the version's server makes it."""
+        """Return the request as the version's server creates it."""
         return request
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
@@ -107,7 +108,7 @@
 
 
 class NodeLevels(msgspec.Struct, frozen=True):
-    """A node's rollout settings, and the levels that it stands for."""
+    """A node's rollout settings, and the levels that it supports."""
 
     rollout: RolloutSettings
     supported: SupportedLevels
@@ -117,10 +118,10 @@
     """An earlier version, imported under a package name of its own."""
 
     def __init__(self, package: str) -> None:
-        """Give the package's classes the present names besides their own."""
+        """Add the present names to the package's classes."""
         self.package = package
         for (module, name), names in ATTRIBUTES.items():
-            _add_names(self.named(module, name), names)
+            _add_names(self.lookup(module, name), names)
 
     def module(self, name: str) -> ModuleType:
         """Return the module that has that name at present."""
@@ -138,7 +139,7 @@
             raise LookupError(f"the earlier version has no module {name}: add the name that it had to MODULES")
         return found
 
-    def named(self, module: str, name: str) -> Any:
+    def lookup(self, module: str, name: str) -> Any:
         """Return what has that name in that module at present."""
         for one in self._modules(module):
             for known in (name, *CLASSES.get((module, name), ())):
@@ -147,9 +148,9 @@
         raise LookupError(f"the earlier version has no {module}.{name}: add the name that it had to CLASSES")
 
     def reads_level(self, level: int) -> bool:
-        """Whether the version reads the forms of a compatibility level; one without levels reads the first."""
+        """Return whether the version reads a compatibility level; a version without levels reads the first."""
         try:
-            return level in self.named("common.features", "SUPPORTED")
+            return level in self.lookup("common.features", "SUPPORTED")
         except LookupError:
             return level == 1
 
@@ -162,14 +163,14 @@
         levels: NodeLevels,
     ) -> Controller:
         """Make a controller that supports what the earlier version does; one without levels gets none."""
-        file = self.named("settings.operators", "OperatorsFile")
+        file = self.lookup("settings.operators", "OperatorsFile")
         operators_file = file()
         if "rollout" in operators_file.__struct_fields__:
-            known = self.named("settings.rollout", "RolloutSettings")
+            known = self.lookup("settings.rollout", "RolloutSettings")
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
-        controller: Controller = self.named("controller", "Controller")(
-            self.named("settings.platform", "parse")(settings),
-            self.named("settings.operators", "OperatorSettings")(operators_file),
+        controller: Controller = self.lookup("controller", "Controller")(
+            self.lookup("settings.platform", "parse")(settings),
+            self.lookup("settings.operators", "OperatorSettings")(operators_file),
             clock,
             *(EarlierPort(port, self) for port in ports),
             peers,
@@ -177,8 +178,8 @@
         return controller
 
     def request(self, request: Request) -> Any:
-        """Return the request as the earlier version's server makes it."""
-        made = self.named("net.http_messages", "Request")
+        """Return the request as the earlier version's server creates it."""
+        made = self.lookup("net.http_messages", "Request")
         return made(request.method, request.path, request.query, request.body, request.previous_response_at)
 
     def peers(self, peers: type[PeerNetwork]) -> type[PeerNetwork]:
@@ -195,19 +196,19 @@
 
 
 class EarlierPort:
-    """A port that answers and fails with the earlier version's own types."""
+    """A port that returns responses and raises errors of the earlier version's types."""
 
     def __init__(self, port: SimulatedClient, version: EarlierVersion) -> None:
         """Wrap a port of this version."""
         self._port = port
-        self._answer = version.named("net.http_client", "ClientResponse")
-        self._no_response = version.named("net.http_client", "NoResponseError")
-        self._not_sent = version.named("net.http_client", "NotSentError")
+        self._answer = version.lookup("net.http_client", "ClientResponse")
+        self._no_response = version.lookup("net.http_client", "NoResponseError")
+        self._not_sent = version.lookup("net.http_client", "NotSentError")
 
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
     ) -> Any:
-        """Call the service as the port does, with the name that the precondition had."""
+        """Call the service through the port, taking the precondition under its earlier name."""
         try:
             answer: ClientResponse = await self._port.call(method, path, body, timeout=timeout, precondition=sure)
         except NotSentError as error:
@@ -218,7 +219,7 @@
 
 
 def _add_names(owner: type, names: dict[str, tuple[str, ...]]) -> None:
-    """Let instances answer to present names: asked only for attributes that the class does not have."""
+    """Let instances resolve present names; `__getattr__` is called only for attributes that the class lacks."""
 
     def find(instance: Any, present: str) -> Any:
         for earlier in names.get(present, ()):
