--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -168,12 +168,13 @@
         if "rollout" in operators_file.__struct_fields__:
             known = self.lookup("settings.rollout", "RolloutSettings")
             operators_file = file(rollout=msgspec.convert(msgspec.to_builtins(levels.rollout), known))
+        environment: list[Any] = [clock, *(EarlierPort(port, self) for port in ports), peers]
+        if hasattr(self.module("controller"), "ControllerEnvironment"):
+            environment = [self.lookup("controller", "ControllerEnvironment")(*environment)]
         controller: Controller = self.lookup("controller", "Controller")(
             self.lookup("settings.platform", "parse")(settings),
             self.lookup("settings.operators", "OperatorSettings")(operators_file),
-            clock,
-            *(EarlierPort(port, self) for port in ports),
-            peers,
+            *environment,
         )
         return controller
 
@@ -192,7 +193,8 @@
 
     def announcement(self, peers: Any) -> Any:
         """Return what the controller of these peer links announces now."""
-        return peers._say()
+        handler = getattr(peers, "_handler", None)
+        return peers._say() if handler is None else handler.make_announcement()
 
 
 class EarlierPort:
@@ -206,11 +208,20 @@
         self._not_sent = version.lookup("net.http_client", "NotSentError")
 
     async def call(
-        self, method: str, path: str, body: Any = None, *, timeout: timedelta, sure: Callable[[], bool] | None = None
+        self,
+        method: str,
+        path: str,
+        body: Any = None,
+        *,
+        timeout: timedelta,
+        **options: Callable[[], bool] | None,
     ) -> Any:
-        """Call the service through the port, taking the precondition under its earlier name."""
+        """Call the service through the port; versions name the precondition `precondition` or `sure`."""
+        precondition = options.get("precondition", options.get("sure"))
         try:
-            answer: ClientResponse = await self._port.call(method, path, body, timeout=timeout, precondition=sure)
+            answer: ClientResponse = await self._port.call(
+                method, path, body, timeout=timeout, precondition=precondition
+            )
         except NotSentError as error:
             raise self._not_sent(str(error)) from error
         except NoResponseError as error:
