--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,7 +1,7 @@
-"""Where two troubles meet: each meeting that the operators name, and random pairs and triples.
+"""Combinations of faults: those that the operators name, and random pairs and triples.
 
-Judged by the rules of the protocol as users and machines see them (tests/world/rules.py).
-`docs/meetings.md` says which code answers for each meeting.
+Checked against the rules of the protocol as users and machines see them (tests/world/rules.py).
+`docs/meetings.md` lists the code that handles each combination.
 """
 
 import asyncio
@@ -17,8 +17,8 @@
 from tests.world.stage import Scenario
 from tests.world.world import World
 
-# Each meeting: troubles, and how long after the first each begins.
-MEETINGS: dict[str, list[tuple[str, float]]] = {
+# By combination, its faults and the seconds after which each begins.
+FAULT_COMBINATIONS: dict[str, list[tuple[str, float]]] = {
     "a report is held back until a new leader has acted": [("kept_for_the_next", 0), ("cancel_now", 3)],
     "one-task jobs come by the second, a quarter cancelled": [("stream", 0)],
     "the same, and the leader ends": [("stream", 0), ("leader_ends", 8), ("leader_stands_still", 16)],
@@ -82,21 +82,21 @@
 }
 
 
-def play(troubles: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
-    """Play the troubles, then calm: all that was accepted ends, and no rule is broken on the way."""
+def play(faults: Sequence[tuple[str, float]], seed: int, controllers: int = 3) -> World:
+    """Inject the faults, then remove them: every accepted job must end, and no rule may be broken."""
 
     async def script(world: World) -> None:
         stage = Scenario(world)
         watcher = world.loop.create_task(check_continuously(world))
         await stage.submit_initial_jobs()
         await asyncio.sleep(6)
-        began = world.loop.now
+        started_at = world.loop.now
 
-        async def befall(name: str, at: float) -> None:
-            await asyncio.sleep(began + at - world.loop.now)
+        async def inject_later(name: str, delay_s: float) -> None:
+            await asyncio.sleep(started_at + delay_s - world.loop.now)
             await FAULT_SCRIPTS[name](stage)
 
-        await asyncio.gather(*(befall(name, at) for name, at in troubles))
+        await asyncio.gather(*(inject_later(name, delay_s) for name, delay_s in faults))
         await stage.end()
         await asyncio.sleep(world.rng.uniform(0, 10))
         restore(world)
@@ -107,7 +107,7 @@
         world.rules.faults_cleared_at = world.loop.now
         states = await world.wait_until_finished(stage.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
-        # Whoever asks whichever node hears the same for ever.
+        # Every node keeps reporting the same final state.
         for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
             for node in world.nodes:
                 assert await world.poll(job_id, node) == states[job_id]
@@ -116,31 +116,31 @@
     return day(script, seed=seed, controllers=controllers, each=2, machines=6)
 
 
-@pytest.mark.parametrize("meeting", MEETINGS)
-def test_rules_hold_where_troubles_meet(meeting: str) -> None:
+@pytest.mark.parametrize("combination", FAULT_COMBINATIONS)
+def test_rules_hold_for_each_named_combination(combination: str) -> None:
     for seed in range(2):
-        play(MEETINGS[meeting], seed)
+        play(FAULT_COMBINATIONS[combination], seed)
 
 
-def mixture(seed: int, counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
+def draw_faults(seed: int, fault_counts: Sequence[int] = (2, 2, 3)) -> list[tuple[str, float]]:
     rng = random.Random(seed)
-    return [(rng.choice(sorted(FAULT_SCRIPTS)), rng.uniform(0, 12)) for _ in range(rng.choice(counts))]
+    return [(rng.choice(sorted(FAULT_SCRIPTS)), rng.uniform(0, 12)) for _ in range(rng.choice(fault_counts))]
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_rules_hold_for_pairs_and_triples(seed: int) -> None:
-    play(mixture(seed), seed, 3 if seed % 3 else 5)
+def test_rules_hold_for_random_pairs_and_triples(seed: int) -> None:
+    play(draw_faults(seed), seed, 3 if seed % 3 else 5)
 
 
 if __name__ == "__main__":
-    # By hand, over more seeds and more troubles at once: `python -m tests.test_meetings 1000 1400 4 6`.
-    first, last, *counts = map(int, sys.argv[1:])
-    broken = 0
+    # To run more seeds and more faults at once: `python -m tests.test_meetings 1000 1400 4 6`.
+    first, last, *fault_counts = map(int, sys.argv[1:])
+    failures = 0
     for seed in range(first, last):
-        troubles = mixture(seed, counts or (2, 2, 3))
+        faults = draw_faults(seed, fault_counts or (2, 2, 3))
         try:
-            play(troubles, seed, 3 if seed % 3 else 5)
+            play(faults, seed, 3 if seed % 3 else 5)
         except AssertionError as error:
-            broken += 1
-            print(seed, troubles, str(error).splitlines()[0][:300], flush=True)
-    print(f"{last - first} played, {broken} broken")
+            failures += 1
+            print(seed, faults, str(error).splitlines()[0][:300], flush=True)
+    print(f"{last - first} played, {failures} broken")
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -1,11 +1,11 @@
-"""Measures where one controller's processor time and memory go, phase by phase.
+"""Measures one controller's CPU time and memory in each phase of a run.
 
-    PYTHONPATH=src python -m tools.profile_controller [--machines 600] [--jobs 100] [--profile]
+    PYTHONPATH=src python -m tools.profile_controller [--machines 600] [--jobs 150] [--profile DIR]
 
-A controller runs as a real process; the state service, the cloud, the workers and the users
-are the stand-ins of `tests/world`, on loopback. Without `--profile` it prints the processor
-time of each phase and the requests that fell into it; with it, the share of each duty as
-well, which is inflated where many small functions are called. docs/operations.md tells more.
+The controller runs as a separate process; the state service, the cloud, the workers and the users are
+simulated (`tests/world`) and use loopback. Prints the CPU time of each phase and the requests in it; with
+`--profile` also the share of each component, which the profiler overstates for code that calls many small
+functions. See docs/operations.md.
 """
 
 import argparse
@@ -23,17 +23,17 @@
 from typing import Any
 
 from elmthread.net.http_client import HttpClient, NoResponseError
-from tools.loopback import CALL_TIME, HOST, RealLoop, StandIns
-from tools.users import UserLoad, Users, Waits
+from tools.loopback import CALL_TIMEOUT, HOST, RealLoop, SimulatedServices
+from tools.users import RequestStats, UserLoad, Users
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE = "loom-0"
-TICKS = os.sysconf("SC_CLK_TCK")
-READY_TIME = 60.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 60.0
 LOAD = UserLoad(tasks=40, task_s=20.0, poll_interval_s=5.0, polls=100, idle_connections=16)
 OUTAGE_S = 8.0
 
-DUTIES = (
+COMPONENTS = (
     ("net/http_client", "calls of our own"),
     ("net/", "requests and answers"),
     ("httptools", "requests and answers"),
@@ -58,7 +58,7 @@
 
 @dataclass
 class Phase:
-    """The time that a phase took, and the requests that the controller got in it."""
+    """Wall time, CPU time and peak memory of a phase, and the requests during it."""
 
     name: str
     wall_s: float
@@ -68,10 +68,10 @@
 
 
 class ControllerProcess:
-    """The measured controller, a process of its own."""
+    """The controller under measurement, a separate process."""
 
     def __init__(self, settings: Path, output: Path | None) -> None:
-        """Start the process; with `output`, profiles are written there."""
+        """Start the process; if `output` is given, with a profiler that writes to that directory."""
         command = [sys.executable, "-m", "tools.profiled_controller", str(output), str(settings)]
         if output is None:
             command = [sys.executable, "-S", str(ROOT / "target/app/run.py"), "--config", str(settings)]
@@ -81,26 +81,26 @@
         self._phases = 0
 
     def cpu_s(self) -> float:
-        """Return the processor time used so far, in seconds."""
+        """Return the CPU time used so far, in seconds."""
         fields = Path(f"/proc/{self._process.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     def memory_mb(self) -> float:
-        """Return the largest resident memory so far."""
+        """Return the peak resident memory so far."""
         status = Path(f"/proc/{self._process.pid}/status").read_text()
         line = next(line for line in status.splitlines() if line.startswith("VmHWM"))
         return int(line.split()[1]) / 1024
 
     async def end_phase(self) -> Path | None:
-        """Return the profile of the phase that ends here, if profiles are made."""
+        """End the present phase; return the path of its profile, or None if profiling is off."""
         if self._output is None:
             return None
-        written = self._output / f"{self._phases}.prof"
+        path = self._output / f"{self._phases}.prof"
         self._phases += 1
         self._process.send_signal(signal.SIGUSR1)
-        while not written.exists():
+        while not path.exists():
             await asyncio.sleep(0.05)
-        return written
+        return path
 
     def kill(self) -> None:
         """Kill the process."""
@@ -109,33 +109,35 @@
 
 
 class Measurement:
-    """The stand-ins around the controller, and the phases through which they take it."""
+    """The simulated services of the controller, and the phases of the run."""
 
     def __init__(self, loop: RealLoop, machines: int, jobs: int, output: Path | None) -> None:
-        """Write profiles to `output`; None measures without them."""
+        """Write profiles to the directory `output`; None disables profiling."""
         self._machines, self._jobs, self._output = machines, jobs, output
         self._address = f"{HOST}:18080"
-        self._stand_ins = StandIns(loop, {NODE: self._address}, machines)
-        self._counts = self._stand_ins.counts
+        self._services = SimulatedServices(loop, {NODE: self._address}, machines)
+        self._counts = self._services.counts
         self._client = HttpClient(self._address)
-        self._waits = Waits()
-        self._users = Users(self._stand_ins, {NODE: self._address}, lambda: [NODE], lambda: self._waits, LOAD)
+        self._stats = RequestStats()
+        self._users = Users(self._services, {NODE: self._address}, lambda: [NODE], lambda: self._stats, LOAD)
         self.phases: list[tuple[Phase, Path | None]] = []
 
     async def run(self) -> None:
-        """Run all phases, one after the other."""
+        """Run all phases in order."""
         with tempfile.TemporaryDirectory() as folder:
-            settings = await self._serve(Path(folder))
+            settings = await self._start_services(Path(folder))
             controller = self._start(settings, "first")
-            await self._phase(controller, "start", self._until_ready())
-            await self._phase(controller, "opening rush, all workers come at once", self._opening())
-            await self._phase(controller, "steady", self._submit(self._jobs, LOAD.task_s))
-            await self._phase(controller, "outage of the state service", self._outage())
-            await self._phase(controller, "end of the outage", asyncio.sleep(5))
+            await self._run_phase(controller, "start", self._wait_until_ready())
+            await self._run_phase(
+                controller, "opening rush, all workers come at once", self._submit_while_machines_start()
+            )
+            await self._run_phase(controller, "steady", self._submit(self._jobs, LOAD.task_s))
+            await self._run_phase(controller, "outage of the state service", self._outage())
+            await self._run_phase(controller, "end of the outage", asyncio.sleep(5))
             controller.kill()
             controller = self._start(settings, "second")
-            await self._phase(controller, "start and load", self._until_ready())
-            await self._phase(controller, "after the load", asyncio.sleep(10))
+            await self._run_phase(controller, "start and load", self._wait_until_ready())
+            await self._run_phase(controller, "after the load", asyncio.sleep(10))
             controller.kill()
 
     def _start(self, settings: Path, name: str) -> ControllerProcess:
@@ -145,103 +147,105 @@
         output.mkdir(parents=True)
         return ControllerProcess(settings, output)
 
-    async def _serve(self, folder: Path) -> Path:
-        await self._stand_ins.start()
+    async def _start_services(self, folder: Path) -> Path:
+        await self._services.start()
         settings = folder / "settings.toml"
-        settings.write_text(self._stand_ins.settings(NODE, {NODE: f"{HOST}:18081"}, self._machines * 3))
+        settings.write_text(self._services.settings(NODE, {NODE: f"{HOST}:18081"}, self._machines * 3))
         return settings
 
-    async def _phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
+    async def _run_phase(self, controller: ControllerProcess, name: str, work: Any) -> None:
         self._counts.clear()
-        self._waits = Waits()
-        began, cpu = time.monotonic(), controller.cpu_s()
+        self._stats = RequestStats()
+        start_time, start_cpu_s = time.monotonic(), controller.cpu_s()
         await work
-        took, used = time.monotonic() - began, controller.cpu_s() - cpu
-        requests = Counter(self._counts) + Counter({f"users' {what}": n for what, n in self._waits.counts.items()})
-        phase = Phase(name, took, used, controller.memory_mb(), requests)
+        wall_s, cpu_s = time.monotonic() - start_time, controller.cpu_s() - start_cpu_s
+        requests = Counter(self._counts) + Counter(
+            {f"users' {event}": count for event, count in self._stats.counts.items()}
+        )
+        phase = Phase(name, wall_s, cpu_s, controller.memory_mb(), requests)
         self.phases.append((phase, await controller.end_phase()))
 
-    # What happens in the phases
+    # Phases
 
-    async def _until_ready(self) -> None:
-        end = time.monotonic() + READY_TIME
-        while time.monotonic() < end:
+    async def _wait_until_ready(self) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < deadline:
             try:
-                if (await self._client.call("GET", "/ready", timeout=CALL_TIME)).status == 200:
+                if (await self._client.call("GET", "/ready", timeout=CALL_TIMEOUT)).status == 200:
                     return
             except NoResponseError:
                 pass
             await asyncio.sleep(0.02)
-        raise TimeoutError("the controller does not get ready")
+        raise TimeoutError(f"the controller was not ready within {READY_TIMEOUT_S:g} s")
 
-    async def _opening(self) -> None:
-        """Submit half of the jobs before all machines start, and the others while they do."""
+    async def _submit_while_machines_start(self) -> None:
+        """Submit half of the jobs before all machines start, and the other half while they start."""
         await self._submit(self._jobs // 2, 5.0)
-        self._stand_ins.add_machines(self._machines)
+        self._services.add_machines(self._machines)
         await self._submit(self._jobs // 2, 5.0)
 
-    async def _submit(self, jobs: int, over_s: float) -> None:
+    async def _submit(self, jobs: int, duration_s: float) -> None:
         for _ in range(jobs):
             self._users.submit_one()
-            await asyncio.sleep(over_s / jobs)
+            await asyncio.sleep(duration_s / jobs)
 
     async def _outage(self) -> None:
-        self._stand_ins.store.outage(True)
+        self._services.store.outage(True)
         await asyncio.sleep(OUTAGE_S)
-        self._stand_ins.store.outage(False)
+        self._services.store.outage(False)
 
 
-def duty_of(path: str) -> str | None:
-    """Return the duty that a source file serves, or None for built-in functions, which count for their callers."""
+def component_of(path: str) -> str | None:
+    """Return the component of a source file, or None for built-in functions, which are attributed to their callers."""
     if path == "~":
         return None
-    return next((duty for part, duty in DUTIES if part in path), "the rest")
+    return next((component for part, component in COMPONENTS if part in path), "the rest")
 
 
 def shares(profile: Path) -> list[tuple[str, float]]:
-    """Return each duty's part of the processor time."""
+    """Return each component's share of the CPU time, in descending order."""
     stats: Any = pstats.Stats(str(profile))
     times: Counter[str] = Counter()
-    for (path, _, name), (_, _, own, _, callers) in stats.stats.items():
+    for (path, _, name), (_, _, self_time, _, callers) in stats.stats.items():
         if "select.epoll" in name or "select.poll" in name:
             continue
-        duty = duty_of(path)
-        if duty is not None:
-            times[duty] += own
+        component = component_of(path)
+        if component is not None:
+            times[component] += self_time
             continue
-        for (caller, _, _), figures in callers.items():
-            times[duty_of(caller) or _built_in(name)] += figures[2]
+        for (caller, _, _), caller_stats in callers.items():
+            times[component_of(caller) or _built_in_component(name)] += caller_stats[2]
     total = sum(times.values()) or 1.0
-    return [(duty, spent / total) for duty, spent in times.most_common()]
+    return [(component, component_time / total) for component, component_time in times.most_common()]
 
 
-def _built_in(name: str) -> str:
-    return next((duty for part, duty in DUTIES if part.rstrip("/") in name), "the rest")
+def _built_in_component(name: str) -> str:
+    return next((component for part, component in COMPONENTS if part.rstrip("/") in name), "the rest")
 
 
 def report(phase: Phase, profile: Path | None) -> None:
-    """Print one phase."""
-    load = phase.cpu_s / phase.wall_s * 100
-    print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({load:.1f}% of a core)")
+    """Print the results of one phase."""
+    cpu_percent = phase.cpu_s / phase.wall_s * 100
+    print(f"\n{phase.name}: {phase.cpu_s:.2f} s of processor in {phase.wall_s:.1f} s ({cpu_percent:.1f}% of a core)")
     print(f"  memory so far: {phase.memory_mb:.1f} MB at the most")
-    reports = phase.requests["reports"]
-    if reports:
-        print(f"  {phase.cpu_s / reports * 1e6:.0f} us of processor a report, all else included")
-    print("  " + ", ".join(f"{count} {what}" for what, count in sorted(phase.requests.items())))
+    heartbeats = phase.requests["reports"]
+    if heartbeats:
+        print(f"  {phase.cpu_s / heartbeats * 1e6:.0f} us of processor a report, all else included")
+    print("  " + ", ".join(f"{count} {request}" for request, count in sorted(phase.requests.items())))
     if profile is not None:
-        print("  " + ", ".join(f"{duty} {share:.0%}" for duty, share in shares(profile) if share >= 0.01))
+        print("  " + ", ".join(f"{component} {share:.0%}" for component, share in shares(profile) if share >= 0.01))
         print(f"  profile: {profile}")
 
 
 def main() -> None:
-    """Run all phases and print them."""
-    arguments = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    arguments.add_argument("--machines", type=int, default=600)
-    arguments.add_argument(
+    """Run all phases and print their results."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--machines", type=int, default=600)
+    parser.add_argument(
         "--jobs", type=int, default=150, help=f"submitted at the opening, and again each {LOAD.task_s:.0f} s"
     )
-    arguments.add_argument("--profile", type=Path, metavar="DIR", help="write profiles to this new directory")
-    options = arguments.parse_args()
+    parser.add_argument("--profile", type=Path, metavar="DIR", help="write profiles to this new directory")
+    options = parser.parse_args()
     loop = RealLoop()
     asyncio.set_event_loop(loop)
     measurement = Measurement(loop, options.machines, options.jobs, options.profile)
