--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,8 +1,8 @@
-"""An upgrade while the service serves, and the store's limits that fall after it.
+"""Rolling upgrades under load, after which the limits of the state service are lowered.
 
-A node in `world.old` stands for the earlier version: it knows of no next limits, writes pages
-as large as the present ones allow, and is asked for no service. What it must be able to read
-of the newer version's records is judged by tests/test_versions.py.
+A node in `world.earlier_nodes` stands for the earlier version: its settings name no next limits, it writes
+pages as large as the present limits allow, and no services are submitted while it runs. Whether it can read
+the records of the newer version is checked by tests/test_versions.py.
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 from tests.world.upgrades import configure_earlier_version, lower_store_limits, run_upgrade, upgrade
 from tests.world.world import World, start
 
-TYPES_MANY = 12
+EXTRA_MACHINE_TYPES = 12
 
 
-def sizes(world: World) -> list[int]:
+def page_sizes(world: World) -> list[int]:
     return [
         len(json.dumps(value, separators=(",", ":")))
         for key, (value, _, _) in world.store.items.items()
@@ -44,14 +44,14 @@
     st.lists(st.tuples(st.sampled_from(FAULT_NAMES), st.floats(0.5, 12.0)), min_size=6, max_size=9),
     st.floats(0.0, 40.0),
 )
-def test_rules_hold_through_an_upgrade_and_falling_limits(
-    number: int, order: list[str], troubles: list[tuple[str, float]], falls: float
+def test_rules_hold_through_an_upgrade_and_lowered_limits(
+    seed: int, order: list[str], faults: list[tuple[str, float]], limits_lowered_after_s: float
 ) -> None:
-    run_upgrade(number, order, troubles, falls, configure_earlier_version)
+    run_upgrade(seed, order, faults, limits_lowered_after_s, configure_earlier_version)
 
 
-def test_an_upgrade_is_noticed_no_more_than_a_rolling_restart() -> None:
-    """No task is started again for it, and every question is answered within seconds."""
+def test_an_upgrade_disturbs_users_no_more_than_a_rolling_restart() -> None:
+    """Check that the upgrade restarts no task and that requests are answered within seconds."""
 
     async def script(world: World) -> None:
         ids = []
@@ -59,7 +59,7 @@
             assert await world.submit(job(number, true_s=60.0, expected_s=60.0, pieces=3))
             ids.append(f"run-{number:06d}")
         await asyncio.sleep(10)
-        # The leader first, and twice: it is back old once before its turn.
+        # The leader goes first, and twice: before its upgrade it restarts with the earlier version.
         leader = world.leader
         assert leader is not None
         node = leader.node
@@ -78,20 +78,20 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_records_that_larger_values_held_are_moved_to_smaller_pages() -> None:
+def test_records_in_oversized_pages_are_moved_to_smaller_ones() -> None:
     async def script(world: World) -> None:
         for number in range(120):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
-        assert max(sizes(world)) > NEXT_LIMITS["value_kb"] * 1024
+        assert max(page_sizes(world)) > NEXT_LIMITS["value_kb"] * 1024
         await world.wait_until_finished([f"run-{number:06d}" for number in range(120)], 300)
         before = {key: value for key, value in records(world).items() if key.startswith("j/")}
         await upgrade(world, list(world.nodes), 10.0)
         lower_store_limits(world)
-        # Whatever is written takes some of the large pages along.
+        # Each write also moves records out of some of the oversized pages.
         for number in range(200, 300):
             assert await world.submit(job(number, pieces=2, true_s=2.0, expected_s=2.0))
         await world.wait_until_finished([f"run-{number:06d}" for number in range(200, 300)], 300)
-        # Large pages may still stand there until they are overwritten, but nothing in them is current.
+        # Oversized pages may remain until they are overwritten, but hold no current record.
         pages = RecordPages(page_capacity(NEXT_LIMITS["value_kb"]))
         pages.load(stored_pages(world.store))
         assert not pages._oversized
@@ -101,23 +101,25 @@
     day(script, before=configure_earlier_version, controllers=2)
 
 
-def test_records_larger_than_a_value_stay_readable_and_their_jobs_can_be_cancelled() -> None:
+def test_records_above_the_size_limit_stay_readable_and_their_jobs_can_be_cancelled() -> None:
     names = [f"type-{number:04d}-of-some-length" for number in range(99)]
 
     async def script(world: World) -> None:
-        # A list of machine types that takes 3 KB, and tasks so small that a hundred and more are on a machine.
-        long = job(1, builds=["large", *names], pieces=2, true_s=200.0, expected_s=200.0)
-        assert await world.submit(long)
+        # A list of machine types that takes 3 KB, and tasks so small that more than a hundred fit on a machine.
+        large_spec = job(1, builds=["large", *names], pieces=2, true_s=200.0, expected_s=200.0)
+        assert await world.submit(large_spec)
         assert await world.submit(job(2, pieces=320, cpus=0.1, ram_gb=0.05, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
-        most = max(len([task for name, task in world.rules.running if name == machine]) for machine in world.workers)
-        assert most > 100
+        most_tasks = max(
+            len([task for name, task in world.rules.running if name == machine]) for machine in world.workers
+        )
+        assert most_tasks > 100
         await upgrade(world, list(world.nodes), 6.0)
         lower_store_limits(world)
         await asyncio.sleep(3)
         assert await world.submit(job(3, pieces=150, cpus=0.1, ram_gb=0.05, true_s=10.0, expected_s=10.0))
-        # What could never be stored is refused at once, not taken and lost.
-        answer = await world.ask("POST", "/submissions", long | {"name_id": "run-000004"})
+        # A job that could never be stored is rejected at once, not accepted and lost.
+        answer = await world.ask("POST", "/submissions", large_spec | {"name_id": "run-000004"})
         assert answer.status == 422 and "larger" in answer.body["error"]
         assert await world.poll("run-000001") == "running"
         assert await world.withdraw("run-000001", 5) == "cancelled"
@@ -128,12 +130,12 @@
         assert await world.poll("run-000001") == "cancelled"
 
     world = day(script, before=configure_earlier_version)
-    # Machines and done marks were taken over: nothing was run again.
+    # The new leader loaded all assignments and done marks: no task ran again.
     assert max(world.rules.starts.values()) == 1
 
 
 def test_machine_is_filled_as_far_as_the_actual_size_of_its_record_allows() -> None:
-    """A bound by the longest names and numbers would leave large machines half empty at 2 KiB."""
+    """Guard against an estimate from the longest names and numbers: large machines would stay half empty at 2 KiB."""
 
     async def script(world: World) -> None:
         world.rent("large", "east")
@@ -151,57 +153,59 @@
     day(script, machines=0, before=before)
 
 
-def test_machine_types_larger_than_a_value_are_stored_in_parts() -> None:
+def test_machine_types_above_the_size_limit_are_stored_in_parts() -> None:
     async def script(world: World) -> None:
         assert await world.submit(job(1))
         await asyncio.sleep(5)
-        view = records(world)
-        assert "t/types" not in view and len([key for key in view if key.startswith("y/")]) == TYPES_MANY + 2
-        # A new leader knows them from the store alone.
+        stored = records(world)
+        assert (
+            "t/types" not in stored and len([key for key in stored if key.startswith("y/")]) == EXTRA_MACHINE_TYPES + 2
+        )
+        # A new leader loads them from the store alone.
         world.cloud.down = True
         world.kill(world.leader.node)  # type: ignore[union-attr]
         await asyncio.sleep(6)
         assert await world.submit(job(2, pieces=1), 5)
         assert world.leader is not None and world.leader.leader is not None
-        assert len(world.leader.leader.catalog.types) == TYPES_MANY + 2
+        assert len(world.leader.leader.catalog.types) == EXTRA_MACHINE_TYPES + 2
         world.cloud.down = False
 
     def before(world: World) -> None:
         world.limits = dict(NEXT_LIMITS)
         lower_store_limits(world)
         world.cloud.types = [*world.cloud.types] + [
-            world.cloud.types[0] | {"name": f"small-{number}"} for number in range(TYPES_MANY)
+            world.cloud.types[0] | {"name": f"small-{number}"} for number in range(EXTRA_MACHINE_TYPES)
         ]
 
     day(script, before=before)
 
 
 @pytest.mark.parametrize("machines", [300])
-def test_the_stores_load_at_the_lower_limits_and_full_size(machines: int) -> None:
-    """Pages, time of a load, backlog and time to an answer, with the limits enforced throughout."""
+def test_store_load_at_the_lower_limits_and_full_size(machines: int) -> None:
+    """Bound the number of pages, load time, write backlog and response time, with the limits enforced throughout."""
 
     async def script(world: World) -> None:
-        waits = []
+        latencies_s = []
         ids = []
         for number in range(40):
-            asked = world.loop.now
+            submitted_at = world.loop.now
             assert await world.submit(job(number, pieces=60, true_s=12.0, expected_s=12.0, kit=f"img-{number % 5}"))
-            waits.append(world.loop.now - asked)
+            latencies_s.append(world.loop.now - submitted_at)
             ids.append(f"run-{number:06d}")
             await asyncio.sleep(1.0)
-        assert sorted(waits)[len(waits) * 9 // 10] < 0.5, waits
+        assert sorted(latencies_s)[len(latencies_s) * 9 // 10] < 0.5, latencies_s
         leader = world.leader
         assert leader is not None and leader.leader is not None
-        # What waits to be written has not waited for long.
-        backlog = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
+        # No write has been pending for long.
+        pending_since = [write.waiting_since.total_seconds() for write in leader.leader.writer.queue.pending.values()]
         now = leader.clock().total_seconds()
-        assert not backlog or now - min(backlog) < 8
-        assert len(sizes(world)) < 250
+        assert not pending_since or now - min(pending_since) < 8
+        assert len(page_sizes(world)) < 250
         world.kill(leader.node)
-        crashed = world.loop.now
+        killed_at = world.loop.now
         while world.leader is None or world.leader.leader is None or not world.leader.leader.loaded:
             await asyncio.sleep(0.1)
-        assert world.loop.now - crashed < 6
+        assert world.loop.now - killed_at < 6
         states = await world.wait_until_finished(ids, 300)
         assert set(states.values()) == {"done"}
 
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -1,4 +1,4 @@
-"""Repeated upgrades and rollbacks, and the proof that each missing guard is seen."""
+"""Repeated upgrades and rollbacks, and proof that the checks detect each missing guard."""
 
 import pytest
 from hypothesis import Phase, given, settings
@@ -14,42 +14,42 @@
 from tests.world.world import World
 
 
-# A history that fails is made smaller, unlike those of the other worlds: its steps tell which guard is missing.
+# Unlike the other generated histories, a failing one is shrunk: its steps show which guard is missing.
 @settings(HISTORY_SETTINGS, max_examples=30, phases=[Phase.generate, Phase.shrink])
 @given(st.integers(0, 10_000), STEPS, st.floats(0.0, 60.0))
-def test_repeated_upgrades_and_rollbacks_beside_all_troubles(
-    number: int, steps: list[tuple[str, str, float]], falls: float
+def test_repeated_upgrades_and_rollbacks_under_all_faults(
+    world_seed: int, steps: list[tuple[str, str, float]], limits_lowered_after_s: float
 ) -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
-        await upgrades_and_rollbacks(world, monitor, steps, falls)
+        await upgrades_and_rollbacks(world, monitor, steps, limits_lowered_after_s)
 
     def before(world: World) -> None:
         configure_previous_version(world)
         world.limits = dict(NEXT_LIMITS)
 
-    staged_day(script, before, seed=number)
+    staged_day(script, before, seed=world_seed)
 
 
 @pytest.mark.parametrize("fault", MUTATIONS)
-def test_the_checks_see_a_rollout_that_lacks_a_guard(fault: str) -> None:
+def test_checks_detect_a_rollout_that_lacks_a_guard(fault: str) -> None:
     patch, script = MUTATIONS[fault]
 
-    def seen() -> list[str]:
-        """Return what the monitor and the rules find on that day."""
+    def detected_violations() -> list[str]:
+        """Run the scenario and return the violations that the monitor and the rules report."""
         violations: list[str] = []
 
-        async def watched(world: World) -> None:
+        async def monitored_script(world: World) -> None:
             with monitored(world) as monitor:
                 await script(world)
             violations.extend(monitor.violations)
 
         try:
-            day(watched, before=configure_previous_version, machines=2)
+            day(monitored_script, before=configure_previous_version, machines=2)
         except AssertionError as error:
             violations.append(str(error))
         return violations
 
-    # The same day with the guard shows nothing, but for the errors of processes that are rightly refused.
-    assert all("is active, this version reads" in what for what in seen())
+    # With the guard, the same scenario reports only errors of processes that are rightly refused.
+    assert all("is active, this version reads" in violation for violation in detected_violations())
     with patch():
-        assert any("is active, this version reads" not in what for what in seen())
+        assert any("is active, this version reads" not in violation for violation in detected_violations())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The world at a size near the grown deployments', its work counted in steps, not in seconds."""
+"""Simulations near the size of the grown deployments; their work is bounded in calls, not in seconds."""
 
 import asyncio
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 def test_hundreds_of_machines_and_a_fail_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Thousands of tasks; the work for each stays within bounds that a quadratic slip would break."""
+    """Run thousands of tasks, and bound the work for each so that accidental quadratic work fails the test."""
     changes: Counter[int] = Counter()  # by second
     calls: Counter[str] = Counter()
     count_calls(monkeypatch, calls, bin_packing, "fitting_tasks")
@@ -52,26 +52,26 @@
         await asyncio.sleep(15)
         running = set(world.rules.running)
         assert len(running) > 1500
-        old = world.leader
-        assert old is not None
-        world.kill(old.node)
-        crashed = world.loop.now
+        old_leader = world.leader
+        assert old_leader is not None
+        world.kill(old_leader.node)
+        killed_at = world.loop.now
         while world.leader is None or not world.leader.leader.loaded:  # type: ignore[union-attr]
             await asyncio.sleep(0.1)
-        # The new leader serves within seconds, with all that there is in the store.
-        assert world.loop.now - crashed < 6
+        # The new leader serves within seconds, with the whole store loaded.
+        assert world.loop.now - killed_at < 6
         for job_id in ids:
             assert await world.poll(job_id) is not None
-        world.start(old.node)
+        world.start(old_leader.node)
         states = await world.wait_until_finished(ids, 100)
         assert set(states.values()) == {"done"}
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
     tasks = sum(world.rules.starts.values())
-    # A lease outlasts a crash: hardly a task is started again for it.
+    # Leases outlast the crash: it restarts hardly any task.
     assert tasks < 1.02 * len(world.rules.starts)
     assert sum(changes.values()) < tasks / 10
-    # The rate with its burst, and the other nodes' share.
+    # The rate limit with its burst, and the share of the other nodes.
     assert max(changes.values()) <= 30 * 2
     assert calls["fitting_tasks"] < 10 * tasks, calls["fitting_tasks"] / tasks
 
@@ -87,12 +87,12 @@
 
 
 async def restart_everything(world: World) -> None:
-    """All controllers and workers end in an outage of the store, and are back within seconds."""
+    """Restart all controllers and workers within seconds, during an outage of the store."""
     world.store.outage(True)
     for node in list(world.controllers):
         world.kill(node)
     for index, worker in enumerate(list(world.workers.values())):
-        # Half of them keep their incarnation's number.
+        # Half of them keep their incarnation number.
         worker.restart(worker.incarnation + index % 2)
     for index, node in enumerate(world.nodes):
         world.loop.call_later(0.2 + 0.3 * index, start, world, node)
@@ -100,27 +100,27 @@
     world.store.outage(False)
 
 
-def note_returns(world: World) -> list[bool]:
-    """Note for each machine that is deleted from now on whether it had nothing to do.
+def record_deletions(world: World) -> list[bool]:
+    """Record for each machine that is deleted from now on whether it was idle and alive.
 
-    Machines that have nothing to do may go back, however many; none may be lost. What a machine
-    had when it was deleted, and whether it was heard until then, tells which it was.
+    Any number of idle machines may be deleted, but none may be lost. The tasks that a machine had when it
+    was deleted, and whether its heartbeats had arrived until then, tell the two apart.
     """
-    returned: list[bool] = []
+    were_idle: list[bool] = []
     on_deleted = world.cloud.on_deleted
 
-    def note(name: str) -> None:
+    def record_deletion(name: str) -> None:
         worker = world.workers[name]
-        empty = all(task.state == "exited" for task in worker.tasks.values())
-        returned.append(empty and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
+        idle = all(task.state == "exited" for task in worker.tasks.values())
+        were_idle.append(idle and worker.incarnation <= 4 and world.loop.now - worker.lease_renewed_at < 6)
         on_deleted(name)
 
-    world.cloud.on_deleted = note
-    return returned
+    world.cloud.on_deleted = record_deletion
+    return were_idle
 
 
-def test_everything_back_at_once_and_a_second_time_before_the_first_is_over() -> None:
-    """All workers and all controllers restart, in an outage and in the middle of the election after it."""
+def test_simultaneous_restart_of_everything_and_another_one_during_the_recovery() -> None:
+    """Restart all workers and controllers in an outage, and once more in the middle of the election after it."""
 
     async def script(world: World) -> None:
         for index in range(MACHINES):
@@ -130,62 +130,62 @@
         await asyncio.sleep(10)
         assert len(world.rules.running) > 1000
         await restart_everything(world)
-        # The second time falls into the election after the first.
+        # The second restart falls into the election after the first.
         await asyncio.sleep(0.4)
         await restart_everything(world)
         await asyncio.sleep(0.0)
-        over = world.rules.faults_cleared_at = world.loop.now
-        returned = note_returns(world)
+        recovered_at = world.rules.faults_cleared_at = world.loop.now
+        were_idle = record_deletions(world)
         while await world.poll(ids[0]) is None:
-            assert world.loop.now < over + 6
+            assert world.loop.now < recovered_at + 6
             await asyncio.sleep(0.2)
-        # Once a leader serves, most questions are answered, and every worker is renewed before its
-        # lease is over: tasks start on nearly all of them.
-        answered = 0
+        # Once a leader serves, most requests are answered, and every worker's lease is renewed before it
+        # expires: tasks start on nearly all of them.
+        answered_count = 0
         for job_id in ids:
-            answered += await world.poll(job_id) is not None
-        assert answered > 0.9 * len(ids)
+            answered_count += await world.poll(job_id) is not None
+        assert answered_count > 0.9 * len(ids)
         for node in world.nodes:
             assert (await world.ask("GET", "/ready", node=node)).status == 200
         await asyncio.sleep(15)
-        sessions = [worker.incarnation for worker in world.workers.values()]
-        assert max(sessions) <= 4 and len(world.workers) + len(returned) == MACHINES and all(returned)
+        incarnations = [worker.incarnation for worker in world.workers.values()]
+        assert max(incarnations) <= 4 and len(world.workers) + len(were_idle) == MACHINES and all(were_idle)
         assert len({machine for machine, _ in world.rules.running}) > 0.3 * MACHINES
         assert set((await world.wait_until_finished(ids, 200)).values()) == {"done"}
 
     day(script, machines=0, each=MACHINES)
 
 
-async def cut_zone_off(world: World, more: Callable[[int], Awaitable[None]]) -> None:
-    """Cut a zone off with a controller, which keeps its workers and nothing else; jobs come meanwhile."""
+async def cut_zone_off(world: World, submit_more: Callable[[int], Awaitable[None]]) -> None:
+    """Cut off a zone with a controller that reaches only its workers; submit jobs meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
     set_isolated(world, cut_off, True)
     world.cut_worker_links |= {(worker, node) for worker in west for node in world.nodes if node != cut_off}
     await asyncio.sleep(10)
-    await more(5)
+    await submit_more(5)
     await asyncio.sleep(20)
     set_isolated(world, cut_off, False)
     world.cut_worker_links.clear()
     await asyncio.sleep(5)
 
 
-async def refuse_peer_links(world: World, job_id: str) -> str:
-    """Cut all links between controllers: users at followers are refused at once, the leader serves on; return it."""
+async def cut_peer_links(world: World, job_id: str) -> str:
+    """Cut all links between controllers: followers refuse users at once, the leader keeps serving; return it."""
     can_reach, world.can_reach = world.can_reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
     for node in world.nodes:
-        asked = world.loop.now
+        sent_at = world.loop.now
         status = (await world.ask("GET", f"/submissions/{job_id}", node=node)).status
-        assert status == (200 if node == leader else 503) and world.loop.now - asked < 0.1
+        assert status == (200 if node == leader else 503) and world.loop.now - sent_at < 0.1
     await asyncio.sleep(10)
     world.can_reach = can_reach  # type: ignore[method-assign]
     return leader
 
 
-def lose_a_third(world: World) -> None:
-    """Let a third of the machines end, hang or fail their tasks."""
+def lose_a_third_of_machines(world: World) -> None:
+    """Make a third of the machines end, hang or fail their tasks."""
     names = sorted(world.workers)
     for name in names[::9]:
         world.workers.pop(name).terminate()
@@ -196,8 +196,8 @@
         world.workers[name].faulty = True
 
 
-def test_a_fleet_through_one_trouble_after_the_other_is_served_on() -> None:
-    """A zone cut off with its controller, refused links, a leader that stands still, a third of all lost."""
+def test_a_large_cluster_keeps_serving_through_consecutive_faults() -> None:
+    """Cut off a zone with its controller, cut peer links, suspend the leader, then lose a third of the machines."""
 
     async def script(world: World) -> None:
         zones = ["east", "north", "west"]
@@ -206,22 +206,22 @@
         await asyncio.sleep(2)
         ids: list[str] = []
 
-        async def more(count: int) -> None:
+        async def submit_more(count: int) -> None:
             for _ in range(count):
                 number = len(ids)
                 spec = job(number, pieces=25, true_s=10.0, expected_s=10.0, urgency=["high", "normal"][number % 2])
                 assert await world.submit(spec)
                 ids.append(spec["name_id"])
 
-        await more(30)
+        await submit_more(30)
         await asyncio.sleep(6)
-        await cut_zone_off(world, more)
-        leader = await refuse_peer_links(world, ids[0])
-        await more(5)
+        await cut_zone_off(world, submit_more)
+        leader = await cut_peer_links(world, ids[0])
+        await submit_more(5)
         await world.suspend(leader, 6.0)
         assert world.leader is not None and world.leader.node != leader
-        lose_a_third(world)
-        await more(10)
+        lose_a_third_of_machines(world)
+        await submit_more(10)
         await asyncio.sleep(20)
         for worker in world.workers.values():
             worker.hung = False
@@ -233,13 +233,13 @@
     day(script, machines=0, each=MACHINES)
 
 
-def test_a_report_that_says_nothing_new_costs_nothing_for_the_tasks_in_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Most of what reports list runs on as before: neither is it taken in again, nor weighed for a command."""
-    work: Counter[str] = Counter()
+def test_a_heartbeat_without_changes_causes_no_work_for_its_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check that unchanged tasks, most of a heartbeat, are neither recorded again nor considered for a command."""
+    calls: Counter[str] = Counter()
 
-    count_calls(monkeypatch, work, HeartbeatHandler, "handle")
-    count_calls(monkeypatch, work, HeartbeatReconciler, "_observe_state")
-    count_calls(monkeypatch, work, messages, "task_name")
+    count_calls(monkeypatch, calls, HeartbeatHandler, "handle")
+    count_calls(monkeypatch, calls, HeartbeatReconciler, "_observe_state")
+    count_calls(monkeypatch, calls, messages, "task_name")
 
     async def script(world: World) -> None:
         for _ in range(4):
@@ -248,27 +248,27 @@
         assert await world.submit(job(1, pieces=40, true_s=60.0, expected_s=60.0))
         await asyncio.sleep(12)
         assert len(world.rules.running) == 40
-        assert work["_observe_state"] >= 40 and work["task_name"] >= 40
-        work.clear()
+        assert calls["_observe_state"] >= 40 and calls["task_name"] >= 40
+        calls.clear()
         await asyncio.sleep(15)
         assert len(world.rules.running) == 40
-        assert work["handle"] >= 10
-        assert work["_observe_state"] == work["task_name"] == 0
+        assert calls["handle"] >= 10
+        assert calls["_observe_state"] == calls["task_name"] == 0
 
     day(script, machines=0)
 
 
-def test_an_answer_leaves_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A round of decisions takes longer than an answer, and would hold it up on a small share."""
+def test_a_response_is_sent_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guard against a scheduling round before the response: it takes longer and delays it on a small CPU share."""
     events: list[str] = []
     submit = JobService.submit
 
-    async def answered(*arguments: Any) -> Any:
+    async def submit_and_record(*arguments: Any) -> Any:
         response = await submit(*arguments)
         events.append("answer")
         return response
 
-    monkeypatch.setattr(JobService, "submit", answered)
+    monkeypatch.setattr(JobService, "submit", submit_and_record)
     observe_calls(monkeypatch, ClusterEvents, "notify_jobs_changed", partial(events.append, "durable"))
     observe_calls(monkeypatch, Scheduler, "run_round", partial(events.append, "round"))
     observe_calls(monkeypatch, Autoscaler, "run_round", partial(events.append, "round"))
--- a/tools/loopback.py
+++ b/tools/loopback.py
@@ -1,7 +1,7 @@
-"""The stand-ins of `tests/world` served on loopback, for controllers that run as real processes.
+"""Serves the simulated services of `tests/world` on loopback, for controllers that run as real processes.
 
-The state service and the cloud answer over HTTP, workers report over HTTP, and the plain model of the rules
-(`tests/world/rules.py`) watches what runs where. Everything listens on 127.0.0.1 only.
+The state service and the cloud serve HTTP, workers send heartbeats over HTTP, and the reference model
+(`tests/world/rules.py`) checks which tasks run on which machines. All servers listen on 127.0.0.1 only.
 """
 
 import asyncio
@@ -27,65 +27,65 @@
 from tests.world.workers import Worker, WorkerEnvironment
 
 HOST = "127.0.0.1"
-REPORT_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
-CALL_TIME = timedelta(seconds=4)
-PORTS = range(20_000, 30_000)
-# Connections that a stand-in serves at once.
-MOST_CONNECTIONS = 100
+HEARTBEAT_INTERVAL_S, LEASE_S, CANCEL_S = 3.0, 12.0, 30.0
+CALL_TIMEOUT = timedelta(seconds=4)
+PORT_RANGE = range(20_000, 30_000)
+# Concurrent connections that each simulated service accepts.
+MAX_SERVER_CONNECTIONS = 100
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports on which nothing listens now, for processes that are started, and started again.
+    """Return ports on which nothing listens now, for processes that are started and restarted.
 
-    They lie below those that the system gives to outgoing connections: one of these once had the port of a
-    controller that was away for a second, which then could not listen.
+    The ports are below the system's ephemeral range: an outgoing connection once took the port of a controller
+    that was stopped for a second, and the restarted controller could not listen.
     """
-    found: list[int] = []
+    ports: list[int] = []
     with ExitStack() as stack:
-        for port in random.SystemRandom().sample(PORTS, len(PORTS)):
-            one = stack.enter_context(socket.socket())
+        for port in random.SystemRandom().sample(PORT_RANGE, len(PORT_RANGE)):
+            listener = stack.enter_context(socket.socket())
             try:
-                one.bind((HOST, port))
+                listener.bind((HOST, port))
             except OSError:
                 continue
-            found.append(port)
-            if len(found) == count:
-                return found
-    raise OSError("no free ports")
+            ports.append(port)
+            if len(ports) == count:
+                return ports
+    raise OSError(f"fewer than {count} free ports in {PORT_RANGE}")
 
 
 class RealLoop(asyncio.SelectorEventLoop):
-    """A loop in real time with the one name that the stand-ins ask a simulated loop for."""
+    """A real-time event loop with the `now` property that the simulated services expect of a simulated loop."""
 
     @property
     def now(self) -> float:
-        """The time of the loop's clock in seconds."""
+        """The loop's monotonic time in seconds."""
         return self.time()
 
 
 @contextmanager
 def real_loop() -> Iterator[RealLoop]:
-    """Make a loop for one run, and end with it whatever the run has left on it."""
+    """Create an event loop for one run; cancel its remaining tasks and close it at the end."""
     loop = RealLoop()
     asyncio.set_event_loop(loop)
     try:
         yield loop
     finally:
-        rest = asyncio.all_tasks(loop)
-        for task in rest:
+        remaining_tasks = asyncio.all_tasks(loop)
+        for task in remaining_tasks:
             task.cancel()
-        if rest:
-            loop.run_until_complete(asyncio.wait(rest))
+        if remaining_tasks:
+            loop.run_until_complete(asyncio.wait(remaining_tasks))
         loop.run_until_complete(loop.shutdown_asyncgens())
         loop.close()
         asyncio.set_event_loop(None)
 
 
-class StandIns:
-    """State service, cloud and workers around the controllers whose addresses are given by node."""
+class SimulatedServices:
+    """Simulated state service, cloud and workers for the controllers in `controllers` (node to address)."""
 
     def __init__(self, loop: RealLoop, controllers: dict[str, str], machines: int) -> None:
-        """`machines` can be had of every type, zone and kind."""
+        """Provide capacity for `machines` spot and as many on-demand machines of each type and zone."""
         self._loop: Any = loop
         self._rng = random.Random(1)
         self.controllers = controllers
@@ -93,24 +93,29 @@
         self.rules = Rules(self._loop, {"red": 12.0, "blue": float("inf")}, CANCEL_S)
         self.store = SimulatedStore(self._loop, self._rng, 8, 8 * 1024)
         capacity = {
-            (kind["name"], zone, spot): machines for kind in TYPES for zone in kind["yards"] for spot in (True, False)
+            (machine_type["name"], zone, spot): machines
+            for machine_type in TYPES
+            for zone in machine_type["yards"]
+            for spot in (True, False)
         }
         self.cloud = SimulatedCloud(self._loop, self._rng, TYPES, 3.0, capacity)
-        self.cloud.on_running = self._start_worker
-        self.cloud.on_deleted = self._machine_gone
+        self.cloud.on_running = self._on_machine_running
+        self.cloud.on_deleted = self._on_machine_deleted
         nodes = list(controllers)
-        self._worker_environment = WorkerEnvironment(self._loop, self._rng, self.rules, nodes, self._report, REPORT_S)
+        self._worker_environment = WorkerEnvironment(
+            self._loop, self._rng, self.rules, nodes, self._send_heartbeat, HEARTBEAT_INTERVAL_S
+        )
         self._workers: dict[str, Worker] = {}
         self._clients: dict[tuple[str, str], HttpClient] = {}
         self.store_address = self.cloud_address = ""
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start the servers of the state service and the cloud."""
         self.store_address = f"{HOST}:{await self._serve(self.store)}"
         self.cloud_address = f"{HOST}:{await self._serve(self.cloud)}"
 
     def settings(self, node: str, peers: dict[str, str], max_connections: int) -> str:
-        """Return a controller's settings; `peers` are the addresses at which the controllers listen for one another."""
+        """Return a controller's settings file; `peers` maps each node to its address for peer connections."""
         others = "".join(
             f'[[others]]\nnode_name = "{other}"\nsite = "east"\naddress = "{address}"\n'
             for other, address in peers.items()
@@ -123,10 +128,10 @@
         return text.replace("max_connections = 500", f"max_connections = {max_connections}")
 
     def add_machines(self, count: int, boot_s: float = 0.5) -> None:
-        """Add machines of random types and zones."""
+        """Add spot machines of random types and zones."""
         for _ in range(count):
-            kind = self._rng.choice(TYPES)
-            self.cloud.add(kind["name"], self._rng.choice(kind["yards"]), True, boot_s)
+            machine_type = self._rng.choice(TYPES)
+            self.cloud.add(machine_type["name"], self._rng.choice(machine_type["yards"]), True, boot_s)
 
     async def _serve(self, service: Service) -> int:
         async def handle(request: Request) -> Response:
@@ -134,31 +139,31 @@
             self.counts[f"{request.method} {request.path.split('/')[1]}"] += 1
             if service.down:
                 return Response(503, {"error": "trouble"})
-            answer = await service.serve(request.method, path, decode_body(request.body) if request.body else None)
-            return Response(answer.status, answer.body)
+            response = await service.serve(request.method, path, decode_body(request.body) if request.body else None)
+            return Response(response.status, response.body)
 
-        return await HttpServer(handle, MOST_CONNECTIONS).start(HOST, 0)
+        return await HttpServer(handle, MAX_SERVER_CONNECTIONS).start(HOST, 0)
 
-    def _start_worker(self, machine: SimulatedMachine) -> None:
-        kind = next(kind for kind in TYPES if kind["name"] == machine.machine_type)
-        self._workers[machine.name] = Worker(self._worker_environment, machine, kind, LEASE_S)
+    def _on_machine_running(self, machine: SimulatedMachine) -> None:
+        machine_type = next(machine_type for machine_type in TYPES if machine_type["name"] == machine.machine_type)
+        self._workers[machine.name] = Worker(self._worker_environment, machine, machine_type, LEASE_S)
 
-    def _machine_gone(self, name: str) -> None:
+    def _on_machine_deleted(self, name: str) -> None:
         worker = self._workers.pop(name, None)
         self._clients = {key: client for key, client in self._clients.items() if key[0] != name}
         if worker is not None:
             worker.terminate()
 
-    async def _report(self, name: str, node: str, request: Request) -> Response:
-        return await self._report_to(name, node, self.controllers[node], request)
+    async def _send_heartbeat(self, name: str, node: str, request: Request) -> Response:
+        return await self._send_heartbeat_to(name, node, self.controllers[node], request)
 
-    async def _report_to(self, name: str, node: str, address: str, request: Request) -> Response:
-        """Send a worker's heartbeat to a controller that it reaches at that address."""
+    async def _send_heartbeat_to(self, name: str, node: str, address: str, request: Request) -> Response:
+        """Send a worker's heartbeat to the controller of `node` through `address`."""
         client = self._clients.setdefault((name, node), HttpClient(address))
         self.counts["reports"] += 1
         try:
-            answer = await client.call(request.method, request.path, cbor2.loads(request.body), timeout=CALL_TIME)
+            response = await client.call(request.method, request.path, cbor2.loads(request.body), timeout=CALL_TIMEOUT)
         except NoResponseError as error:
             self.counts["reports without an answer"] += 1
             raise ConnectionError(str(error)) from error
-        return Response(answer.status, answer.body)
+        return Response(response.status, response.body)
