--- a/src/elmthread/controller.py
+++ b/src/elmthread/controller.py
@@ -48,7 +48,7 @@
     """The external dependencies of a controller; tests replace some of them."""
 
     clock: Clock = steady_clock
-    # None: HTTP clients for the endpoints in the platform settings.
+    # If None, an HTTP client of the endpoint in the platform settings is used; the same holds for `cloud`.
     store: HttpCaller | None = None
     cloud: HttpCaller | None = None
     peer_network: type[PeerNetwork] = PeerNetwork
@@ -75,14 +75,14 @@
         self._peer_requests = PeerRequests(self.peers)
         self.reachability = self._make_reachability()
         store_rps = platform.cluster.store.strictest().rps * FOLLOWER_STORE_SHARE
-        store_requests = TokenBucket(store_rps, store_rps, self.clock)
+        store_rate_limit = TokenBucket(store_rps, store_rps, self.clock)
         self.store = KeyValueStore(
-            environment.store or HttpClient(platform.endpoints.store), store_requests, self.reachability.store
+            environment.store or HttpClient(platform.endpoints.store), store_rate_limit, self.reachability.store
         )
         self.rollout = self._make_rollout()
         self.overload_control = OverloadControl(self.clock)
         self.election = self._make_election()
-        self.leader_runner = LeaderRunner(self._make_node_services(), store_requests, self.peers)
+        self.leader_runner = LeaderRunner(self._make_node_services(), store_rate_limit, self.peers)
         self.election.add_listener(self.leader_runner)
         self._grace_period_extension = GracePeriodExtension(
             self.election, [peer.node for peer in platform.peers], self._peer_requests, self.clock
@@ -165,7 +165,7 @@
         """Step down, as other controllers may already write formats that this version can't read."""
         self.election.step_down(StepDownReason.INCOMPATIBLE_LEVEL)
 
-    # Messages from the other controllers
+    # Messages from and to the other controllers
 
     async def handle_request(self, request: ForwardedRequest) -> ForwardedResponse:
         """Return the response to a request that another controller forwarded."""
--- a/src/elmthread/leader_runner.py
+++ b/src/elmthread/leader_runner.py
@@ -18,13 +18,13 @@
 class LeaderRunner:
     """Starts and stops the leader of each of this node's terms; a `leadership.listener.LeadershipListener`."""
 
-    def __init__(self, services: NodeServices, store_requests: TokenBucket, peers: PeerConnections) -> None:
+    def __init__(self, services: NodeServices, store_rate_limit: TokenBucket, peers: PeerConnections) -> None:
         """Begin without a leader.
 
-        `store_requests` limits the rate of this node's requests to the key-value store; a leader gets a larger share.
+        `store_rate_limit` limits this node's requests to the key-value store; its rate is higher while this node leads.
         """
         self.services = services
-        self._store_requests = store_requests
+        self._store_rate_limit = store_rate_limit
         self._peers = peers
         self.leader: Leader | None = None
         self.task: asyncio.Task[None] | None = None
@@ -38,7 +38,7 @@
         self._peers.announce()
 
     def on_lost(self) -> None:
-        """Stop the leader of the current term: nothing more is done under its fencing token."""
+        """Stop the leader of the term that has ended: nothing more is done under its fencing token."""
         self._set_store_share(FOLLOWER_STORE_SHARE)
         if self.leader is not None:
             self.leader.stop()
@@ -55,7 +55,7 @@
         except asyncio.CancelledError:
             raise
         except IncompatibleLevelError:
-            # The gate has already logged the reason and made this node step down.
+            # The compatibility gate has already logged the reason and made this node step down.
             pass
         except Exception:
             # Another leader, which loads the cluster state anew, may not run into the same error.
@@ -64,7 +64,7 @@
 
     def _set_store_share(self, share: float) -> None:
         rate = self.services.platform.cluster.store.strictest().rps * share
-        self._store_requests.rate = self._store_requests.burst = rate
+        self._store_rate_limit.rate = self._store_rate_limit.burst = rate
 
     def leading_service(self) -> JobService | None:
         """Return the leader's job service if its lease certainly holds and the cluster state is loaded, else None."""
@@ -73,7 +73,7 @@
         return None
 
     async def heartbeat(self, request: Request) -> Response:
-        """Return the leader's response to a worker's heartbeat, or a redirection if another node leads."""
+        """Return the leader's response to a worker's heartbeat, or a redirection if this node has no loaded leader."""
         leader = self.leader
         if leader is None or not leader.loaded:
             election, reachability = self.services.election, self.services.reachability
--- a/tests/test_staged_rollout.py
+++ b/tests/test_staged_rollout.py
@@ -1,4 +1,4 @@
-"""A staged rollout in the simulated world: off until every controller has it, then on once for all."""
+"""Simulated staged rollouts: a feature is off until every controller supports it, then turned on once."""
 
 import asyncio
 from typing import Any
@@ -23,7 +23,7 @@
 from tests.world.world import World
 
 
-def test_a_feature_stays_off_until_the_last_node_has_it_and_turns_on_once() -> None:
+def test_a_feature_stays_off_until_the_last_node_supports_it_and_turns_on_once() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world)
         for node in NODES:
@@ -31,13 +31,13 @@
             replace(world, node, SUPPORTED, 1.0)
             await asyncio.sleep(8)
             if node != NODES[-1]:
-                # Whoever leads, and whatever it writes: the version before could read it.
+                # Whichever node leads, the previous version can read what it writes.
                 earlier_reader.read(world.store.values())
         await wait_for_level(world, SUPPORTED.highest)
         assert len(monitor.activations) == 1
         for one in world.controllers.values():
             assert one.rollout.features.is_active(Feature.DONE_BITMAPS)
-        # The version in production reads what stands before the fence, and refuses what stands after it.
+        # The version in production reads the store until the fence is written, and refuses it from then on.
         with pytest.raises(earlier_reader.UnreadableError):
             earlier_reader.read(world.store.values())
         ids += await submit_some(world, 4, 10)
@@ -51,30 +51,30 @@
     assert max(world.rules.starts.values()) == 1
 
 
-def test_the_rollout_costs_a_transaction_a_start_and_few_requests() -> None:
-    """Counted: two requests at a start, one at a load, two each ten seconds while the leader waits, then none."""
+def test_a_rollout_costs_one_transaction_per_start_and_few_requests() -> None:
+    """Count two requests per start, one per load, two every ten seconds while the leader waits, then none."""
     requests: list[str] = []
 
     async def script(world: World, monitor: RolloutMonitor) -> None:
         apply, serve = world.store.apply, world.store.serve
 
-        def noted(method: str, path: str, body: Any) -> Any:
+        def apply_and_record(method: str, path: str, body: Any) -> Any:
             if method == "GET" and "starts=rollout/" in path:
                 requests.append("read")
             elif path == "/txn" and any(one.get("put", "").startswith("rollout/") for one in body["then"]):
                 requests.append("write")
             return apply(method, path, body)
 
-        async def watched(method: str, path: str, body: Any) -> Any:
+        async def serve_and_record(method: str, path: str, body: Any) -> Any:
             if path.startswith("/watch?starts=rollout/"):
                 requests.append("watch")
             return await serve(method, path, body)
 
-        world.store.apply, world.store.serve = noted, watched  # type: ignore[method-assign]
+        world.store.apply, world.store.serve = apply_and_record, serve_and_record  # type: ignore[method-assign]
         await upgrade_all(world)
         # Three starts and the activation.
         assert requests.count("write") == 4
-        # A read a start and a load, and each time an announcement wakes the leader.
+        # One read per start, per load, and per announcement that wakes the leader.
         assert requests.count("read") <= 3 + 3 + 8 and requests.count("watch") <= 8
         requests.clear()
         await asyncio.sleep(60)
@@ -83,7 +83,7 @@
     staged_day(script)
 
 
-def test_the_level_waits_for_the_soak_time_and_a_new_announcement_starts_it_again() -> None:
+def test_the_level_waits_for_the_soak_time_and_a_new_announcement_restarts_it() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         for node in NODES:
             replace(world, node, SUPPORTED, 0.1)
@@ -91,9 +91,9 @@
         assert stored_level(world) == 1
         follower = next(node for node in NODES if world.leader and node != world.leader.node)
         replace(world, follower, SUPPORTED, 0.1)
-        again = world.loop.now
+        replaced_at = world.loop.now
         await wait_for_level(world, SUPPORTED.highest)
-        assert monitor.activations[0] - again >= 10.0
+        assert monitor.activations[0] - replaced_at >= 10.0
 
     def before(world: World) -> None:
         configure_previous_version(world)
@@ -102,8 +102,8 @@
     staged_day(script, before)
 
 
-# A node's process is replaced: by this version, by the version before, by this one with an operator's hold; or it
-# ends. `wait` is longer than the soak time, and `off` means that the level has not risen.
+# `new`, `back` and `held` replace a node's process by this version, by the previous one, or by this one with an
+# operator's hold; `end` kills it. `wait` is longer than the soak time; `off` checks that the level has not risen.
 SCENARIOS = {
     "rolled back halfway": "new 0, new 1, wait, back 0, new 2, wait, off, new 0",
     "down meanwhile, and back as before": "end 2, new 0, new 1, wait, off, back 2, wait, off, new 2",
@@ -113,8 +113,8 @@
 
 
 @pytest.mark.parametrize("steps", SCENARIOS.values(), ids=SCENARIOS)
-def test_the_level_stays_while_one_node_is_old_down_or_holds_it(steps: str) -> None:
-    async def take(world: World, kind: str, node: str) -> None:
+def test_the_level_does_not_rise_while_one_node_is_old_or_down_or_holds_it(steps: str) -> None:
+    async def apply_step(world: World, kind: str, node: str) -> None:
         hold_at = 1 if kind == "held" else None
         world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S, hold_at=hold_at)
         if kind == "end":
@@ -133,19 +133,19 @@
                 assert stored_level(world) == 1
                 assert all(one.rollout.gate.admitted for one in world.controllers.values())
             else:
-                await take(world, kind, NODES[int(number[0])])
+                await apply_step(world, kind, NODES[int(number[0])])
         await wait_for_level(world, SUPPORTED.highest)
         await wait_until_done(world, ids)
 
     staged_day(script)
 
 
-def test_a_store_left_by_the_version_without_levels_is_taken_up() -> None:
+def test_a_store_written_by_the_version_without_levels_is_upgraded() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         ids = await submit_some(world)
         await asyncio.sleep(6)
         assert not any(key.startswith("rollout/") for key in world.store.items)
-        # The rollout is switched on node by node, with the new version.
+        # The rollout is enabled node by node, together with the new version.
         world.rollout = RolloutSettings(enabled=True, soak_s=SOAK_S)
         for node in NODES:
             assert stored_level(world) == 1
@@ -160,7 +160,7 @@
     staged_day(script, before)
 
 
-def test_without_the_setting_nothing_is_announced_or_raised_and_an_active_level_is_kept_to() -> None:
+def test_without_the_setting_no_level_is_announced_or_raised_but_an_active_one_still_applies() -> None:
     async def script(world: World, monitor: RolloutMonitor) -> None:
         await asyncio.sleep(3 * SOAK_S)
         assert not any(key.startswith("rollout/") for key in world.store.items)
