--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -184,7 +184,7 @@
         if record.node == self._node:
             # The record was written by an earlier process of this node, which has ended, as a node runs one process at
             # a time, or for a term or candidacy of this process that is over.
-            log.info("revoking the lease of an earlier process of this node")
+            log.info("revoking the lease of an earlier term or candidacy of this node")
             await self._store.revoke_lease(record.lease_id)
             return
         self.observe_term(item.mod_revision, record.node)
--- a/src/elmthread/peers/connection.py
+++ b/src/elmthread/peers/connection.py
@@ -118,7 +118,7 @@
         if self._writer is None:
             raise PeerUnreachableError(self.node)
         if len(self._pending) >= self._max_pending:
-            log.info("request to %s rejected: %s requests are already pending", self.node, len(self._pending))
+            log.info("request to %s not sent: %s requests to it are already pending", self.node, len(self._pending))
             raise PeerUnreachableError(self.node)
         self._last_number += 1
         request.number = self._last_number
--- a/src/elmthread/peers/framing.py
+++ b/src/elmthread/peers/framing.py
@@ -27,7 +27,7 @@
     def add(self, sender: str, error: Exception) -> None:
         """Count and log a rejected frame."""
         self.count += 1
-        log.warning("frame from %s rejected (%s so far): %s", sender, self.count, error)
+        log.warning("frame from %s rejected (%s from all senders so far): %s", sender, self.count, error)
 
 
 def encode_frame(message: Message) -> bytes:
--- a/src/elmthread/reachability/view_exchange.py
+++ b/src/elmthread/reachability/view_exchange.py
@@ -101,4 +101,6 @@
         self.rejected_count += 1
         # Log only when the count is a power of two, to limit the number of log lines.
         if self.rejected_count & (self.rejected_count - 1) == 0:
-            log.warning("link view from %s rejected (%s so far): %s", sender, self.rejected_count, reason)
+            log.warning(
+                "link view from %s rejected (%s from all nodes so far): %s", sender, self.rejected_count, reason
+            )
--- a/src/elmthread/workers/heartbeats.py
+++ b/src/elmthread/workers/heartbeats.py
@@ -57,7 +57,9 @@
             heartbeat = messages.read_heartbeat(decode_body(request.body))
         except (MalformedBodyError, msgspec.ValidationError) as error:
             self._rejected_count += 1
-            log.info("malformed heartbeat rejected (%s heartbeats so far): %s", self._rejected_count, error)
+            log.info(
+                "malformed heartbeat rejected (%s malformed or outdated ones so far): %s", self._rejected_count, error
+            )
             return Response(400, {"error": "malformed report"})
         if heartbeat.fencing_token > self._term.fencing_token:
             self._term.observe_token(heartbeat.fencing_token)
--- a/src/elmthread/workers/responsiveness.py
+++ b/src/elmthread/workers/responsiveness.py
@@ -40,7 +40,7 @@
         if heartbeat.incarnation != machine.last_heartbeat_id.incarnation:
             if machine.last_heartbeat_at is not None:
                 log.info(
-                    "machine %s has let its worker lease expire; it gets no new tasks until it receives responses",
+                    "machine %s restarted or let its lease expire; it gets no new tasks until it receives responses",
                     machine.name,
                 )
                 machine.responses_lost_since = machine.responses_lost_since or now
