--- a/tests/trace/days.py
+++ b/tests/trace/days.py
@@ -24,7 +24,7 @@
 
 
 async def outage(world: World, rng: random.Random) -> None:
-    """Lose responses, delay and duplicate requests, take the store down, and lower its limit."""
+    """Lose responses, delay and duplicate requests, take the store down, and lower its limit of writes per second."""
     users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(15)
     for ports in world.ports.values():
@@ -74,7 +74,7 @@
 
 
 async def kills(world: World, rng: random.Random) -> None:
-    """Kill and restart the leader, suspend a follower, kill and restart all."""
+    """Kill and restart the leader twice, suspend the leader, kill and restart all nodes."""
     users = asyncio.ensure_future(run_users(world, rng, 40))
     for _ in range(2):
         await asyncio.sleep(18)
@@ -95,7 +95,7 @@
 
 
 async def levels(world: World, rng: random.Random) -> None:
-    """Upgrade nodes of the previous version one by one, wait for the new level, and cut links with it active."""
+    """Upgrade the nodes from the previous version one by one; once the new level is active, cut links."""
     users = asyncio.ensure_future(run_users(world, rng, 40))
     await asyncio.sleep(12)
     for node in world.nodes:
@@ -125,7 +125,6 @@
 
 def play_day(name: str, seed: int) -> list[str]:
     """Run a day and return its lines. Raises AssertionError if a rule is violated."""
-    # Imported here, since it imports the test tools.
     from tests.world.day import day
 
     script, prepare = DAYS[name]
