--- a/tests/world/balancer.py
+++ b/tests/world/balancer.py
@@ -9,9 +9,10 @@
 
 
 class Balancer:
-    """Takes a node out after two failed probes in a row or three of six; two successful ones add it back.
+    """Excludes a node after two failed probes in a row, or three of the last six.
 
-    A node stays out for its pause at least, which doubles each time up to a minute.
+    The exclusion lasts 3 s at first, and twice as long each further time, up to a minute. After that, two successful
+    probes in a row add the node back. A node that was never healthy is added after one.
     """
 
     def __init__(self, world: World) -> None:
@@ -52,7 +53,7 @@
             self.healthy.add(node)
 
     async def ask(self, method: str, path: str, body: object = None) -> Response | None:
-        """Send a request to one of up to three healthy nodes; return None if none accepts the connection."""
+        """Send a request to a running one of the three healthy nodes with the fewest connections; None if none runs."""
         for node in sorted(self.healthy, key=lambda node: self.open_connections[node])[:3]:
             if node not in self.world.controllers:
                 continue
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -13,14 +13,14 @@
 
 
 async def all_end(scenario: Scenario) -> None:
-    """Kill all controllers; each restarts after more than a lease, or the first of them within seconds."""
+    """Kill all controllers; each restarts after its own delay, from 0.2 s to longer than a worker's lease."""
     rng = scenario.world.rng
     for number, node in enumerate(list(scenario.world.controllers)):
         scenario.kill(node, rng.choice([0.2, 9.0, 16.0]) + number)
 
 
 async def leaders_change(scenario: Scenario) -> None:
-    """Change the leader ten times in two minutes, by step-downs and kills, also during a store outage."""
+    """Make the leader, if there is one, step down or crash, ten times within two minutes, also in a store outage."""
     world = scenario.world
     for turn in range(10):
         if turn == 4:
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -1,7 +1,7 @@
-"""Simulated days on which single links are cut while controllers exchange views of their links.
+"""Simulated days on which single links are cut while controllers tell one another which links they can confirm.
 
-Checked against the protocol's rules and the recorded history (`tests/world/history.py`): nothing is done
-without a valid lease, each job reaches a single final state, and leadership settles.
+Checked against the protocol's rules and the recorded history (`tests/world/history.py`): no action that needs
+a lease is taken without a valid one, each job reaches a single final state, and leadership settles.
 """
 
 import asyncio
@@ -19,7 +19,8 @@
 from tests.world.world import World
 
 Script = Callable[[World, History], Awaitable[None]]
-# Time in which workers find a new leader: one heartbeat timeout, one attempt per node, two heartbeat intervals.
+# Time in which workers find a new leader: a heartbeat timeout of 4 s, 1 s per node that they try, and two of the
+# longest heartbeat intervals.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
 PREVIOUS_LEVELS = SupportedLevels(1, 2)
 
@@ -42,9 +43,9 @@
 
 
 def cut_day(script: Script, seed: int = 1, levels: SupportedLevels = SUPPORTED) -> History:
-    """Run a day on which controllers exchange link views before anything is cut; all jobs must finish.
+    """Run a day whose script begins once the highest of `levels` is active; all jobs must finish.
 
-    With other `levels`, all nodes begin as a previous version.
+    By default, controllers then exchange views of their links. Lower `levels` simulate an earlier version.
     """
     histories: list[History] = []
 
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -54,7 +54,7 @@
 
 
 def is_due_refusal(world: World, error: str) -> bool:
-    """Return whether the error is a process's refusal to take part, and the level in the store required it."""
+    """Return whether the error is a refusal to take part that the level in the store requires."""
     refusal = REFUSAL.match(error)
     if refusal is None:
         return False
--- a/tests/world/earlier_reader.py
+++ b/tests/world/earlier_reader.py
@@ -2,8 +2,8 @@
 
 Written from that version's record types, and checked against samples that it wrote itself
 (`tests/samples/production.json`). It rejects a value of a wrong type, a missing field, an unknown field and
-an unknown form of job: until every node runs the new version, that version must write nothing that the
-earlier one would read incompletely or with another meaning.
+an unknown form of job: until every node runs the new version, nodes of the new version must write nothing
+that the earlier one would read incompletely or with another meaning.
 """
 
 import json
@@ -79,7 +79,7 @@
     jobs: dict[str, dict[str, Any]] = field(default_factory=dict)
     done: dict[str, set[int]] = field(default_factory=dict)
     machines: dict[str, dict[str, Any]] = field(default_factory=dict)
-    # (machine, job/task) for each assignment of a job that is not done.
+    # (machine, job/task) for each assignment, except for jobs and tasks that are done.
     holds: set[tuple[str, str]] = field(default_factory=set)
     types: list[dict[str, Any]] = field(default_factory=list)
 
@@ -104,7 +104,7 @@
 
 
 def newest(store: dict[str, Any]) -> dict[str, Any]:
-    """Return the newest version of each record: that of the page with the highest number that has one."""
+    """Return each record as in the page with the highest number that contains it; null there means deleted."""
     found: dict[str, tuple[int, Any]] = {}
     for key, value in store.items():
         if not key.startswith("s/"):
@@ -122,7 +122,7 @@
     records = newest(store)
     for key, record in records.items():
         if key.startswith("j/"):
-            view.jobs[key[2:]] = _job(key, record)
+            view.jobs[key[2:]] = _read_job(key, record)
     for key, record in records.items():
         if key.startswith("d/"):
             _read_done(view, key, record)
@@ -135,7 +135,7 @@
     return view
 
 
-def _job(key: str, record: Any) -> dict[str, Any]:
+def _read_job(key: str, record: Any) -> dict[str, Any]:
     fields(key, record, JOB, {"state", "tasks"})
     if record["state"] not in ("open", "done", "cancelled"):
         raise UnreadableError(f"{key}: {record['state']}")
--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -23,14 +23,14 @@
 
 
 async def announce_late(world: World) -> None:
-    """Replace a new process with an old one at once, so that the new one's announcement arrives last."""
+    """Replace a process of this version with one of the previous version so soon that its announcement arrives last."""
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.1)
     await asyncio.sleep(6)
     for turn in range(6):
         replace(world, NODES[2], SUPPORTED, 0.05)
         await asyncio.sleep(0.052 + 0.004 * turn)
-        # Requests that it has sent by now are delivered within six seconds.
+        # Requests that it sends in these 20 ms are applied up to 20 s after their timeout or 6 s after its end.
         if NODES[2] in world.controllers:
             world.ports[NODES[2]].store.faults.late_share = 1.0
             await asyncio.sleep(0.02)
@@ -67,7 +67,7 @@
 
 
 def activate_by_majority(view: RolloutView, members: frozenset[str], supported: Any) -> Activate | Wait:
-    """Activate the level as soon as a majority of the nodes supports it."""
+    """Activate level 2 as soon as a majority of the nodes supports it."""
     supporting = {
         node for node, one in view.announcements.items() if getattr(one, "levels", PREVIOUS_LEVELS).highest >= 2
     }
@@ -78,13 +78,13 @@
 
 
 class MessagesWithoutComparisons:
-    """The store's messages, without the comparisons of some keys."""
+    """Replaces the module of store messages; omits comparisons of keys that contain `omitted`."""
 
     def __init__(self, omitted: str) -> None:
         self._omitted, self.put = omitted, store.put
 
     def compare(self, key: str, mod_revision: int) -> store.Comparison:
-        """Return the comparison, or for a key that is left out one with a key that never exists."""
+        """Return the comparison, or for an omitted key one that always succeeds: that no key `never` exists."""
         return store.compare("never", 0) if self._omitted in key else store.compare(key, mod_revision)
 
 
@@ -103,7 +103,7 @@
     return body
 
 
-def announce_before(world: World, node: str) -> dict[str, Any]:
+def previous_version_announcement(world: World, node: str) -> dict[str, Any]:
     """Return the transaction with which a process of the previous version announces itself."""
     key = f"rollout/nodes/{node}"
     record = world.store.items[key][0] | {"lowest": 1, "highest": 1, "process": "rolled back"}
@@ -129,7 +129,7 @@
 
 async def roll_back_as_the_level_rises(world: World) -> None:
     def announce_rollback() -> None:
-        answer = world.store._transact(announce_before(world, NODES[2]))
+        answer = world.store._transact(previous_version_announcement(world, NODES[2]))
         assert answer.status == 200
 
     call_before_put(world, "rollout/level", announce_rollback)
--- a/tests/world/history.py
+++ b/tests/world/history.py
@@ -1,7 +1,7 @@
 """Records what controllers do and checks it against their leases.
 
-The checker does not depend on the code's decisions. From each node's own requests it derives until when the state
-service must have kept the lease, and checks every start, rental, deletion and response against that.
+The checker does not depend on the code's decisions. From each node's own requests it derives until when its lease
+is certain to be valid, and checks every start, rental, deletion and response against that.
 """
 
 from datetime import timedelta
@@ -21,7 +21,7 @@
 
 
 class RecordingPort(SimulatedClient):
-    """A node's client for a service that records leases and checks requests to the cloud."""
+    """A node's client for a service; records the node's leases, and checks requests that need a valid lease."""
 
     def __init__(self, port: SimulatedClient, node: str, history: "History") -> None:
         super().__init__(port._service, port.faults)
@@ -30,7 +30,7 @@
     async def call(
         self, method: str, path: str, body: Any = None, *, timeout: timedelta, precondition: Precondition | None = None
     ) -> ClientResponse:
-        """Call the service; check a request that needs a valid lease at the moment it is sent."""
+        """Call the service; check the lease as a request with a precondition is sent."""
         sent = self._service.loop.now
         checked = precondition
 
--- a/tests/world/links.py
+++ b/tests/world/links.py
@@ -51,7 +51,7 @@
 
 
 def check_schedule(schedule: Any) -> list[Fault]:
-    """Return the faults of a schedule. Raises BadScheduleError."""
+    """Return the faults of a schedule. Raises InvalidScheduleError."""
     error = jsonschema.exceptions.best_match(jsonschema.Draft202012Validator(SCHEMA).iter_errors(schedule))
     if error is not None:
         field = ".".join(map(str, error.absolute_path)) or "the schedule"
@@ -66,7 +66,7 @@
 
 
 def read_schedule(path: Path) -> list[Fault]:
-    """Return the faults in a file. Raises BadScheduleError, naming the file and the field."""
+    """Return the faults in a file. Raises InvalidScheduleError, naming the file and the field."""
     try:
         return check_schedule(tomllib.loads(path.read_text()))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError, InvalidScheduleError) as error:
@@ -85,13 +85,13 @@
     return found
 
 
-def draw_schedule(seed: int, ends: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
+def draw_schedule(seed: int, links: Iterable[tuple[str, str]], count: int, length: float) -> list[Fault]:
     """Draw random faults of these links that all end within `length` seconds."""
     rng = random.Random(seed)
-    links = sorted(ends)
+    sorted_links = sorted(links)
     faults: list[Fault] = []
     for _ in range(count):
-        source, target = rng.choice(links)
+        source, target = rng.choice(sorted_links)
         at = round(rng.uniform(0.0, length / 2), 2)
         fault: Fault = {"at_s": at, "for_s": round(rng.uniform(1.0, length - at), 2), "from": source, "to": target}
         fault |= {
@@ -110,7 +110,7 @@
 
     def __init__(self) -> None:
         self._active: list[tuple[str, str, str, float]] = []
-        # Whether there ever was a fault; until then, tests set the faults of store clients themselves.
+        # Whether a fault ever began. Until then, the faults of store clients stay as tests have set them.
         self.used = False
 
     def begin(self, source: str, target: str, fault: Fault) -> list[tuple[str, str, str, float]]:
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -28,6 +28,7 @@
 
 
 async def machines_deaf(scenario: Scenario) -> None:
+    """Lose all responses to some workers, whose heartbeats still arrive."""
     add_temporarily(
         scenario,
         scenario.world.workers_without_responses,
@@ -48,6 +49,7 @@
 
 
 async def machines_reborn(scenario: Scenario) -> None:
+    """Restart some machines at once, with the same incarnation number or the next."""
     for name in scenario.sample_workers(0.3):
         worker = scenario.world.workers[name]
         worker.restart(worker.incarnation + scenario.world.rng.randint(0, 1))
@@ -82,7 +84,7 @@
 
 
 async def kept_for_the_next(scenario: Scenario) -> None:
-    """Deliver old and delayed heartbeats to every controller as a new leader begins."""
+    """Deliver copies of earlier heartbeats, and heartbeats held back, to every controller as a new leader begins."""
     world = scenario.world
     captured: list[Request] = []
     world.captured_requests = captured
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -65,7 +65,7 @@
 
 
 async def check_continuously(world: World) -> None:
-    """Check continuously that no cancelled task runs, and that no job waits while a machine has room."""
+    """Check continuously that no task runs too long after its cancellation or waits too long while there is room."""
     while True:
         await asyncio.sleep(0.25)
         world.rules.check_cancelled()
--- a/tests/world/network_faults.py
+++ b/tests/world/network_faults.py
@@ -9,12 +9,13 @@
 
     def __init__(self) -> None:
         """Begin without faults."""
-        # Faults of single links, by schedule.
+        # Faults of single links, set while a fault schedule plays.
         self.link_faults = LinkFaults()
-        # Nodes without any connection, and cut links, as pairs of a worker and a node.
+        # Nodes cut off from other nodes, workers and users, and cut links, as pairs of a worker and a node.
+        # Neither these nor `isolated_nodes` affect the state service: its links have their own `ServiceFaults`.
         self.cut_nodes: set[str] = set()
         self.cut_worker_links: set[tuple[str, str]] = set()
-        # Nodes that reach neither the store nor other nodes, only workers and users.
+        # Nodes cut off from other nodes only.
         self.isolated_nodes: set[str] = set()
         # Workers that receive no responses though their heartbeats arrive; nodes whose responses reach no worker.
         self.workers_without_responses: set[str] = set()
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -32,11 +32,12 @@
     """The nodes and the services that they use."""
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
-        """Take the capacity `each` of every machine type, zone and kind, and the setting `cancel_s` as `cancel`."""
+        """Create nodes and services; `each` is the cloud's capacity by type, zone and kind; `cancel` is `cancel_s`."""
         super().__init__()
         self.cancel = cancel
-        # The settings' `facts.state.next`, and nodes that run a version without this setting: this version with
-        # other settings, or an actual earlier one (`tests/both.py`).
+        # The setting `facts.state.next`; None leaves it out.
+        # Nodes that run an earlier version: the actual one in `earlier` (`tests/both.py`), or if that is None, this
+        # version without the setting `facts.state.next`.
         self.limits: dict[str, float] | None = None
         self.earlier_nodes: set[str] = set()
         self.earlier: EarlierVersion | None = None
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -20,12 +20,12 @@
     await cancel_now(scenario)
     await asyncio.sleep(world.rng.uniform(2, 30))
     world.isolated_nodes.discard(leader)
-    now = world.ports[leader].store.faults
-    now.refused = now.cut = False
+    store_faults = world.ports[leader].store.faults
+    store_faults.refused = store_faults.cut = False
 
 
 async def zone_cut(scenario: Scenario) -> None:
-    """Cut off a zone with its workers and a controller, which keeps running, for longer than a lease."""
+    """Cut off a zone with its workers and a controller, which keeps running, for longer than a worker's lease."""
     world = scenario.world
     zone, node = world.rng.choice(ZONES), world.rng.choice(world.nodes)
     inside = {name for name, worker in world.workers.items() if worker.zone == zone}
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -80,7 +80,7 @@
 
 
 async def _change_versions(world: World, rng: random.Random, ids: list[str]) -> None:
-    """Move random nodes to either version while faults occur."""
+    """Move random nodes to this version or back to the earlier one while faults occur."""
     for _ in range(12):
         kind, node = rng.choice(["new", "new", "earlier", *rng.sample(FAULT_NAMES, 2)]), rng.choice(NODES)
         if kind in ("new", "earlier"):
@@ -94,7 +94,10 @@
 
 
 async def _roll_back(world: World, reads_level: bool) -> None:
-    """Roll all nodes back after the activation: the earlier version leads if, and only if, it reads the level."""
+    """Roll all nodes back to the earlier version, then upgrade them again.
+
+    While all run the earlier version, they must have a leader if it reads the active level, and none otherwise.
+    """
     world.earlier_nodes.update(NODES)
     for node in NODES:
         replace(world, node, SUPPORTED, 0.5)
--- a/tests/world/random_troubles.py
+++ b/tests/world/random_troubles.py
@@ -65,7 +65,7 @@
         world.loop.call_later(world.rng.uniform(2, 40), setattr, worker, "hung", False)
 
 
-async def _die(world: World, ids: list[str]) -> None:
+async def _fail_machine(world: World, ids: list[str]) -> None:
     if world.workers:
         name = world.rng.choice(list(world.workers))
         world.workers.pop(name).terminate()
@@ -135,7 +135,7 @@
     "refused": partial(_store_fault, "refused", True),
     "cut": partial(_store_fault, "cut", True),
     "hang": _hang,
-    "die": _die,
+    "die": _fail_machine,
     "lossy": partial(_store_fault, "lost_response_share", 0.3),
     "late": partial(_store_fault, "late_share", 0.3),
     "cancel": _cancel,
@@ -153,10 +153,10 @@
 FAULT_NAMES = list(INJECTORS)
 
 
-def set_isolated(world: World, node: str, apart: bool) -> None:
+def set_isolated(world: World, node: str, isolated: bool) -> None:
     """Cut a node off from the store and the other controllers, or connect it again."""
-    (world.isolated_nodes.add if apart else world.isolated_nodes.discard)(node)
-    world.ports[node].store.faults.cut = apart
+    (world.isolated_nodes.add if isolated else world.isolated_nodes.discard)(node)
+    world.ports[node].store.faults.cut = isolated
 
 
 def restore(world: World) -> None:
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -1,8 +1,8 @@
 """Staged rollouts in the simulated world: nodes of several versions, and a monitor that checks invariants.
 
 A node with levels 1 to 1 simulates the previous version: it announces these levels and reads no record form
-of a higher one. The monitor sees each transaction that the state service applies, at once, late or twice,
-and each state that a leader has loaded; it does not depend on the code's decisions.
+of a higher one. The monitor sees each transaction that the state service applies, also late or a second
+time, and each state that a leader has loaded; it does not depend on the code's decisions.
 """
 
 import asyncio
@@ -25,6 +25,7 @@
 
 PREVIOUS_LEVELS = SupportedLevels(1, 1)
 SOAK_S = 4.0
+# A record that keeps versions without levels from leading with record forms that they would misread.
 FENCE = "t/compatibility"
 
 
@@ -127,7 +128,7 @@
             return answer
         for change in body.get("then", []):
             if change.get("put", "").startswith("rollout/nodes/") and change["value"]["highest"] < before:
-                self._report_violation(f"{change['put']}: admitted below the active level {before}")
+                self._report_violation(f"{change['put']}: announced below the active level {before}")
             if change.get("put") == "rollout/level":
                 self._level_written(before, change["value"]["level"])
             if change.get("put", "").startswith("s/"):
@@ -166,10 +167,10 @@
             marked = {task for task in range(job.task_count) if job.is_done(task)}
             if marked != {task for task in stored.get(job_id, set()) if task < job.task_count}:
                 self._report_violation(
-                    f"{job_id} is misread: {sorted(marked)[:9]} of {sorted(stored.get(job_id, set()))[:9]}"
+                    f"{job_id} is misread as {sorted(marked)[:9]}: stored {sorted(stored.get(job_id, set()))[:9]}"
                 )
             if not {f"{job_id}/{task}" for task in marked} <= finished:
-                self._report_violation(f"{job_id} has tasks marked as done that have not ended")
+                self._report_violation(f"{job_id} has tasks marked as done that have not finished")
         machines, jobs = loader._cluster.machines.values(), loader._cluster.jobs
         held = {
             (one.name, allocation.job.id, allocation.task, allocation.attempt)
--- a/tests/world/rules.py
+++ b/tests/world/rules.py
@@ -51,7 +51,7 @@
         self.first_start.setdefault(job, self.loop.now)
         if job in self.cancelled_at:
             self.late_starts.append(
-                f"{self.loop.now:.2f} {task} on {machine}, reported at {self.cancelled_at[job]:.2f}"
+                f"{self.loop.now:.2f} {task} on {machine}, job reported as cancelled at {self.cancelled_at[job]:.2f}"
             )
         if self.machines_of.get(task):
             self._report_violation("ran_twice", f"{task} on {machine}")
@@ -102,7 +102,7 @@
     def observe_response(self, job: str, status: int, state: str | None, asked: float | None = None) -> None:
         """Check the response to a request about a job that was sent at `asked`, by any user to any node.
 
-        A response may be as old as its request, but must not contradict what was reported before that.
+        It may show the state as of that time, but must not contradict what was reported before.
         """
         asked = self.loop.now if asked is None else asked
         previous = next((reported for at, reported in reversed(self.history.get(job, [])) if at <= asked), None)
--- a/tests/world/simulated_cloud.py
+++ b/tests/world/simulated_cloud.py
@@ -24,7 +24,7 @@
 
 @dataclass
 class SimulatedCloud(Service):
-    """Provides machines of given types; its list of machines lags behind."""
+    """Provides machines of given types; a new machine appears in its list after `list_lag_s` seconds."""
 
     loop: SimLoop
     rng: random.Random
--- a/tests/world/stage.py
+++ b/tests/world/stage.py
@@ -45,7 +45,7 @@
         return None
 
     async def submit_initial_jobs(self) -> None:
-        """Submit the initial jobs: teams at their limit, zone rules, arrays, tasks that end far apart."""
+        """Submit the initial jobs: a team at its limit, zone rules, checkpoints, tasks that end far apart."""
         await self.submit(crew="red", pieces=14, true_s=25.0, expected_s=25.0)
         await self.submit(crew="red", urgency="high", pieces=4, cpus=2.0, true_s=12.0, expected_s=12.0)
         for _ in range(3):
--- a/tests/world/staged_days.py
+++ b/tests/world/staged_days.py
@@ -14,7 +14,7 @@
 
 
 def staged_day(script: Script, before: Callable[[World], None] = configure_previous_version, **more: Any) -> World:
-    """Run a day that begins with the previous version; the monitor must see no violation."""
+    """Run a day that begins with the previous version; the monitor must see no violation and at most one activation."""
 
     async def watched(world: World) -> None:
         with monitored(world) as monitor:
@@ -26,7 +26,10 @@
 
 
 async def submit_some(world: World, count: int = 4, first: int = 0) -> list[str]:
-    """Submit jobs of a single task up to several chunks of done marks; return the ids of those accepted."""
+    """Submit jobs of 1 to 300 tasks; return the ids of those accepted.
+
+    With `NEXT_LIMITS`, uncompressed done marks of 300 tasks take two chunks.
+    """
     ids = []
     for number in range(first, first + count):
         pieces = [1, 40, 300, 7][number % 4]
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -23,7 +23,7 @@
 
 
 async def upgrade(world: World, order: list[str], pause: float, inject_next: Any = None) -> None:
-    """Kill one node at a time and restart it as the new version; killed before its turn, it restarts as the old."""
+    """Kill one node at a time and restart it as this version; until its turn, a node restarts as the earlier one."""
     for node in order:
         if inject_next is not None:
             await inject_next()
@@ -35,7 +35,7 @@
 
 
 def upgraded_day(seed: int, earlier: EarlierVersion) -> None:
-    """Run a rollout from an actual earlier version, drawn from the seed alone."""
+    """Run an upgrade from an actual earlier version; its order and faults are drawn from the seed alone."""
     rng = random.Random(seed)
     faults = [(rng.choice(FAULT_NAMES), rng.uniform(0.5, 12.0)) for _ in range(8)]
 
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -8,7 +8,7 @@
 
 
 async def cancel_now(scenario: Scenario) -> None:
-    """Cancel some running jobs within 0.2 s, preferably those of the team at its limit."""
+    """Cancel up to three unfinished jobs within 0.2 s, preferably running ones of the team at its limit."""
     running_jobs = {task.rpartition("/")[0] for _, task in scenario.world.rules.running}
     jobs = scenario.unfinished()
     scenario.world.rng.shuffle(jobs)
@@ -22,7 +22,7 @@
 
 
 async def cancel_and_hang(scenario: Scenario) -> None:
-    """Cancel jobs while machines of the team at its limit hang or are unreachable."""
+    """Cancel jobs, then hang or cut off the machines that run tasks of the team at its limit."""
     world = scenario.world
     specs = world.rules.specs
     team_machines = {name for name, task in world.rules.running if specs[task.rpartition("/")[0]]["crew"] == "red"}
--- a/tests/world/version_before.py
+++ b/tests/world/version_before.py
@@ -1,4 +1,4 @@
-"""A controller of the previous version: it announces only the first level, and reads no record form of another.
+"""A controller of the previous version: it announces only the first level, and reads no record form of a higher one.
 
     python -m tests.world.version_before --config FILE [--operators FILE]
 
--- a/tests/world/versions.py
+++ b/tests/world/versions.py
@@ -72,11 +72,11 @@
     package = "elmthread"
 
     def module(self, name: str) -> ModuleType:
-        """Return the module that has that name in this version."""
+        """Return a module of this version."""
         return importlib.import_module(f"{self.package}.{name}")
 
     def lookup(self, module: str, name: str) -> Any:
-        """Return what has that name in that module of this version."""
+        """Return the member `name` of a module of this version."""
         return getattr(self.module(module), name)
 
     def controller(
@@ -118,13 +118,13 @@
     """An earlier version, imported under a package name of its own."""
 
     def __init__(self, package: str) -> None:
-        """Add the present names to the package's classes."""
+        """Let the package's classes resolve the present names."""
         self.package = package
         for (module, name), names in ATTRIBUTES.items():
             _add_names(self.lookup(module, name), names)
 
     def module(self, name: str) -> ModuleType:
-        """Return the module that has that name at present."""
+        """Return the earlier version's module, given its present name."""
         return self._modules(name)[0]
 
     def _modules(self, name: str) -> list[ModuleType]:
@@ -140,7 +140,7 @@
         return found
 
     def lookup(self, module: str, name: str) -> Any:
-        """Return what has that name in that module at present."""
+        """Return a member of an earlier module, given the present names of both."""
         for one in self._modules(module):
             for known in (name, *CLASSES.get((module, name), ())):
                 if hasattr(one, known):
@@ -162,7 +162,7 @@
         peers: type[PeerNetwork],
         levels: NodeLevels,
     ) -> Controller:
-        """Make a controller that supports what the earlier version does; one without levels gets none."""
+        """Make a controller of the earlier version, with its own levels, and rollout settings if it knows them."""
         file = self.lookup("settings.operators", "OperatorsFile")
         operators_file = file()
         if "rollout" in operators_file.__struct_fields__:
@@ -230,7 +230,10 @@
 
 
 def _add_names(owner: type, names: dict[str, tuple[str, ...]]) -> None:
-    """Let instances resolve present names; `__getattr__` is called only for attributes that the class lacks."""
+    """Let instances of `owner` resolve each present attribute name to the earlier name that they have.
+
+    Python calls `__getattr__` only for attributes that are missing otherwise.
+    """
 
     def find(instance: Any, present: str) -> Any:
         for earlier in names.get(present, ()):
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -45,7 +45,7 @@
     def __init__(
         self, surroundings: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
-        """Start sending heartbeats; the lease is measured by the worker's own clock."""
+        """Start sending heartbeats; the caller scales `lease_s` by the drift of the worker's clock."""
         self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
         self.nodes, self.send = surroundings.nodes, surroundings.send
         self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
@@ -68,8 +68,8 @@
 
     def terminate(self) -> None:
         self.alive = False
-        for job in self.background_tasks:
-            job.cancel()
+        for task in self.background_tasks:
+            task.cancel()
         self._drop_tasks()
 
     def restart(self, incarnation: int) -> None:
--- a/tests/world/world.py
+++ b/tests/world/world.py
@@ -132,7 +132,7 @@
         return response, state
 
     async def submit_once(self, spec: dict[str, Any]) -> Response:
-        """Submit a job once, or repeat its submission."""
+        """Send one submission of a job, new or repeated, without retrying it."""
         response, _ = await self.request_about_job(spec["name_id"], "POST", "/submissions", submission_body(spec))
         return response
 
