--- a/tests/world/faulty_rollouts.py
+++ b/tests/world/faulty_rollouts.py
@@ -23,7 +23,10 @@
 
 
 async def announce_late(world: World) -> None:
-    """Replace a process of this version with one of the previous version so soon that its announcement arrives last."""
+    """Kill a process so soon after its start that its announcement arrives after that of its successor.
+
+    The process runs this version, and the successor the previous one.
+    """
     for node in NODES[:2]:
         replace(world, node, SUPPORTED, 0.1)
     await asyncio.sleep(6)
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -32,7 +32,11 @@
     """The nodes and the services that they use."""
 
     def __init__(self, seed: int = 1, controllers: int = 3, each: int = 3, cancel: float = 30.0) -> None:
-        """Create nodes and services; `each` is the cloud's capacity by type, zone and kind; `cancel` is `cancel_s`."""
+        """Create nodes and services.
+
+        `each` is the cloud's capacity by machine type, zone and kind (on-demand or spot); `cancel` is the setting
+        `cancel_s`.
+        """
         super().__init__()
         self.cancel = cancel
         # The setting `facts.state.next`; None leaves it out.
