--- a/tests/world/earlier_reader.py
+++ b/tests/world/earlier_reader.py
@@ -84,7 +84,7 @@
     types: list[dict[str, Any]] = field(default_factory=list)
 
 
-def fields(what: str, value: Any, known: dict[str, Any], needed: set[str]) -> dict[str, Any]:
+def check_fields(what: str, value: Any, known: dict[str, Any], needed: set[str]) -> dict[str, Any]:
     if not isinstance(value, dict) or not needed <= value.keys():
         raise UnreadableError(f"{what}: {value!r}")
     for name, found in value.items():
@@ -100,7 +100,7 @@
 def frame(text: str) -> dict[str, Any]:
     value: dict[str, Any] = json.loads(text)
     kind = value.pop("kind")
-    return fields(kind, value, FRAMES[kind], {"token"} if kind == "lead" else {"number"})
+    return check_fields(kind, value, FRAMES[kind], {"token"} if kind == "lead" else {"number"})
 
 
 def newest(store: dict[str, Any]) -> dict[str, Any]:
@@ -109,7 +109,7 @@
     for key, value in store.items():
         if not key.startswith("s/"):
             continue
-        page = fields(key, value, {"number": int, "text": str}, {"number", "text"})
+        page = check_fields(key, value, {"number": int, "text": str}, {"number", "text"})
         for name, record in json.loads(page["text"]).items():
             if name not in found or found[name][0] < page["number"]:
                 found[name] = (page["number"], record)
@@ -129,18 +129,18 @@
         elif key.startswith("m/"):
             _read_machine(view, key, record)
         elif key.startswith("r/"):
-            fields(key, record, RENTAL, {"build", "zone", "spot"})
+            check_fields(key, record, RENTAL, {"build", "zone", "spot"})
         elif key.startswith("t/"):
-            view.types = [fields(key, one, TYPE, set(TYPE)) for one in record]
+            view.types = [check_fields(key, one, TYPE, set(TYPE)) for one in record]
     return view
 
 
 def _read_job(key: str, record: Any) -> dict[str, Any]:
-    fields(key, record, JOB, {"state", "tasks"})
+    check_fields(key, record, JOB, {"state", "tasks"})
     if record["state"] not in ("open", "done", "cancelled"):
         raise UnreadableError(f"{key}: {record['state']}")
     if record["state"] != "done":
-        spec = fields(key, record["spec"], SPEC, SPEC.keys() - SPEC_OPTIONAL)
+        spec = check_fields(key, record["spec"], SPEC, SPEC.keys() - SPEC_OPTIONAL)
         if spec["form"] != "batch":
             raise UnreadableError(f"{key}: form {spec['form']}")
     job: dict[str, Any] = record
@@ -151,14 +151,14 @@
     _, job_id, chunk = key.split("/")
     job = view.jobs.get(job_id)
     if job is not None and job["state"] == "open":
-        bits = int.from_bytes(bytes.fromhex(fields(key, record, {"marks": str}, {"marks"})["marks"]), "little")
+        bits = int.from_bytes(bytes.fromhex(check_fields(key, record, {"marks": str}, {"marks"})["marks"]), "little")
         low = int(chunk) * job["chunk"]
         marked = {low + n for n in range(bits.bit_length()) if bits >> n & 1}
         view.done.setdefault(job_id, set()).update(n for n in marked if n < job["tasks"])
 
 
 def _read_machine(view: View, key: str, record: Any) -> None:
-    machine = fields(key, record, MACHINE, {"build", "zone", "spot"})
+    machine = check_fields(key, record, MACHINE, {"build", "zone", "spot"})
     view.machines[key[2:]] = machine
     for job_id, numbers in machine.get("holds", {}).items():
         if len(numbers) % 2 or not all(isinstance(number, int) for number in numbers):
--- a/tests/world/nodes.py
+++ b/tests/world/nodes.py
@@ -103,7 +103,7 @@
             NodeLevels(self.rollout, self.levels.get(node, SUPPORTED)),
         )
         self.controllers[node] = controller
-        self._apply_to_store(node)
+        self._update_store_faults(node)
         for callback in self.on_start:
             callback(node, controller)
         self.tasks[node] = self.loop.create_task(self._run(controller), context=context)
@@ -117,13 +117,15 @@
         def leader() -> str:
             return next((node for node, one in self.controllers.items() if one is self.leader), self.nodes[0])
 
-        await SchedulePlayer(self.link_faults, self.nodes, leader, lambda *_: self._apply_to_stores()).play(faults)
+        await SchedulePlayer(self.link_faults, self.nodes, leader, lambda *_: self._update_all_store_faults()).play(
+            faults
+        )
 
-    def _apply_to_stores(self) -> None:
+    def _update_all_store_faults(self) -> None:
         for node in self.controllers:
-            self._apply_to_store(node)
+            self._update_store_faults(node)
 
-    def _apply_to_store(self, node: str) -> None:
+    def _update_store_faults(self, node: str) -> None:
         store_faults, links = self.ports[node].store.faults, self.link_faults
         if not links.used:
             return
--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -43,13 +43,13 @@
     """A machine's worker; it runs until it is terminated."""
 
     def __init__(
-        self, surroundings: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
+        self, environment: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
         """Start sending heartbeats; the caller scales `lease_s` by the drift of the worker's clock."""
-        self.loop, self.rng, self.rules = surroundings.loop, surroundings.rng, surroundings.rules
-        self.nodes, self.send = surroundings.nodes, surroundings.send
+        self.loop, self.rng, self.rules = environment.loop, environment.rng, environment.rules
+        self.nodes, self.send = environment.nodes, environment.send
         self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
-        self.heartbeat_interval_s, self.lease_s = surroundings.heartbeat_interval_s, lease_s
+        self.heartbeat_interval_s, self.lease_s = environment.heartbeat_interval_s, lease_s
         self.incarnation, self.sequence, self.fencing_token = 1, 0, 0
         self.tasks: dict[tuple[str, int], WorkerTask] = {}
         self.completed: set[str] = set()
