--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -6,7 +6,7 @@
 
 from elmthread.common.features import SupportedLevels
 from elmthread.rollout.gate import IncompatibleLevelError
-from tests.world.day import day, is_due_refusal
+from tests.world.day import day, is_required_refusal
 from tests.world.error_log import errors_logged
 from tests.world.faulty_rollouts import MUTATIONS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
@@ -42,7 +42,7 @@
     async def script(world: World, monitor: RolloutMonitor) -> None:
         with errors_logged() as errors:
             await upgrades_and_rollbacks(world, monitor, steps, 1.0)
-        refusals.extend(error for error in errors if is_due_refusal(world, error))
+        refusals.extend(error for error in errors if is_required_refusal(world, error))
 
     def before(world: World) -> None:
         configure_previous_version(world)
@@ -55,12 +55,12 @@
 def test_only_a_refusal_that_the_stored_level_requires_is_due() -> None:
     async def script(world: World) -> None:
         def is_due(level: int, lowest: int, highest: int) -> bool:
-            return is_due_refusal(world, str(IncompatibleLevelError(level, SupportedLevels(lowest, highest))))
+            return is_required_refusal(world, str(IncompatibleLevelError(level, SupportedLevels(lowest, highest))))
 
         assert not is_due(2, 1, 1)
         world.store.items["rollout/level"] = ({"level": 2}, 1, None)
         assert is_due(2, 1, 1) and not is_due(2, 1, 2) and not is_due(3, 1, 2)
-        assert not is_due_refusal(world, "another error")
+        assert not is_required_refusal(world, "another error")
         del world.store.items["rollout/level"]
 
     day(script, machines=0)
--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -47,13 +47,13 @@
     # are checked here, since the simulation goes on without failing.
     with errors_logged() as errors:
         play(main(), world.loop)
-    assert [error for error in errors if not is_due_refusal(world, error)] == []
+    assert [error for error in errors if not is_required_refusal(world, error)] == []
     assert world.rules.violations == []
     assert world.store.bad_requests == []
     return world
 
 
-def is_due_refusal(world: World, error: str) -> bool:
+def is_required_refusal(world: World, error: str) -> bool:
     """Return whether the error is a refusal to take part that the level in the store requires."""
     refusal = REFUSAL.match(error)
     if refusal is None:
