--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -22,7 +22,7 @@
 from elmthread.store.done_marks import MAX_TASKS_PER_CHUNK, done_tasks, read_done
 from elmthread.store.machine_records import read_machine
 from tests.world.day import day
-from tests.world.earlier_reader import newest
+from tests.world.earlier_reader import newest_records
 from tests.world.rollouts import configure_previous_version, replace, wait_for_level
 from tests.world.specs import daemon, job
 from tests.world.world import World
@@ -56,7 +56,7 @@
             yield "leader", key, value
         elif key.startswith("s/"):
             yield "slot", key, value
-    for key, value in newest(store).items():
+    for key, value in newest_records(store).items():
         yield (
             next(schema_name for prefix, schema_name in SCHEMA_BY_KEY_PREFIX.items() if key.startswith(prefix)),
             key,
--- a/tests/world/earlier_reader.py
+++ b/tests/world/earlier_reader.py
@@ -103,7 +103,7 @@
     return check_fields(kind, value, FRAMES[kind], {"token"} if kind == "lead" else {"number"})
 
 
-def newest(store: dict[str, Any]) -> dict[str, Any]:
+def newest_records(store: dict[str, Any]) -> dict[str, Any]:
     """Return each record as in the page with the highest number that contains it; null there means deleted."""
     found: dict[str, tuple[int, Any]] = {}
     for key, value in store.items():
@@ -119,7 +119,7 @@
 def read(store: dict[str, Any]) -> View:
     """Read the whole store as a leader of the earlier version would. Raises UnreadableError."""
     view = View()
-    records = newest(store)
+    records = newest_records(store)
     for key, record in records.items():
         if key.startswith("j/"):
             view.jobs[key[2:]] = _read_job(key, record)
--- a/tests/world/rollouts.py
+++ b/tests/world/rollouts.py
@@ -20,7 +20,7 @@
 from elmthread.common.features import SupportedLevels
 from elmthread.persistence.loading import StateLoader
 from elmthread.settings.rollout import RolloutSettings
-from tests.world.earlier_reader import newest
+from tests.world.earlier_reader import newest_records
 from tests.world.world import World, start
 
 PREVIOUS_LEVELS = SupportedLevels(1, 1)
@@ -71,7 +71,7 @@
 
 def done_in_store(world: World) -> dict[str, set[int]]:
     """Return the done tasks of open jobs in the store, decoded independently of the code under test."""
-    records = newest(world.store.values())
+    records = newest_records(world.store.values())
     found: dict[str, set[int]] = {}
     for key, record in records.items():
         if not key.startswith("d/"):
@@ -93,7 +93,7 @@
 def assigned_in_store(world: World) -> set[tuple[str, str, int, int]]:
     """Return (machine, job, task, attempt) of each assignment in the store, decoded independently of the code."""
     found = set()
-    for key, record in newest(world.store.values()).items():
+    for key, record in newest_records(world.store.values()).items():
         if not key.startswith("m/"):
             continue
         for job_id, numbers in record.get("holds", {}).items():
--- a/tools/cut_links.py
+++ b/tools/cut_links.py
@@ -20,7 +20,7 @@
 
 from elmthread.net.http_messages import Request, Response
 from elmthread.reachability.command import ANNOUNCEMENT_TIMEOUT, NoAnnouncementError, describe, read_announcement
-from tests.world.earlier_reader import newest
+from tests.world.earlier_reader import newest_records
 from tests.world.links import STORE, WORKERS, Fault, InvalidScheduleError, LinkFaults, SchedulePlayer, read_schedule
 from tests.world.settings import ZONES
 from tools.forwarder import Forwarder
@@ -103,7 +103,7 @@
     def register_submitted_jobs(self) -> None:
         """Register jobs that were submitted by external clients, so that the simulated workers can run them."""
         rules = self.services.rules
-        for key, record in newest(self.services.store.values()).items():
+        for key, record in newest_records(self.services.store.values()).items():
             if key.startswith("j/") and "spec" in record and key.removeprefix("j/") not in rules.specs:
                 spec = record["spec"]
                 optional_fields = {"builds": None, "yard": None, "due_s": None}
