--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -7,7 +7,7 @@
 
 from elmthread.common.features import SUPPORTED
 from elmthread.reachability.succession import Succession
-from tests.world.cut_days import PREVIOUS_LEVELS, Script, cut, cut_day
+from tests.world.cut_days import LEVELS_WITHOUT_LINK_VIEWS, Script, cut, cut_day
 from tests.world.history import History
 from tests.world.rollouts import replace, wait_for_level
 from tests.world.settings import NODES
@@ -107,4 +107,4 @@
             )
         await wait_for_level(world, SUPPORTED.highest)
 
-    cut_day(script, levels=PREVIOUS_LEVELS)
+    cut_day(script, levels=LEVELS_WITHOUT_LINK_VIEWS)
--- a/tests/world/cut_days.py
+++ b/tests/world/cut_days.py
@@ -22,7 +22,7 @@
 # Time in which workers find a new leader: a heartbeat timeout of 4 s, 1 s per node that they try, and two of the
 # longest heartbeat intervals.
 FIND_LEADER_S = 4 + len(NODES) + 2 * 3.75
-PREVIOUS_LEVELS = SupportedLevels(1, 2)
+LEVELS_WITHOUT_LINK_VIEWS = SupportedLevels(1, 2)
 
 
 def cut(source: str, target: str, at: float = 0.0, length: float = 15.0, **more: Any) -> Fault:
