--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -14,7 +14,7 @@
 from tests.world.day import day
 from tests.world.meetings import FAULT_SCRIPTS, check_continuously
 from tests.world.random_troubles import restore
-from tests.world.stage import Scenario
+from tests.world.scenario import Scenario
 from tests.world.world import World
 
 # By combination, its faults and the seconds after which each begins.
--- a/tests/world/controller_troubles.py
+++ b/tests/world/controller_troubles.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from elmthread.leadership.step_down import StepDownReason
-from tests.world.stage import Scenario
+from tests.world.scenario import Scenario
 
 
 async def leader_ends(scenario: Scenario) -> None:
--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -7,7 +7,7 @@
 
 from elmthread.net.http_messages import Request
 from tests.world.controller_troubles import leader_ends
-from tests.world.stage import Scenario, add_temporarily
+from tests.world.scenario import Scenario, add_temporarily
 
 
 def cut_off_workers(scenario: Scenario, names: Iterable[str], for_s: float) -> None:
--- a/tests/world/partition_troubles.py
+++ b/tests/world/partition_troubles.py
@@ -2,8 +2,8 @@
 
 import asyncio
 
+from tests.world.scenario import Scenario, add_temporarily
 from tests.world.settings import ZONES
-from tests.world.stage import Scenario, add_temporarily
 from tests.world.user_troubles import cancel_now
 
 
--- a/tests/world/store_troubles.py
+++ b/tests/world/store_troubles.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.world.stage import Scenario
+from tests.world.scenario import Scenario
 from tests.world.user_troubles import cancel_now
 
 
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from tests.world.machine_troubles import cut_off_workers, hang_workers, held_up
-from tests.world.stage import Scenario
+from tests.world.scenario import Scenario
 
 
 async def cancel_now(scenario: Scenario) -> None:
