--- a/tests/world/machine_troubles.py
+++ b/tests/world/machine_troubles.py
@@ -6,7 +6,7 @@
 import cbor2
 
 from elmthread.net.http_messages import Request
-from tests.world.controller_troubles import leader_ends
+from tests.world.controller_faults import leader_ends
 from tests.world.scenario import Scenario, add_temporarily
 
 
--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -4,7 +4,7 @@
 from functools import partial
 from typing import Any
 
-from tests.world.controller_troubles import all_end, leader_ends, leader_stands_still, leaders_change
+from tests.world.controller_faults import all_end, leader_ends, leader_stands_still, leaders_change
 from tests.world.machine_troubles import (
     held_up,
     kept_for_the_next,
