--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tests.world.controller_faults import all_end, leader_ends, leader_stands_still, leaders_change
-from tests.world.machine_troubles import (
+from tests.world.machine_faults import (
     held_up,
     kept_for_the_next,
     late_reports,
--- a/tests/world/user_troubles.py
+++ b/tests/world/user_troubles.py
@@ -3,7 +3,7 @@
 import asyncio
 from typing import Any
 
-from tests.world.machine_troubles import cut_off_workers, hang_workers, held_up
+from tests.world.machine_faults import cut_off_workers, hang_workers, held_up
 from tests.world.scenario import Scenario
 
 
