--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -16,7 +16,7 @@
     machines_reborn,
     quick_machines,
 )
-from tests.world.partition_troubles import leader_apart, zone_cut
+from tests.world.partition_faults import leader_apart, zone_cut
 from tests.world.scenario import FaultScript
 from tests.world.store_troubles import answers_lost, late_writes, outage, refused_then_down, slow_store
 from tests.world.user_troubles import (
