--- a/tests/test_drawn_cuts.py
+++ b/tests/test_drawn_cuts.py
@@ -16,7 +16,7 @@
 from tests.world.cut_days import Script, cut, cut_day, fault_script
 from tests.world.history import History
 from tests.world.links import InvalidScheduleError, draw_schedule, read_schedule
-from tests.world.random_troubles import HISTORY_SETTINGS
+from tests.world.random_faults import HISTORY_SETTINGS
 from tests.world.settings import NODES
 from tests.world.world import World
 
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -8,7 +8,7 @@
 from elmthread.leadership.step_down import StepDownReason
 from tests.world.balancer import Balancer
 from tests.world.day import day
-from tests.world.random_troubles import set_isolated
+from tests.world.random_faults import set_isolated
 from tests.world.settings import NODES
 from tests.world.specs import job
 from tests.world.world import World, start
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -15,7 +15,7 @@
 from elmthread.cluster.machine import NO_HEARTBEAT
 from elmthread.leadership.role import Role
 from tests.world.day import day
-from tests.world.random_troubles import restore
+from tests.world.random_faults import restore
 from tests.world.specs import job
 from tests.world.world import World, start
 
--- a/tests/test_generated_histories.py
+++ b/tests/test_generated_histories.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from tests.world.day import day
-from tests.world.random_troubles import FAULT_NAMES, HISTORY_SETTINGS, inject_fault, restore
+from tests.world.random_faults import FAULT_NAMES, HISTORY_SETTINGS, inject_fault, restore
 from tests.world.specs import job
 from tests.world.world import World
 
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import restore, set_isolated
+from tests.world.random_faults import restore, set_isolated
 from tests.world.specs import job
 from tests.world.world import World
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -13,7 +13,7 @@
 
 from tests.world.day import day
 from tests.world.meetings import FAULT_SCRIPTS, check_continuously
-from tests.world.random_troubles import restore
+from tests.world.random_faults import restore
 from tests.world.scenario import Scenario
 from tests.world.world import World
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,7 +15,7 @@
 
 from elmthread.store.pages import PAGE_PREFIX, RecordPages, page_capacity
 from tests.world.day import day
-from tests.world.random_troubles import FAULT_NAMES, HISTORY_SETTINGS
+from tests.world.random_faults import FAULT_NAMES, HISTORY_SETTINGS
 from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.specs import daemon, job
 from tests.world.stored import stored_pages, stored_records
--- a/tests/test_rollout_checks.py
+++ b/tests/test_rollout_checks.py
@@ -9,8 +9,8 @@
 from tests.world.day import day, is_required_refusal
 from tests.world.error_log import errors_logged
 from tests.world.faulty_rollouts import MUTATIONS
+from tests.world.random_faults import HISTORY_SETTINGS
 from tests.world.random_rollouts import STEPS, upgrades_and_rollbacks
-from tests.world.random_troubles import HISTORY_SETTINGS
 from tests.world.rollouts import RolloutMonitor, configure_previous_version, monitored
 from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.staged_days import staged_day
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from elmthread.workers.reconciliation import HeartbeatReconciler
 from tests.world.counting import count_calls, count_changes, observe_calls
 from tests.world.day import day
-from tests.world.random_troubles import set_isolated
+from tests.world.random_faults import set_isolated
 from tests.world.specs import job
 from tests.world.world import World, start
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.world.day import day
-from tests.world.random_troubles import set_isolated
+from tests.world.random_faults import set_isolated
 from tests.world.service_days import leader_job, rent_on_demand, wait_until_serving
 from tests.world.specs import daemon, job
 from tests.world.world import World, start
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -16,7 +16,7 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, LeaderAnnouncement, decode, encode
 from tests.world import earlier_reader
 from tests.world.day import day
-from tests.world.random_troubles import inject_fault, restore
+from tests.world.random_faults import inject_fault, restore
 from tests.world.specs import daemon, job, submission_body
 from tests.world.stored import stored_records
 from tests.world.upgrades import configure_earlier_version, lower_store_limits, upgrade
--- a/tests/world/random_rollouts.py
+++ b/tests/world/random_rollouts.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from elmthread.common.features import SUPPORTED
-from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
+from tests.world.random_faults import FAULT_NAMES, inject_fault, restore
 from tests.world.rollouts import PREVIOUS_LEVELS, RolloutMonitor, configure_previous_version, replace, wait_for_level
 from tests.world.settings import NEXT_LIMITS, NODES
 from tests.world.staged_days import staged_day, submit_some
--- a/tests/world/upgrades.py
+++ b/tests/world/upgrades.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from tests.world.day import day
-from tests.world.random_troubles import FAULT_NAMES, inject_fault, restore
+from tests.world.random_faults import FAULT_NAMES, inject_fault, restore
 from tests.world.settings import NEXT_LIMITS, NODES, ZONES
 from tests.world.specs import daemon, job
 from tests.world.versions import EarlierVersion
