--- a/tests/world/meetings.py
+++ b/tests/world/meetings.py
@@ -19,7 +19,7 @@
 from tests.world.partition_faults import leader_apart, zone_cut
 from tests.world.scenario import FaultScript
 from tests.world.store_faults import answers_lost, late_writes, outage, refused_then_down, slow_store
-from tests.world.user_troubles import (
+from tests.world.user_faults import (
     cancel_and_hang,
     cancel_at_end,
     cancel_now,
--- a/tests/world/partition_faults.py
+++ b/tests/world/partition_faults.py
@@ -4,7 +4,7 @@
 
 from tests.world.scenario import Scenario, add_temporarily
 from tests.world.settings import ZONES
-from tests.world.user_troubles import cancel_now
+from tests.world.user_faults import cancel_now
 
 
 async def leader_apart(scenario: Scenario) -> None:
--- a/tests/world/store_faults.py
+++ b/tests/world/store_faults.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from tests.world.scenario import Scenario
-from tests.world.user_troubles import cancel_now
+from tests.world.user_faults import cancel_now
 
 
 async def refused_then_down(scenario: Scenario) -> None:
