--- a/tests/world/workers.py
+++ b/tests/world/workers.py
@@ -45,7 +45,7 @@
     def __init__(
         self, environment: WorkerEnvironment, machine: SimulatedMachine, machine_type: dict[str, Any], lease_s: float
     ) -> None:
-        """Start sending heartbeats; the caller scales `lease_s` by the drift of the worker's clock."""
+        """Start sending heartbeats; `lease_s` includes the drift of the worker's clock, if any."""
         self.loop, self.rng, self.rules = environment.loop, environment.rng, environment.rules
         self.nodes, self.send = environment.nodes, environment.send
         self.name, self.machine_type, self.zone, self.spot = machine.name, machine_type, machine.zone, machine.spot
