--- a/src/elmthread/api/routes.py
+++ b/src/elmthread/api/routes.py
@@ -13,13 +13,13 @@
 from elmthread.peers.messages import ForwardedRequest, ForwardedResponse, RequestVerb
 from elmthread.workers.messages import HEARTBEAT_PATH
 
-HeartbeatHandler = Callable[[Request], Awaitable[Response]]
+HandleHeartbeat = Callable[[Request], Awaitable[Response]]
 
 
 class RequestRouter:
     """Routes requests of users, workers, the load balancer and other nodes."""
 
-    def __init__(self, node: ApiNode, heartbeat: HeartbeatHandler) -> None:
+    def __init__(self, node: ApiNode, heartbeat: HandleHeartbeat) -> None:
         """Initialize with `heartbeat`, the handler of workers' requests."""
         self._heartbeat = heartbeat
         self._readiness = Readiness(node)
