--- a/src/elmthread/common/features.py
+++ b/src/elmthread/common/features.py
@@ -49,25 +49,25 @@
         level=2,
         changes=ChangeKind.STORED_FORMAT,
         what="done tasks are stored as compressed bitmaps of up to 1,024 tasks",
-        earlier_versions="miss the field `marks`, refuse the record and do not lead",
+        earlier_versions="reject the record, which lacks the field `marks`, so they can't load the state or lead",
     ),
     Feature.ASSIGNMENT_RUNS: FeatureDescription(
         level=2,
         changes=ChangeKind.STORED_FORMAT,
         what="a machine's assignments are stored as runs of tasks with consecutive attempts",
-        earlier_versions="miss the field `build`, refuse the record and do not lead",
+        earlier_versions="reject the record, which lacks the field `build`, so they can't load the state or lead",
     ),
     Feature.LEVEL_IN_ANNOUNCEMENTS: FeatureDescription(
         level=2,
         changes=ChangeKind.MESSAGE,
         what="a leader tells the other controllers the active level",
-        earlier_versions="pass over the field",
+        earlier_versions="ignore the field `level`",
     ),
     Feature.LINK_VIEWS: FeatureDescription(
         level=3,
         changes=ChangeKind.MESSAGE,
         what="controllers tell one another which of their links they can confirm, and a leader names a successor",
-        earlier_versions="pass over the field, echo nothing, and stand at once though another is named",
+        earlier_versions="ignore the field `links`: they echo no messages and do not wait for a named successor",
     ),
 }
 
