--- a/src/elmthread/leadership/election.py
+++ b/src/elmthread/leadership/election.py
@@ -39,8 +39,9 @@
 RESPONSE_MARGIN = seconds(0.15)
 RETRY_INTERVAL = seconds(0.3)
 WATCH_TIMEOUT = seconds(10)
-# Maximum random delay of a candidacy. If several nodes become candidates at the same time, each candidacy takes a
-# write from the store's rate limit, although only one can succeed.
+# Maximum random delay of a candidacy, so that nodes that find at the same time that there is no leader do not all send
+# their requests to the store at once. The leader key is not read again after the delay: each candidate is granted a
+# lease and tries to write the key, although only one can succeed.
 MAX_CANDIDACY_JITTER_S = 0.05
 # The duration of a lease divided by the interval between renewals, and by the timeout of one renewal.
 RENEWALS_PER_LEASE = 5
