--- a/src/elmthread/reachability/backoff.py
+++ b/src/elmthread/reachability/backoff.py
@@ -57,8 +57,8 @@
         duration = min(longest, self._bounds.min_backoff * 2**self._recent_count)
         if duration < longest:
             self._recent_count += 1
-        # Jitter must not shorten a backoff below `min_backoff`: leadership may be vacant for that long, so a shorter
-        # first backoff could be over before this node leads again, and have no effect on the new term.
+        # Jitter must not shorten a backoff below `min_backoff`, so a first backoff has none. After its term, this node
+        # thus leaves leadership to the others for at least `min_backoff`, unless one of them names it as successor.
         jittered: timedelta = duration * self._rng.uniform(1 - BACKOFF_JITTER, 1)
         return max(jittered, self._bounds.min_backoff)
 
--- a/src/elmthread/reachability/candidacy.py
+++ b/src/elmthread/reachability/candidacy.py
@@ -42,11 +42,12 @@
         return max(backoff_delay, reachability.succession.remaining_precedence(successor))
 
     def _isolation_delay(self, vacant_for: timedelta) -> timedelta:
-        """Return the candidacy delay of a node that confirms no other controller and receives no heartbeats.
+        """Return the candidacy delay of a node that confirms no other controller and recently received no heartbeats.
 
-        The delay lets a node that workers reach win first, as an isolated leader can't name such a node as successor.
-        A node that recently received heartbeats although it did not lead does not wait, since these workers have lost
-        their leader.
+        The delay lets a node that confirms another controller, or that workers reach, win first. Workers that got no
+        response from one node have tried the next by then. An isolated leader could not hand over to such a node, as a
+        leader names as successor only a node to which its link is confirmed.
+        A node that recently received heartbeats while it did not lead does not wait, as workers reach it.
         """
         reachability = self._reachability
         if not reachability.is_isolated() or reachability.misdirected.has_recent_heartbeats():
