--- a/src/elmthread/placement/job_order.py
+++ b/src/elmthread/placement/job_order.py
@@ -18,7 +18,8 @@
 from elmthread.placement.quotas import TeamQuotas
 from elmthread.placement.requests import PlacementClass, RequestFactory, SortKey, TaskRequest
 
-# The sets of guaranteed and postponed jobs are recomputed at this interval, and when a job is submitted or ends.
+# The sets of guaranteed and postponed jobs are recomputed at this interval, and early if a job has been cancelled or if
+# the write of a submission or cancellation has become durable. A job that completes is no reason to do so early.
 REORDER_INTERVAL = seconds(1)
 # A job submitted longer ago than this that has completed no task and runs none gets one task placed before all others.
 # Postponed jobs submitted longer ago than this get tasks placed with those of on-time jobs, as long as all such
