--- a/src/elmthread/autoscaling/deferrable_pool.py
+++ b/src/elmthread/autoscaling/deferrable_pool.py
@@ -17,8 +17,8 @@
     def scale_in(self, view: RoundView) -> None:
         """Delete all machines of an idle pool, and those of a busy pool that stay empty for longer than a boot takes.
 
-        Deleting machines of a busy pool deviates from the design; otherwise, a single long task would keep the
-        whole pool running.
+        Deleting machines of a busy pool deviates from the Chiron paper's design; otherwise, a single long
+        task would keep the whole pool running.
         """
         pool = [m for m in self._cluster.machines.values() if m.in_deferrable_pool and m.state is MachineState.UP]
         is_idle = all(request.urgent for request in view.requests) and all(not m.allocations for m in pool)
--- a/src/elmthread/autoscaling/draining.py
+++ b/src/elmthread/autoscaling/draining.py
@@ -33,8 +33,8 @@
 
         They get no new tasks while others have room. If such a machine is much more expensive than the cheapest,
         and all of its tasks make checkpoints and would fit elsewhere, they are moved. This deviates from the
-        design, in which machines empty only as tasks end: long tasks would keep expensive machines running for
-        minutes.
+        Chiron paper's design, in which machines empty only as tasks end: long tasks would keep expensive machines
+        running for minutes.
         """
         schedulable = [m for m in self._cluster.machines.values() if m.is_schedulable]
         # Tasks on machines that the cloud is about to reclaim will need room elsewhere, so they count as demand.
--- a/src/elmthread/autoscaling/service_scaling.py
+++ b/src/elmthread/autoscaling/service_scaling.py
@@ -3,7 +3,7 @@
 Replicas hold their cores as long as the service runs. Often they may not use spot instances, or at most half of
 them may run in one zone, so free cores of the wrong kind are of no use to them. Therefore, instances are requested
 immediately for replicas that fit nowhere, and the share of replicas in the cores that they may use is kept in the
-same band. This deviates from the design.
+same band. This deviates from the Chiron paper's design.
 """
 
 from collections.abc import Sequence
