--- a/tests/both.py
+++ b/tests/both.py
@@ -4,9 +4,9 @@
 
 DIR is a checkout of the earlier version, from whose sources its controllers run; the others run from this checkout.
 Each version decodes the stored records and the messages of the other. Each seed simulates two runs, which are checked
-against the rules of `tests/world/rules.py`: an upgrade in which processes are killed, with faults and lowered limits;
-and repeated upgrades and rollbacks with the staged rollout enabled. pytest does not collect this module, as a checkout
-without history has no earlier version. docs/results.md has the results.
+against the rules of `tests/world/rules.py`: an upgrade in which processes are killed, with faults and with lowered
+limits of the state service; and repeated upgrades and rollbacks with the staged rollout enabled. pytest does not
+collect this module, as a checkout without history has no earlier version. docs/results.md has the results.
 """
 
 import re
--- a/tests/test_cuts_during_changes.py
+++ b/tests/test_cuts_during_changes.py
@@ -33,7 +33,7 @@
 
 
 async def cut_named_successor(world: World, history: History) -> None:
-    """Cut the link from the successor to the state service at the moment it is named."""
+    """Cut the successor off from the state service at the moment it is named."""
     assert world.leader is not None
     succession = world.leader.reachability.succession
     name_successor = succession.name_successor
@@ -67,7 +67,7 @@
 
 
 async def cut_during_rolling_restart(world: World, history: History) -> None:
-    """Restart each node at once, with intermittent link cuts meanwhile."""
+    """Restart one node after another, each within 0.2 s, with intermittent link cuts meanwhile."""
     for node in NODES:
         replace(world, node, SUPPORTED, 0.2)
         await world.play_faults(
@@ -99,7 +99,7 @@
 
 def test_feature_is_activated_during_a_cut_and_beside_the_previous_version() -> None:
     async def script(world: World, history: History) -> None:
-        # A node runs the previous version, leading or following, until it is replaced; each time the leader is cut off.
+        # Nodes of the previous version are replaced one by one; each time the leader, of either version, is cut off.
         for node in NODES:
             replace(world, node, SUPPORTED, 0.3)
             await world.play_faults(
--- a/tests/test_failover.py
+++ b/tests/test_failover.py
@@ -96,7 +96,7 @@
         assert old is not None
         name = old.node
         world.ports[name].cloud.faults.cut = True
-        # The links between controllers are cut too, but workers still reach the old leader.
+        # The old leader is also cut off from the state service and the other controllers, but workers reach only it.
         set_isolated(world, name, True)
         for worker in list(world.workers):
             world.cut_worker_links |= {(worker, node) for node in NODES if node != name}
@@ -163,7 +163,7 @@
         can_reach = world.can_reach
         world.can_reach = lambda one, other: isolated not in (one, other) and can_reach(one, other)  # type: ignore[method-assign]
         world.ports[isolated].store.faults.cut = True
-        # The user retries: on the same connection while the fault may be brief, later on one to another node.
+        # The user retries. A node that is not ready closes the connection, so that another node is tried.
         response = await world.ask("GET", "/submissions/run-000001", node=isolated)
         assert (response.status, response.close) == (503, False)
         await asyncio.sleep(6)
--- a/tests/test_four_thousand.py
+++ b/tests/test_four_thousand.py
@@ -22,9 +22,10 @@
 MACHINES = 4000
 JOBS = 40
 TASKS = 120
-# Placement steps per started task: most tasks of a job are placed with its first. One by one it would be thousands.
+# Calls of `fitting_tasks` per started task. A call covers all tasks of a job that fit on a machine; if it covered only
+# one task, there would be thousands for each.
 MAX_PLACEMENT_STEPS_PER_START = 1
-# The write rate of the simulated settings, its burst, and the requests of the other nodes.
+# The write rate in the settings is 30 per second; the rest covers its burst and the writes of the other nodes.
 MAX_CHANGES_PER_SECOND = 60
 
 
--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -23,7 +23,7 @@
 
 
 async def check_cancellations(world: World, observed: Counter[str]) -> None:
-    """Check the cancelled tasks continuously, and count how often the tested situation occurred."""
+    """Check that cancelled tasks end in time; count how often they still ran while a former leader remained."""
     while True:
         await asyncio.sleep(0.2)
         world.rules.check_cancelled()
@@ -36,7 +36,7 @@
 
 
 async def refuse_leader_then_all(world: World, ids: list[str]) -> None:
-    """Refuse only the leader, cancel jobs through another controller, then take the state service down for all."""
+    """Let the state service refuse only the leader, cancel jobs meanwhile, then take it down for all controllers."""
     rng = world.rng
     old = world.leader
     assert old is not None
@@ -123,7 +123,7 @@
 
     for seed in seeds:
         day(script, seed=seed, controllers=controllers, each=1, machines=6)
-    # The situation occurred: confirmed cancellations, tasks still on machines, and a former leader answering them.
+    # The tested situation occurred: tasks still ran after their cancellation was confirmed, and a former leader remained.
     assert observed["present, held by an earlier leader"] > 0, observed
 
 
@@ -155,7 +155,8 @@
         await asyncio.sleep(5)
         world.cut_worker_links.clear()
         await asyncio.sleep(40)
-        # Only the leader is refused, and its workers reach it: it has no grace period, or ends it in time.
+        # The state service refuses only the leader, which workers still reach: the leader has no grace period, or ends
+        # it in time.
         name = world.leader.node if world.leader is not None else ""
         world.ports[name].store.faults.refused = True
         world.isolated_nodes.add(name)
@@ -171,7 +172,7 @@
 
 
 def test_every_response_stops_cancelled_tasks_even_the_first_of_a_new_leader() -> None:
-    """Guard against leaders that change faster than workers report and would only renew leases, each with its token."""
+    """Guard against first responses that only renew leases: with quick changes of leader, none would stop a task."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=6, true_s=200.0, expected_s=200.0))
@@ -202,12 +203,12 @@
     day(script, machines=2, each=0)
 
 
-# Outages in which all nodes confirm that they have not been elected
+# Outages in which the other nodes confirm to the leader that none of them has won a later term
 
 
 @pytest.mark.parametrize("all_nodes_up", [True, False])
 def test_outage_stops_no_task_while_all_nodes_confirm(all_nodes_up: bool) -> None:
-    """Keep all tasks in an outage of two minutes; an unreachable node limits this to the grace period."""
+    """Keep all tasks running for a two-minute outage; with a node down, only until the grace period ends."""
 
     async def script(world: World) -> None:
         assert await world.submit(job(1, pieces=20, true_s=200.0, expected_s=200.0))
--- a/tests/test_leader_change.py
+++ b/tests/test_leader_change.py
@@ -108,7 +108,7 @@
         await asyncio.gather(*polls)
         await asyncio.sleep(2)
         if suspended_s > 4:
-            # The former leader has noticed, and every controller knows only the newer term.
+            # The former leader has ended its term, and every controller knows only the newer one.
             tokens = {controller.election.highest_seen_token for controller in world.controllers.values()}
             assert len(tokens) == 1 and old.leader is None
         # The cancellation may have come after the job's end; either way, the reported state must not change.
--- a/tests/test_link_cuts.py
+++ b/tests/test_link_cuts.py
@@ -119,7 +119,8 @@
     async def script(world: World, history: History) -> None:
         faults = [cut("leader", "workers/east", length=60.0), cut("follower", "workers/north", length=60.0)]
         await world.play_faults(faults)
-        # By then the halves differ in size; the controller that hears from clearly more workers keeps leading.
+        # By the end of the cuts the halves differ in size; the controller that hears from clearly more workers keeps
+        # leading.
         assert len(history.terms) <= 2
 
     for seed in range(3):
@@ -135,10 +136,10 @@
 def test_only_node_that_workers_reach_leads_without_peer_links() -> None:
     """Guard against the election of a node that no worker reaches when no successor can be named.
 
-    It was seen in a simulated run: two of three nodes had lost the workers, and the second of them was elected. The
-    reachable node is the one to which workers turn first: another one would not be heard of in time. It keeps leading
-    although some workers wait for 4 s at each of the other nodes before they reach it, and it holds the heartbeats
-    that arrive just before its election: redirected workers would come back after their leases had expired.
+    It was seen in a simulated run: two of three nodes had lost the workers, and the second of them was elected. Here,
+    workers reach only the node that they try next after the leader; they would find the third one too late. That node
+    keeps leading although some workers wait for 4 s at each of the other nodes before they reach it, and it holds the
+    heartbeats that arrive just before its election: redirected workers would return after their leases had expired.
     """
     running = kept = 0
 
--- a/tests/test_lost_workers.py
+++ b/tests/test_lost_workers.py
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("other_nodes_up", [True, False])
 def test_leader_that_reaches_only_the_state_service_steps_down_once(other_nodes_up: bool) -> None:
-    """Check a leader that renews its lease, but that no worker or controller reaches to tell it so."""
+    """Check a leader that can renew its lease, but that neither workers nor other controllers reach."""
 
     async def script(world: World) -> None:
         for number in range(4):
--- a/tests/test_machine_lifecycle.py
+++ b/tests/test_machine_lifecycle.py
@@ -93,7 +93,7 @@
             worker.interruption_at = world.loop.now + 12
             worker.state_changed.set()
             await asyncio.sleep(10.5)
-            # Tasks that could save a checkpoint continue elsewhere, and no new ones were assigned.
+            # The machine's tasks had time to save checkpoints and continue elsewhere, and it was assigned no new ones.
             assert not any(m == name for m, _ in world.rules.running)
             assert set(its_tasks) <= {t for _, t in world.rules.running} | world.rules.finished
             await asyncio.sleep(1.5)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -86,18 +86,18 @@
     """Inject the faults, then remove them: every accepted job must end, and no rule may be broken."""
 
     async def script(world: World) -> None:
-        stage = Scenario(world)
+        scenario = Scenario(world)
         watcher = world.loop.create_task(check_continuously(world))
-        await stage.submit_initial_jobs()
+        await scenario.submit_initial_jobs()
         await asyncio.sleep(6)
         started_at = world.loop.now
 
         async def inject_later(name: str, delay_s: float) -> None:
             await asyncio.sleep(started_at + delay_s - world.loop.now)
-            await FAULT_SCRIPTS[name](stage)
+            await FAULT_SCRIPTS[name](scenario)
 
         await asyncio.gather(*(inject_later(name, delay_s) for name, delay_s in faults))
-        await stage.end()
+        await scenario.end()
         await asyncio.sleep(world.rng.uniform(0, 10))
         restore(world)
         world.delayed_share, world.store.latency, world.cloud.fast_boot = 0.0, 0.004, False
@@ -105,10 +105,10 @@
         for worker in world.workers.values():
             worker.hung = False
         world.rules.faults_cleared_at = world.loop.now
-        states = await world.wait_until_finished(stage.ids, 420)
+        states = await world.wait_until_finished(scenario.ids, 420)
         assert set(states.values()) <= {"done", "cancelled"}, states
         # Every node keeps reporting the same final state.
-        for job_id in world.rng.sample(stage.ids, min(12, len(stage.ids))):
+        for job_id in world.rng.sample(scenario.ids, min(12, len(scenario.ids))):
             for node in world.nodes:
                 assert await world.poll(job_id, node) == states[job_id]
         watcher.cancel()
