--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -54,7 +54,7 @@
 
 
 def test_large_jobs_start_in_time_under_any_load() -> None:
-    """Mix more urgent work than there are cores, an endless stream of small jobs, and large jobs that must be late."""
+    """Mix more urgent work than there are cores with a steady stream of small jobs and some large ones."""
 
     async def script(world: World) -> None:
         ids, large_ids = [], []
@@ -81,7 +81,7 @@
 
 
 def test_half_of_each_class_team_and_size_finishes_under_overload() -> None:
-    """Submit more work than there are cores for three minutes, large jobs among small ones; allow four to catch up."""
+    """Submit more work than there are cores for three minutes, large jobs among small ones; then wait up to four."""
 
     async def script(world: World) -> None:
         ids: list[str] = []
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,8 +1,8 @@
 """Rolling upgrades under load, after which the limits of the state service are lowered.
 
-A node in `world.earlier_nodes` stands for the earlier version: its settings name no next limits, it writes
-pages as large as the present limits allow, and no services are submitted while it runs. Whether it can read
-the records of the newer version is checked by tests/test_versions.py.
+A node in `world.earlier_nodes` stands for the earlier version: its settings do not announce the lower limits
+(`facts.state.next`), it writes pages as large as the present ones allow, and no services are submitted while it
+runs. Whether it can read the records of the newer version is checked by tests/test_versions.py.
 """
 
 import asyncio
@@ -135,7 +135,7 @@
 
 
 def test_machine_is_filled_as_far_as_the_actual_size_of_its_record_allows() -> None:
-    """Guard against an estimate from the longest names and numbers: large machines would stay half empty at 2 KiB."""
+    """Guard against estimating a record by its longest names and numbers: at 2 KiB, large machines stay half empty."""
 
     async def script(world: World) -> None:
         world.rent("large", "east")
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -42,7 +42,7 @@
 
 
 def report_two_final_states(rules: Rules) -> None:
-    """Report two final states of a job, even though the requests overlap."""
+    """Report two final states of a job, which is a violation even if the two requests overlap."""
     report_cancelled(rules)
     rules.finished |= {f"run-000001/{n}" for n in range(3)}
     rules.observe_response("run-000001", 200, "done", asked=-1.0)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Simulations near the size of the grown deployments; their work is bounded in calls, not in seconds."""
+"""Simulations with 300 machines, near the size of large deployments; work is bounded in calls, not in seconds."""
 
 import asyncio
 from collections import Counter
@@ -68,10 +68,10 @@
 
     world = day(script, machines=0, controllers=5, each=MACHINES)
     tasks = sum(world.rules.starts.values())
-    # Leases outlast the crash: it restarts hardly any task.
+    # Worker leases outlast the fail-over, so hardly any task is started again.
     assert tasks < 1.02 * len(world.rules.starts)
     assert sum(changes.values()) < tasks / 10
-    # The rate limit with its burst, and the share of the other nodes.
+    # The write rate of 30 per second, doubled for its burst and the writes of the other nodes.
     assert max(changes.values()) <= 30 * 2
     assert calls["fitting_tasks"] < 10 * tasks, calls["fitting_tasks"] / tasks
 
@@ -103,8 +103,8 @@
 def record_deletions(world: World) -> list[bool]:
     """Record for each machine that is deleted from now on whether it was idle and alive.
 
-    Any number of idle machines may be deleted, but none may be lost. The tasks that a machine had when it
-    was deleted, and whether its heartbeats had arrived until then, tell the two apart.
+    Any number of idle machines may be deleted, but none that is busy or taken for dead. The tasks of a machine at
+    its deletion, its incarnation and the time since its lease was renewed tell them apart.
     """
     were_idle: list[bool] = []
     on_deleted = world.cloud.on_deleted
@@ -139,8 +139,8 @@
         while await world.poll(ids[0]) is None:
             assert world.loop.now < recovered_at + 6
             await asyncio.sleep(0.2)
-        # Once a leader serves, most requests are answered, and every worker's lease is renewed before it
-        # expires: tasks start on nearly all of them.
+        # Once a leader serves, most requests are answered, workers' leases are renewed (an expired one would raise
+        # the incarnation), and tasks run on many machines.
         answered_count = 0
         for job_id in ids:
             answered_count += await world.poll(job_id) is not None
@@ -157,7 +157,7 @@
 
 
 async def cut_zone_off(world: World, submit_more: Callable[[int], Awaitable[None]]) -> None:
-    """Cut off a zone with a controller that reaches only its workers; submit jobs meanwhile."""
+    """Isolate a follower, let the workers of a zone reach only that one, and submit jobs meanwhile."""
     west = [name for name, worker in world.workers.items() if worker.zone == "west"]
     cut_off = next(node for node in world.nodes if world.leader and node != world.leader.node)
     set_isolated(world, cut_off, True)
@@ -171,7 +171,7 @@
 
 
 async def cut_peer_links(world: World, job_id: str) -> str:
-    """Cut all links between controllers: followers refuse users at once, the leader keeps serving; return it."""
+    """Cut all links between controllers, check that followers refuse users at once; return the leader, which serves."""
     can_reach, world.can_reach = world.can_reach, lambda one, other: False  # type: ignore[method-assign]
     assert world.leader is not None
     leader = world.leader.node
@@ -185,7 +185,7 @@
 
 
 def lose_a_third_of_machines(world: World) -> None:
-    """Make a third of the machines end, hang or fail their tasks."""
+    """Make a third of the machines crash, hang, or fail all their tasks."""
     names = sorted(world.workers)
     for name in names[::9]:
         world.workers.pop(name).terminate()
@@ -234,7 +234,7 @@
 
 
 def test_a_heartbeat_without_changes_causes_no_work_for_its_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Check that unchanged tasks, most of a heartbeat, are neither recorded again nor considered for a command."""
+    """Check that unchanged tasks, the bulk of a heartbeat, are neither recorded again nor considered for a command."""
     calls: Counter[str] = Counter()
 
     count_calls(monkeypatch, calls, HeartbeatHandler, "handle")
@@ -259,7 +259,7 @@
 
 
 def test_a_response_is_sent_before_the_decisions_that_its_job_causes(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guard against a scheduling round before the response: it takes longer and delays it on a small CPU share."""
+    """Guard against a scheduling round before the response, which would be late on a small share of a CPU."""
     events: list[str] = []
     submit = JobService.submit
 
--- a/tests/test_schemas.py
+++ b/tests/test_schemas.py
@@ -122,7 +122,7 @@
             validate(level, sample["form"], sample["value"])
             decode_sample(sample["form"], sample["value"])
             validated.add((level, sample["form"]))
-    # The next level changes the leader announcement and the link view in it.
+    # Level 3 changes only the leader announcement and the link view in it.
     assert {schema_name for level, schema_name in validated if level == 3} == {"message lead", "link view"}
     earlier_names = set(FORMAT_TYPES) - {"rental", "link view"}
     assert {schema_name for level, schema_name in validated if level == 2} == earlier_names
@@ -157,7 +157,7 @@
         yield level, schema_name
     for one in world.controllers.values():
         frame = json.loads(peers.encode(one.make_announcement()))
-        # The leader may already know a level that it has just raised.
+        # A controller may not know yet that the level was raised; the schema of the new level allows that, too.
         validate(level, "message lead", frame)
         if "links" in frame:
             validate(level, "link view", frame["links"])
--- a/tests/test_service_requests.py
+++ b/tests/test_service_requests.py
@@ -181,7 +181,8 @@
             min_serving = min(min_serving, world.rules.serving("run-000002"))
         assert min_serving == 5
         assert max(world.rules.starts[f"run-000002/{task}"] for task in range(6)) <= 2
-        # The urgent band keeps the remaining machines; a single one fewer could be chance, as responses get lost.
+        # Two machines at least became empty (a single one could be chance, as responses get lost); the autoscaler keeps
+        # the others, so that the share of urgent cores stays in its band.
         assert len({name for name, _ in world.rules.running}) <= 4
         assert len(world.cloud.machines) <= 4
         assert world.rules.serving("run-000002") == 6
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -103,7 +103,7 @@
     async def script(world: World) -> None:
         rent_on_demand(world, 3)
         await asyncio.sleep(5)
-        # Services whose replicas may run on any machine, one spread and one not, beside deferrable tasks.
+        # Two services, one spread over zones and one not, beside deferrable tasks.
         assert await world.submit(daemon(1))
         assert await world.submit(daemon(2, pieces=4, scatter=False))
         assert await world.submit(job(3, pieces=20, true_s=30.0, expected_s=30.0))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,7 +1,8 @@
-"""Compatibility of two versions: each reads the records and messages that the other writes.
+"""Compatibility of this version with the one in production: each reads the records and messages of the other.
 
-The samples were written by the version in production, run in the simulation of its own tests. A strict
-model of that version's reader reads what the newer version writes.
+`samples/production.json` was written by the version in production, called the earlier version here, in the
+simulation of its own tests. A strict model of its reader (`tests/world/earlier_reader.py`) reads what this version,
+the newer one, writes.
 """
 
 import asyncio
@@ -37,7 +38,7 @@
             [reported_state] if reported_state in ("done", "cancelled") else ["open", "done"]
         )
     assert view.types and view.machines
-    # Every task that ran then is assigned to its machine, except for those that had just ended.
+    # Every task that ran when the samples were written is assigned to its machine, unless it had just ended.
     done = set(SAMPLES["done"])
     assert {(machine, task) for machine, task in SAMPLES["where"] if task not in done} <= view.holds
     for job_id, done_tasks in view.done.items():
@@ -174,7 +175,7 @@
             )
             await check_often(20, 0.3)
 
-        # Up to the last node but one: whichever leads, the next leader may run the earlier version.
+        # Until the last node is upgraded, the next leader may run the earlier version, whichever node leads now.
         await upgrade(world, world.nodes[:2], 3.0, fault_and_checks)
         await check_often(60, 0.5)
         restore(world)
@@ -194,7 +195,7 @@
         assert await world.submit(job(1))
         await asyncio.sleep(5)
         earlier_reader.read(world.store.values())
-        # A node that is down at that moment does not prevent it.
+        # A node that is down at that moment does not prevent the submission.
         world.kill(next(node for node in world.nodes if world.controllers[node] is not world.leader))
         assert await world.submit(daemon(2), 5)
         with pytest.raises(earlier_reader.UnreadableError):
