--- a/tools/measure_levels.py
+++ b/tools/measure_levels.py
@@ -2,8 +2,8 @@
 
     PYTHONPATH=src:. python -m tools.measure_levels [--machines 600] [--value-kb 2]
 
-Runs the same load on the first level and on the second. Prints the size of the transactions' contents, the number
-of stored pages at the end, and the cost of loading the state on a leader change.
+Runs the same load on the first level and on the second. Prints the number and size of the written pages
+and records, the number of stored pages at the end, and the cost of loading the state on a leader change.
 """
 
 import argparse
