--- a/tests/test_gap.py
+++ b/tests/test_gap.py
@@ -123,7 +123,7 @@
 
     for seed in seeds:
         day(script, seed=seed, controllers=controllers, each=1, machines=6)
-    # The tested situation occurred: tasks still ran after their cancellation was confirmed, and a former leader remained.
+    # It occurred that tasks still ran after their cancellation was confirmed and a former leader remained.
     assert observed["present, held by an earlier leader"] > 0, observed
 
 
