--- a/src/elmthread/settings/operators.py
+++ b/src/elmthread/settings/operators.py
@@ -16,8 +16,8 @@
 # Deadlines after submission: the default if the expression has no finite value, and the bounds of its value.
 DEFAULT_DEADLINE_S = 3600.0
 MIN_DEADLINE_S, MAX_DEADLINE_S = 1.0, 30 * 86400.0
-# Names that an expression may use, with their types: the job's fields and its class's objective (0: none). `cards` are
-# GPUs, and `saves` tells whether the tasks make checkpoints.
+# Names that an expression may use, with their types: the job's fields and its class's objective (0: none). Where a
+# field's name differs from the code's, it is the one in the submission, except `saves`: whether tasks make checkpoints.
 JOB_FIELD_TYPES = {
     "job_class": "text",
     "team": "text",
@@ -25,7 +25,7 @@
     "priority": "text",
     "tasks": "number",
     "cpus": "number",
-    "cards": "number",
+    "cards": "number",  # GPUs
     "ram_gb": "number",
     "expected_s": "number",
     "due_s": "number",
