--- a/tests/world/day.py
+++ b/tests/world/day.py
@@ -6,6 +6,7 @@
 
 from tests.world.error_log import errors_logged
 from tests.world.loop import play
+from tests.world.rollouts import stored_level
 from tests.world.world import World
 
 # The error of a process that can't read the active compatibility level, with the level and those that it reads.
@@ -59,5 +60,4 @@
     if refusal is None:
         return False
     level, lowest, highest = map(int, refusal.groups())
-    stored_level = world.store.items["rollout/level"][0]["level"] if "rollout/level" in world.store.items else 1
-    return level <= stored_level and not lowest <= level <= highest
+    return level <= stored_level(world) and not lowest <= level <= highest
